--- a/src/bin/myrtleyard-adapter.rs
+++ b/src/bin/myrtleyard-adapter.rs
@@ -1,4 +1,5 @@
-//! Hosts many instances of the decision module on the bench's wire: frames in, frames out.
+//! Runs many instances of the decision module for the simulator: reads frames from standard input and writes
+//! the replies to standard output.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Write};
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,19 +1,19 @@
-//! The module's interface: settings, events and actions as plain data.
+//! Interface of the decision module: settings, events and actions as plain data.
 //!
-//! Times are microseconds on the clock of the events; the module knows no other clock.
+//! Times are microseconds on the clock of the events. The module uses no other clock.
 
 use std::collections::BTreeSet;
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// Identifies a message at this sender; never used twice.
+/// Identifies a message at this sender. An id is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MessageId(pub u32);
 
-/// Identifies an endpoint: its address and port. It carries no meaning.
+/// Identifies an endpoint by its address and port. The module does not interpret the bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndpointId(pub [u8; 6]);
 
@@ -21,17 +21,18 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DestinationId(pub u32);
 
-/// What a breaker guards: a destination, or one endpoint of it where its routes are apart.
+/// Identifies a route, which has a breaker of its own: a destination, or one endpoint of it where each
+/// endpoint is a route.
 pub type RouteId = (DestinationId, Option<EndpointId>);
 
-/// Where a keyed repeat is recognised.
+/// The endpoints among which a repeat of a key is recognised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Group {
-    /// At every endpoint of the destination.
+    /// All endpoints of the destination.
     All,
-    /// At the endpoints of one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// At the one endpoint (the narrowest reading of a group that is not known).
+    /// The one endpoint. A group that is not known is read as this, the narrowest one.
     Endpoint,
 }
 
@@ -40,19 +41,20 @@
 pub enum Effect {
     /// Repeats do no harm.
     Repeatable,
-    /// Repeats are dropped by the destination for a while after the first that may have run.
+    /// The destination drops repeats for a while after the first attempt that may have run.
     Keyed {
         /// Which endpoints drop repeats.
         group: Group,
         /// For how long they do.
         window: Micros,
     },
-    /// Must never take effect twice.
+    /// The message must never take effect twice.
     Once,
 }
 
 impl Effect {
-    /// What both allow: the rule for a message that was taken on under the one and is sent under the other.
+    /// The effect that allows only what both allow: it applies to a message that was accepted under one and
+    /// is sent under the other.
     pub fn stricter(self, other: Self) -> Self {
         match (self, other) {
             (Self::Once, _) | (_, Self::Once) => Self::Once,
@@ -69,186 +71,190 @@
     }
 }
 
-/// How worth falls once the aim has passed.
+/// How the worth of a message falls after its aim.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Decay {
-    /// Evenly, down to the late worth at the deadline.
+    /// Linearly, down to the late worth at the deadline.
     #[default]
     Line,
-    /// By half with each further aim, not under the late worth.
+    /// By half with each further aim, but not below the late worth.
     Halves,
 }
 
 /// A class of message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// What repeating does.
+    /// What repeating a message does.
     pub effect: Effect,
-    /// Full worth is earned within this time.
+    /// A message that is delivered within this time has its full worth.
     pub aim: Micros,
-    /// The longest time to deliver in.
+    /// Maximum time for delivery.
     pub deadline: Micros,
-    /// Worth of a message in time.
+    /// Worth of a message that is delivered in time.
     pub worth: f64,
-    /// Share of the worth left at the deadline.
+    /// Share of the worth that is left at the deadline.
     pub late_worth: f64,
-    /// Messages sharing a key go one at a time, in order.
+    /// Messages with the same key are sent one at a time, in order.
     pub in_order: bool,
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// By which it is known again in other settings; empty where none was told.
+    /// Name that identifies the tenant in changed settings; empty if it was given none.
     #[serde(default)]
     pub name: String,
-    /// Messages a second, over all senders, within its share.
+    /// The tenant's share, in messages per second over all senders.
     pub quota: f64,
 }
 
 /// A kind of destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Kind {
-    /// Its endpoints are routes apart, each with limit, pace and outages of its own.
+    /// Each endpoint is a route, with its own limit, pace and outages.
     pub routes_apart: bool,
-    /// Messages that one call carries at most.
+    /// Maximum number of messages in one call.
     pub bundle: usize,
 }
 
 impl Default for Kind {
-    /// One route, and a call for each message.
+    /// One route for all endpoints, and one message per call.
     fn default() -> Self {
         Self { routes_apart: false, bundle: 1 }
     }
 }
 
-/// What the weight of an endpoint's listing says.
+/// Meaning of the weight in an entry of the list of endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Weights {
-    /// Nothing.
+    /// None.
     #[default]
     None,
-    /// Calls a second that the destination takes from all senders together.
+    /// Limit in calls per second from all senders together.
     Nominal,
-    /// The same, up to half too high or too low.
+    /// The same, but up to half too high or too low.
     Rough,
 }
 
-/// The figures of the rules.
+/// Parameters of the rules that a sender has to keep.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
-    /// A final answer is valid this long after the deadline.
+    /// A final answer is still valid this long after the deadline.
     pub answer_slack: Micros,
-    /// Where the list is asked for: the longest time without asking.
+    /// Where the list is only sent on request: maximum time without a request.
     pub ask_every: Option<Micros>,
-    /// A returning destination has at least this share of its capacity.
+    /// Minimum share of its capacity that a destination has when it returns from an outage.
     pub cold_share: f64,
-    /// It has all of it after this time.
+    /// Maximum time after which the destination has its full capacity again.
     pub warm_within: Micros,
-    /// It falls over when sent this multiple of its present capacity ...
+    /// A destination fails when it is sent this multiple of its present capacity for `overload_for`.
     pub fall_multiple: f64,
-    /// ... for this long.
+    /// The overload window: time for which a destination withstands `fall_multiple`.
     pub overload_for: Micros,
-    /// Sends to a draining or gone endpoint must have ceased after this.
+    /// Time within which sends to a draining or removed endpoint must stop.
     pub drain_grace: Micros,
-    /// Rest of an ordered key after an attempt that may still be executing.
+    /// Pause of an ordered key after an attempt that may still be running.
     pub order_pause: Micros,
 }
 
-/// What an instance is told at its start.
+/// Settings of one instance.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
     /// Classes of message.
     pub classes: Vec<Class>,
-    /// Positions of classes of earlier settings, which only what is held goes by.
+    /// Positions of classes of earlier settings, which apply only to messages already held.
     #[serde(default)]
     pub retired: BTreeSet<usize>,
-    /// Tenants; may be empty.
+    /// Tenants, if any.
     pub tenants: Vec<Tenant>,
     /// Kinds of destination.
     pub kinds: Vec<Kind>,
-    /// Fee for each zone, for messages that a route apart there takes on.
+    /// Toll of each zone for messages that are accepted there by an endpoint that is a route of its own.
     pub tolls: Vec<f64>,
-    /// How worth falls after the aim.
+    /// How the worth of messages falls after the aim.
     pub decay: Decay,
-    /// Calls that may be out at once.
+    /// Maximum number of outstanding calls.
     pub slots: usize,
-    /// Messages that may be held.
+    /// Maximum number of held messages.
     pub max_open: usize,
-    /// Most attempts for one message.
+    /// Maximum number of attempts for one message.
     pub try_limit: u32,
-    /// A message may have two attempts out at once.
+    /// A message may have two outstanding attempts.
     pub second_copies: bool,
-    /// Attempts may be cancelled.
+    /// Outstanding attempts may be cancelled.
     pub cancelling: bool,
     /// Endpoints may be probed.
     pub probing: bool,
-    /// Notes may go to the other senders.
+    /// Notes may be sent to the other senders.
     #[serde(default)]
     pub peers: bool,
     /// Price of a probe, in the unit of a message's worth.
     pub probe_price: f64,
-    /// Price of a call refused above a limit, in the same unit.
+    /// Price of a call that is refused above a limit, in the same unit.
     pub refused_price: f64,
-    /// A connection not made within this time has failed.
+    /// Time-out for setting up a connection.
     pub connect_timeout: Micros,
-    /// An idle connection closes by itself after this time; `Micros::MAX` if it does not.
+    /// Time after which an idle connection closes by itself; `Micros::MAX` if it does not.
     pub idle_close: Micros,
-    /// Longest advice to return later that clients heed.
+    /// Maximum Retry-After that clients observe.
     pub max_retry_after: Micros,
-    /// The list of endpoints comes only when asked for.
+    /// The list of endpoints is only sent on request.
     pub must_ask: bool,
-    /// What an endpoint's weight says.
+    /// Meaning of an endpoint's weight.
     pub weights: Weights,
-    /// Share of worth left to a message beyond its tenant's share.
+    /// Share of its worth that a message beyond its tenant's share keeps.
     pub over_share_worth: f64,
-    /// Places of `x0` (share of the limit left) and `x1` (limit, calls a second) in a load report.
+    /// Positions of `x0` (share of the limit that is left) and `x1` (limit in calls per second) in a load
+    /// report.
     pub report: (Option<usize>, Option<usize>),
-    /// Senders of this tier.
+    /// Number of senders in this tier.
     pub senders: usize,
-    /// Shortest time between two batches of events.
+    /// Minimum time between two batches of events.
     pub period: Micros,
-    /// Rules of the users.
+    /// Parameters of the rules.
     pub rules: Rules,
 }
 
 impl Settings {
-    /// The shortest aim of the classes that messages are taken for, in microseconds; 0 without any.
+    /// The shortest aim of all classes that new messages may have, in microseconds; 0 if there is none.
     pub fn shortest_aim(&self) -> Micros {
         let classes = self.classes.iter().enumerate().filter(|(at, _)| !self.retired.contains(at));
         classes.map(|(_, class)| class.aim).min().unwrap_or(0)
     }
 
-    /// Where each tenant of earlier settings stands in these, by its name; `usize::MAX` if it does not, or has none.
+    /// Position in these settings of each tenant of earlier ones, by its name; `usize::MAX` if it is not in
+    /// them or has no name.
     pub fn tenants_after(&self, before: &Self) -> Vec<usize> {
         let same = |old: &Tenant, new: &Tenant| !old.name.is_empty() && new.name == old.name;
         let place = |old: &Tenant| self.tenants.iter().position(|new| same(old, new));
         before.tenants.iter().map(|old| place(old).unwrap_or(usize::MAX)).collect()
     }
 
-    /// Where the list must be asked for: the time in which all senders ask once. Discovery is theirs together,
-    /// has room for few calls at a time, and must bear each sender once in `ask_every`, answer time included.
+    /// Where the list is only sent on request: the time in which every sender requests it once. All senders
+    /// share one discovery service, which takes few calls at a time and must serve each sender once within
+    /// `ask_every`, including the time of its answer.
     pub fn ask_round(&self) -> Micros {
         let every = self.rules.ask_every.unwrap_or(0);
         (every / 140 * self.senders as Micros).clamp(every / 10, every / 10 * 7)
     }
 
-    /// How long before the end of a keyed class's idempotency window its last repeat must be written, so that it is
-    /// read while the key is remembered. It is a quarter of what a connection may take, or of a short window's
-    /// quarter: the connection itself is no part of it, since what it outlasts is not written.
+    /// How long before the end of a keyed class's idempotency window the last repeat must be written, so that
+    /// it is read while the key is remembered. This is a quarter of the time that a connection may take, or
+    /// of a quarter of the window if that is shorter. The set-up of the connection is not included, because a
+    /// repeat that it delays beyond the window is not written.
     pub fn repeat_margin(&self, window: Micros) -> Micros {
         self.connect_timeout.min(window / 4) / 4
     }
 }
 
-/// State of an endpoint in the list. It says nothing of health.
+/// State of an endpoint in the list. It says nothing about the endpoint's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listing {
-    /// Listed.
+    /// Messages may be sent.
     Ready,
-    /// Nothing new may be sent.
+    /// No new messages may be sent.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     Gone,
 }
 
@@ -269,7 +275,7 @@
     pub listing: Listing,
 }
 
-/// A message handed to this sender, which owes it one final answer.
+/// A message that was submitted to this sender, which must give it exactly one final answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
     /// Its id.
@@ -280,11 +286,11 @@
     pub tenant: usize,
     /// The key of its order, if any.
     pub key: Option<u64>,
-    /// How long it may still be delivered.
+    /// Time until its deadline.
     pub time_left: Micros,
-    /// A guess of the call's time.
+    /// An estimate of the call's duration.
     pub hint: Option<Micros>,
-    /// Where it goes.
+    /// Its destination.
     pub destination: DestinationId,
 }
 
@@ -295,19 +301,19 @@
     Delivered,
     /// The destination answered with an error.
     Error,
-    /// Turned away unseen, with the time to wait if one was told.
+    /// Refused as full without being processed, with the requested wait, if any.
     Full(Option<Micros>),
-    /// No answer in time.
+    /// No answer before the time-out.
     TimedOut,
-    /// No connection was made.
+    /// The connection could not be set up.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection broke during the call.
     Reset,
-    /// Called off.
+    /// Cancelled by this sender.
     Cancelled,
-    /// Not sent at all.
+    /// The attempt was not sent at all.
     Moot {
-        /// Because no slot was free.
+        /// No slot was free.
         no_slot: bool,
     },
 }
@@ -319,37 +325,37 @@
     }
 }
 
-/// What happened since the last batch.
+/// An event since the last batch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A message was handed in.
+    /// A message was submitted.
     Accepted(Message),
-    /// A message that an earlier process of this sender took on is picked up again.
+    /// A message that an earlier process of this sender accepted is taken up again.
     Resumed {
-        /// The message, with what is left of its time.
+        /// The message, with its remaining time.
         message: Message,
-        /// Attempts used so far.
+        /// Number of attempts so far.
         attempts: u32,
-        /// Those of them that may have run: how long ago each began, and where.
+        /// The attempts that may have run: how long ago each began, and its endpoint.
         may_have_run: Vec<(Micros, EndpointId)>,
     },
-    /// This process ends at that time; what is left then is picked up by the next one.
+    /// This process ends at that time; the next one takes up the remaining messages.
     Stopping(Micros),
-    /// These settings hold from now on. A class keeps its position for good, so that what is held goes on by
-    /// the class that it came with; a class that is new or has changed has a position of its own.
+    /// New settings that apply from now on. The position of a class never changes, so that held messages keep
+    /// the class that they came with; a class that is new or has changed gets a new position.
     Settings(Box<Settings>),
-    /// Operators took this sender out of service, or put it back.
+    /// Operators took this sender out of service or put it back into service.
     Service {
-        /// Whether new messages are wanted here.
+        /// Whether the sender is in service and new messages are wanted.
         wanted: bool,
-        /// Where they are not: what is held must have ended by then, if that was said.
+        /// If it is not: when all held messages must have ended, if a time was given.
         until: Option<Micros>,
     },
-    /// An endpoint told a wait, in whatever answer.
+    /// An endpoint requested a wait (Retry-After) in some answer.
     Wait {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Nothing may go to its destination for so long.
+        /// Time for which nothing may be sent to its destination.
         wait: Micros,
     },
     /// An attempt ended.
@@ -362,78 +368,78 @@
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
-        /// The message has its final answer.
+        /// Whether the message has its final answer with this.
         terminal: bool,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         took: Micros,
-        /// The load report, if one came.
+        /// The load report; empty if there was none.
         report: Vec<f32>,
     },
-    /// A streamed answer began: the attempt is now the client's.
+    /// A streamed answer has begun: from now on the attempt belongs to the client.
     Streaming {
         /// The message.
         message: MessageId,
     },
     /// The client has withdrawn the message.
     Left(MessageId),
-    /// The whole list of endpoints; what is not in it is gone.
+    /// The whole list of endpoints; an endpoint that is not in it is gone.
     List(Vec<Entry>),
     /// Changed entries of the list.
     Changes(Vec<Entry>),
-    /// Asking for the list failed, or the watch broke.
+    /// A request for the list failed, or the watch broke.
     ListFailed,
-    /// A probe came back.
+    /// A probe ended.
     Probed {
         /// The endpoint.
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
-        /// The load report, if one came.
+        /// The load report; empty if there was none.
         report: Vec<f32>,
     },
-    /// A destination that came back so long ago, whoever saw that, and this sender's part, by a hint, of the calls that
-    /// it bears from all senders meanwhile.
+    /// A destination has returned from an outage, as this or another sender saw. A hint gives this sender its
+    /// part of the calls that the destination can take from all senders while it is cold.
     Cold {
         /// The destination.
         destination: DestinationId,
-        /// Since it came back.
+        /// Time since it returned.
         ago: Micros,
-        /// From 0 to 1; the parts of all senders come to about 1.
+        /// From 0 to 1; the parts of all senders add up to about 1.
         part: f64,
     },
     /// A note from another sender.
     Note {
-        /// Its rank.
+        /// The rank of that sender.
         from: u16,
-        /// The note.
+        /// The encoded note.
         content: Vec<u8>,
     },
-    /// A reminder came due.
+    /// A timer set by [`Action::Remind`] went off, with its token.
     Reminder(u64),
 }
 
-/// What the sender is to do.
+/// An action that the sender has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Call an endpoint with the message.
+    /// Send the message to an endpoint.
     Attempt {
         /// The message.
         message: MessageId,
-        /// Where to.
+        /// The endpoint.
         endpoint: EndpointId,
         /// Time-out of the attempt.
         timeout: Micros,
     },
-    /// Final answer: handed back; handing it in again is harmless.
+    /// Final answer: the message is refused; submitting it again is harmless.
     Refuse {
         /// The message.
         message: MessageId,
-        /// Advice on when to return; 0 for none.
+        /// Retry-After for the client; 0 for none.
         retry_after: Micros,
     },
-    /// Final answer: failed.
+    /// Final answer: the message has failed.
     Fail(MessageId),
-    /// Stop waiting for an attempt.
+    /// Stop waiting for the outcome of an attempt.
     Cancel {
         /// The message.
         message: MessageId,
@@ -444,47 +450,48 @@
     Probe(EndpointId),
     /// Close idle connections to an endpoint.
     CloseIdle(EndpointId),
-    /// Ask to be told of changes of the list.
+    /// Subscribe to changes of the list.
     Watch,
-    /// Ask for the whole list once.
+    /// Request the whole list once.
     FetchList,
-    /// Send a note to one sender, or to all.
+    /// Send a note to one other sender, or to all.
     Tell {
-        /// Rank of the receiver; none for all.
+        /// Rank of the receiver; `None` for all.
         to: Option<u16>,
-        /// At most 256 bytes.
+        /// The encoded note, at most 256 bytes.
         content: Vec<u8>,
     },
-    /// Ask for a [`Event::Reminder`].
+    /// Set a timer that causes an [`Event::Reminder`].
     Remind {
-        /// When.
+        /// When it goes off.
         at: Micros,
-        /// Chosen by the module.
+        /// Identifies the timer; chosen by the module.
         token: u64,
     },
-    /// A line for the operators.
+    /// Write a line to the log.
     Log(String),
 }
 
-/// What the module knows of one breaker's route, for estimates.
+/// Summary of the state of one route, for estimates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RouteOutlook {
-    /// Calls a second that all senders together may make; 0 where nothing tells.
+    /// Advertised limit in calls per second from all senders together; 0 if there is none.
     pub limit: f64,
-    /// Calls a second that this sender makes at most; without bound until a refusal.
+    /// Maximum calls per second of this sender; infinite until the first refusal.
     pub pace: f64,
-    /// Calls a second that were served while all was well.
+    /// Calls per second that were served while the route was healthy.
     pub served: f64,
-    /// Nothing goes before then.
+    /// Nothing is sent before this time.
     pub shut_until: Micros,
-    /// The share of its capacity to count on, where it may be cold.
+    /// The share of its capacity to count on, if it may be cold.
     pub cold: Option<f64>,
-    /// Mean time of an answer and its mean deviation, microseconds.
+    /// Mean answer time and its mean deviation, in microseconds.
     pub took: Option<(f64, f64)>,
 }
 
 impl RouteOutlook {
-    /// From limit, pace and what was served, calls a second; then as the fields have it.
+    /// Creates a summary from the limit, the pace and the served rate, in calls per second, and the other
+    /// fields.
     pub fn new(
         [limit, pace, served]: [f64; 3],
         shut_until: Micros,
@@ -495,17 +502,17 @@
     }
 }
 
-/// What the module knows of a destination and a tenant, for estimates.
+/// Summary of the state of a destination and of a tenant's traffic, for estimates.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outlook {
-    /// Endpoints that are listed; whoever has the list says so, as with the next one.
+    /// Number of listed endpoints; filled in by the owner of the list, as is the next field.
     pub endpoints: usize,
-    /// Messages that one call carries at most.
+    /// Maximum number of messages in one call.
     pub bundle: usize,
-    /// Messages held for it.
+    /// Number of messages held for the destination.
     pub backlog: usize,
-    /// Messages a second that the tenant handed in here of late.
+    /// Recent rate of messages per second that the tenant submitted to this sender.
     pub tenant_rate: f64,
-    /// Its routes: one, or one for each endpoint where they are apart.
+    /// Routes of the destination: one, or one for each endpoint where each endpoint is a route.
     pub routes: Vec<RouteOutlook>,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
-//! The decisions of a relay: senders that take messages and deliver them to destinations that nobody
-//! here controls. A three-state circuit breaker per destination decides the ordinary path; the module does
-//! no I/O, knows no clock but that of its events, and shares nothing between instances.
+//! Decision module of a message relay: senders accept messages and deliver them to destinations that their
+//! operators do not control. A three-state circuit breaker per destination decides the ordinary path of a
+//! message. The module does no I/O, uses no clock but that of its events, and shares nothing between
+//! instances.
 //!
-//! A sender tells [`policy::Policy::handle`] what happened and carries out the actions it gets back:
+//! A sender passes events to [`policy::Policy::handle`] and carries out the actions that it returns:
 //!
 //! ```
 //! use myrtleyard::interface::*;
@@ -35,7 +36,7 @@
 //!     }
 //! }
 //!
-//! // Later the answer comes. It is terminal: the client has been told by the sender.
+//! // Later the answer comes. It is terminal: the sender has passed it on to the client.
 //! now += 200_000;
 //! let answer = Event::Ended {
 //!     message: MessageId(1), attempt: 0, endpoint, outcome: Outcome::Delivered,
--- a/src/note.rs
+++ b/src/note.rs
@@ -1,21 +1,21 @@
-//! What the senders of a tier tell one another of a destination's limit. A note is a hint: one that is lost, late,
-//! repeated or false moves the time of a call, and nothing else hangs on it.
+//! Notes that the senders of a tier exchange about the limit of a destination. A note is a hint: one that is
+//! lost, late, repeated or wrong changes the time of a call and affects nothing else.
 
 use crate::interface::DestinationId;
 
-/// Added to a topic's byte where the destination's number takes four bytes: senders of earlier versions, which know
-/// numbers of two bytes alone, ignore such a note.
+/// Added to the topic's byte if the destination's number takes four bytes. Senders of earlier versions, which
+/// know only numbers of two bytes, ignore such a note.
 const WIDE: u8 = 0x20;
-/// Units of a limit in a note, per call a second.
+/// Units of the limit in a note, per call per second.
 const LIMIT_UNITS: f64 = 8.0;
 
-/// What a note is about.
+/// Subject of a note.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum Topic {
     /// A call is planned.
     Turn = 0x11,
-    /// The limit is used up.
+    /// The limit is exhausted.
     Full = 0x12,
     /// The limit has changed.
     Limit = 0x13,
@@ -27,20 +27,20 @@
     }
 }
 
-/// A note, as senders exchange it in one datagram.
+/// A note, which is sent in one datagram.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Note {
-    /// What it is about.
+    /// Its subject.
     pub topic: Topic,
-    /// The destination.
+    /// The destination that it is about.
     pub destination: DestinationId,
-    /// Calls a second that the destination takes; 0 unless the topic is [`Topic::Limit`].
+    /// Limit of the destination in calls per second; 0 unless the topic is [`Topic::Limit`].
     pub limit: f64,
 }
 
 impl Note {
-    /// The note's bytes: a byte for the topic, the destination's number in two bytes or, where it needs them, in four,
-    /// and for [`Topic::Limit`] two more; numbers have their low byte first.
+    /// Encodes the note: a byte for the topic, the destination's number in two bytes or, if it needs them, in
+    /// four, and for [`Topic::Limit`] two bytes for the limit. Numbers are little-endian.
     pub fn encode(self) -> Vec<u8> {
         let number = self.destination.0;
         let mut content = match u16::try_from(number) {
@@ -53,7 +53,7 @@
         content
     }
 
-    /// The note in these bytes, if it is one.
+    /// Decodes a note; `None` if the bytes are not exactly one note.
     pub fn decode(content: &[u8]) -> Option<Self> {
         let (first, rest) = content.split_first()?;
         let (topic, number, rest) = match Topic::of(*first) {
--- a/src/note/tests.rs
+++ b/src/note/tests.rs
@@ -30,7 +30,7 @@
         for topic in [Topic::Turn, Topic::Full, Topic::Limit] {
             let whole = note(topic, destination, 1.0).encode();
             for end in 0..whole.len() {
-                assert_eq!(Note::decode(&whole[..end]), None, "{topic:?} cut at {end}");
+                assert_eq!(Note::decode(&whole[..end]), None, "{topic:?} truncated at {end} bytes");
             }
             assert_eq!(Note::decode(&[&whole[..], &[0]].concat()), None);
         }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,5 +1,5 @@
-//! Every decision of a sender. The types, events and actions it works with are in `src/interface.rs`.
-//! A three-state breaker per destination decides the ordinary path of every message. All sends pass
+//! All decisions of a sender. The types, events and actions that it uses are defined in `src/interface.rs`.
+//! A three-state circuit breaker per destination decides the ordinary path of every message. All sends pass
 //! [`Policy::dispatch`] and [`Policy::admit`]; all final answers pass [`Policy::answer`].
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -12,37 +12,41 @@
 
 /// Consecutive errors or failed connections that open a breaker.
 const MAX_FAILURES: u32 = 5;
-/// Consecutive time-outs that do.
+/// Consecutive time-outs that open a breaker.
 const MAX_TIMEOUTS: u32 = 20;
-/// The longest time from the last failure to the trial.
+/// Maximum time from the last failure to the trial call.
 const RESET_TIMEOUT: Micros = 5_000_000;
-/// Calls out far longer than usual, with no answer since, that open a breaker.
+/// Calls without an answer for far longer than usual, and no answer to any other since, that open a breaker.
 const MAX_SILENT: u32 = 2;
-/// Failures in a row, with no success, after which a success is taken for a return from an outage.
+/// Consecutive failures after which the next success counts as the return from an outage.
 const OUTAGE_RUN: u32 = 2;
-/// Part of the load that a cold destination bears which this sender allows itself.
+/// Fraction of its part of a cold destination's capacity that this sender uses.
 const RAMP_MARGIN: f64 = 0.9;
-/// So many senders may each make a call a span at any cold destination and keep idle connections.
+/// All senders together may make this many calls per overload window at any cold destination, however little
+/// it can take; a tier of up to this many senders keeps idle connections for the full time.
 const FEW_SENDERS: usize = 3;
-/// Cut of the pace at a refusal, and its growth in an aim's time an aim after the cut.
+/// Factor applied to the pace at a refusal.
 const PACE_CUT: f64 = 0.85;
+/// Relative growth of the pace per aim, one aim after the last cut.
 const PACE_GROWTH: f64 = 0.3;
-/// A limit that is told so many times higher than at the last refusal has risen.
+/// An advertised limit this many times as high as at the last refusal has risen.
 const TOLD_RISE: f64 = 1.5;
-/// Part of a told limit that the senders together plan to use, and how far ahead of it they may be: reports
-/// are off by some percent, and what is refused uses the limit up as well.
+/// Fraction of an advertised limit that all senders together plan to use: reports are off by some percent,
+/// and refused calls count against the limit as well.
 const LIMIT_MARGIN: f64 = 0.95;
+/// How far ahead of the advertised limit the planned calls may run.
 const LIMIT_AHEAD: Micros = 500_000;
-/// So many senders hear of each turn; among more, one note stands for as many turns more.
+/// A tier of up to this many senders is notified of every planned call; in a larger one, a note stands for
+/// proportionally more calls.
 const NOTE_SENDERS: usize = 32;
-/// A report that is further off from what is known of a limit, up or down, tells of another limit.
+/// A reported limit that differs from the known one by more than this factor, up or down, has changed.
 const LIMIT_CHANGE: f64 = 1.5;
-/// A message that was taken on costs this part of its worth if it is handed back unrun while more than this
-/// part of its time is left.
+/// Handing back an accepted message that never ran costs this fraction of its worth while more than this
+/// fraction of its time is left.
 const EARLY: f64 = 0.3;
-/// What each further message adds to the weight of a call at a cold destination.
+/// Load that each further message adds to a call at a cold destination, as a fraction of one call.
 const BUNDLE_WEIGHT: f64 = 0.25;
-/// From the end of a process until the next one repeats what was out, connection and all.
+/// Time from the end of a process until the next one repeats outstanding attempts, including the connection.
 const RESTART: Micros = 2_000_000;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -53,7 +57,7 @@
     HalfOpen,
 }
 
-/// The three-state breaker: what counts, and when a trial is due.
+/// Three-state circuit breaker: counts failures and time-outs and determines when a trial is due.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 struct Breaker {
@@ -61,7 +65,7 @@
     failures: u32,
     timeouts: u32,
     last_failed: Micros,
-    /// Time from the last failure to the trial: grows with each trial that failed.
+    /// Time from the last failure to the trial; grows with each failed trial.
     reset: Micros,
     trial: Option<u64>,
 }
@@ -71,7 +75,7 @@
         if self.state == State::Open { self.last_failed + self.reset } else { 0 }
     }
 
-    /// Whether a call may go now; an open breaker whose time is up turns half-open.
+    /// Whether a call may be sent now. An open breaker whose reset time is over becomes half-open.
     fn allows(&mut self, now: Micros) -> bool {
         if self.state == State::Open && now >= self.due() {
             self.state = State::HalfOpen;
@@ -79,7 +83,8 @@
         self.state == State::Closed || (self.state == State::HalfOpen && self.trial.is_none())
     }
 
-    /// Five seconds outlast most aims: the first trial comes after half an aim, then twice the time.
+    /// The first trial comes after half an aim, and after twice the time following each failed trial, because
+    /// the five seconds of [`RESET_TIMEOUT`] are longer than most aims.
     fn open(&mut self, now: Micros, aim: Micros) {
         let again = self.state == State::HalfOpen;
         self.reset = if again { self.reset * 2 } else { aim / 2 }.min(RESET_TIMEOUT);
@@ -91,7 +96,7 @@
     fn record(&mut self, call: u64, outcome: Outcome, now: Micros, aim: Micros) {
         let trial = self.trial.take_if(|t| *t == call).is_some();
         match outcome {
-            // A late answer to a call from before the opening proves as much as a trial's.
+            // A late answer to a call sent before the breaker opened proves as much as a trial's.
             Outcome::Delivered => {
                 (self.failures, self.timeouts) = (0, 0);
                 self.state = State::Closed;
@@ -109,74 +114,87 @@
     }
 }
 
-/// Health and pace of what a breaker guards, as this sender saw it.
+/// Health and pace of one route, which has a breaker of its own, as this sender has observed them.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Route {
     breaker: Breaker,
-    /// A wait that was told, or our own pause after a refusal that told none: nothing goes before it ends.
+    /// End of a requested wait (Retry-After), or of this sender's own pause after a refusal without one.
+    /// Nothing is sent before.
     wait_until: Micros,
     /// Refusals as full since the last success.
     fulls: u32,
+    /// When the last one was counted.
     full_at: Micros,
     bad_run: u32,
-    /// This sender's part of what a cold destination bears, where it was told one; else all have the same.
+    /// This sender's part of a cold destination's capacity, if one was given; otherwise all parts are equal.
     part: Option<f64>,
-    /// When a destination back from an outage first answered.
+    /// When the destination first answered after an outage.
     cold_since: Option<Micros>,
-    /// When the outage was first seen.
+    /// When the outage was first seen: the time of sending of its first failed call.
     bad_since: Micros,
-    /// Calls a second of the ramp, calls until our next turn in it, and as of when.
+    /// Calls per second that the ramp after an outage allows.
     ramp: f64,
+    /// Calls until this sender's next turn in the ramp.
     turn: f64,
+    /// When `turn` was last updated.
     turn_at: Micros,
     out: usize,
+    /// Time and load of the recent sends, for the ramp.
     sent: VecDeque<(Micros, f64)>,
-    /// Calls served here while all was well, over the seconds that took, both fading; and when last counted.
+    /// Calls served here while the route was healthy and the seconds that this took, both decaying; and when
+    /// they were last updated.
     served: (f64, f64, Micros),
-    /// Calls a second from all senders that reports or the list tell of; 0 where nothing does.
+    /// Advertised limit in calls per second from all senders, by a load report or the list; 0 if there is
+    /// none.
     told: f64,
-    /// What a report told last, however the list has it since.
+    /// The limit in the last load report, whatever the list has said since.
     reported: f64,
-    /// Until when the limit is used up by the calls that this sender and the others told of, and our turn.
+    /// Until when the limit is used up by the planned calls of this sender and those announced by the others.
     booked: Micros,
+    /// When this sender's planned call may be sent.
     slot: Option<Micros>,
-    /// Pace in calls a second, without bound until a refusal; what it allows now, and as of when.
+    /// Pace in calls per second; infinite until the first refusal.
     pace: f64,
+    /// Calls that the pace allows now.
     credit: f64,
+    /// When `credit` was last updated.
     credit_at: Micros,
-    /// Calls a second served of late, and when that was last counted.
+    /// Recent rate of served calls per second, and when it was last updated.
     granted: (f64, Micros),
-    /// The pace is cut once for the refusals of calls sent before the last cut.
+    /// When the pace was last cut. It is cut once for all refusals of calls sent before a cut.
     cut_at: Micros,
-    /// What was told of the limit then; no limit is higher while there was no cut.
+    /// The advertised limit at that cut; infinite while there was none, so that no limit counts as risen.
     told_at_cut: f64,
+    /// When the pace last grew.
     grown_at: Micros,
-    /// Mean time of an answer and its mean deviation, and when the last one came.
+    /// Mean answer time and its mean deviation.
     usual: Option<(f64, f64)>,
+    /// When the last answer came.
     answered_at: Micros,
+    /// A call was lost and nothing has been delivered since.
     late: bool,
     delivered_at: Micros,
 }
 
-/// A rate of events that fades with `span`, after a further event.
+/// An exponentially decaying rate of events per second, with the time constant `span`, after a further event.
 fn faded(rate: (f64, Micros), now: Micros, span: Micros, event: f64) -> (f64, Micros) {
     let span = span.max(1) as f64;
     let fade = (-(now.saturating_sub(rate.1) as f64) / span).exp();
     (rate.0 * fade + event * 1e6 / span, now)
 }
 
-/// What a message adds to the load of a cold destination, whether it joins a call or begins one.
+/// Load that a message adds to a cold destination, depending on whether it joins a call or starts one.
 fn weight(joins: bool) -> f64 {
     if joins { BUNDLE_WEIGHT } else { 1.0 }
 }
 
-/// The ids that routes of a destination may have.
+/// Range of all ids that routes of a destination can have.
 fn routes_to(destination: DestinationId) -> RangeInclusive<RouteId> {
     (destination, None)..=(destination, Some(EndpointId([u8::MAX; 6])))
 }
 
-/// How many turns a note stands for: a price is paid for each receiver.
+/// Number of planned calls that one note stands for, since each receiver of a note has a price.
 fn turns_a_note(senders: usize) -> usize {
     (senders / NOTE_SENDERS).max(1)
 }
@@ -196,12 +214,13 @@
         }
     }
 
-    /// What was told of a limit in another form is no figure of this one.
+    /// Drops the advertised limits: they were given in another form and do not apply to the current one.
     pub fn forget_limit(&mut self) {
         (self.told, self.reported) = (0.0, 0.0);
     }
 
-    /// Whether nothing of it binds or was learned but fading estimates (see `docs/findings/working-set.md`).
+    /// Whether nothing in it is binding and nothing was learned but decaying estimates (see
+    /// `docs/findings/working-set.md`).
     fn as_new(&self, rules: &Rules, now: Micros) -> bool {
         let quiet = !self.failing() && self.fulls + self.breaker.failures + self.breaker.timeouts == 0;
         let free = self.wait_until.max(self.booked) <= now && self.slot.is_none_or(|at| at <= now);
@@ -214,30 +233,33 @@
         self.bad_run > 0 || self.late || self.breaker.state != State::Closed
     }
 
-    /// Whether what was seen since the last success looks like an outage. A shut destination shows as
-    /// full without any success for longer than a limit's span; its return is as cold as any.
+    /// Whether the failures since the last success look like an outage. A destination that has shut down
+    /// refuses as full, without any success, for longer than the window of a limit; it returns as cold as any
+    /// other.
     fn down(&self, rules: &Rules, now: Micros) -> bool {
         self.bad_run >= self.outage_run(rules, now)
             || self.breaker.state != State::Closed
             || (self.fulls >= MAX_FAILURES && now >= self.bad_since + rules.overload_for)
     }
 
-    /// Failures in a row that look like an outage. Where it is cold already, one is enough: at half-failing
-    /// destinations successes come between, and the warm-up counts from the end of the outage.
+    /// Number of consecutive failures that look like an outage. At a destination that is still cold, one is
+    /// enough: a half-failing destination has successes in between, and the warm-up counts from the end of
+    /// the outage.
     fn outage_run(&self, rules: &Rules, now: Micros) -> u32 {
         let cold = self.cold_since.is_some_and(|since| now < since + rules.warm_within);
         if cold { 1 } else { OUTAGE_RUN }
     }
 
-    /// A sender that sends little sees no run: one failure, or two refusals, with nothing delivered for an
-    /// overload's span hold it back until the next success. A single refusal is most often a limit's, and the
-    /// next call, one at a time after a pause, tells: a shut destination refuses that as well.
+    /// A sender that sends little never sees several failures in a row: one failure, or two refusals, with
+    /// nothing delivered for an overload window hold it back until the next success. A single refusal is most
+    /// often caused by a limit, and the next call, sent alone after a pause, shows whether it was: a
+    /// destination that has shut down refuses that one as well.
     fn suspect(&self, rules: &Rules, now: Micros) -> bool {
         self.bad_run + self.fulls / 2 > 0 && now >= self.delivered_at + rules.overload_for
     }
 
-    /// Guards against pushing over a returning destination: the share of its capacity to count on,
-    /// if it may be cold. It may have come back unseen while we still count failures.
+    /// Protects a returning destination from overload: the share of its capacity to count on, if it may be
+    /// cold. It may have returned unnoticed while this sender still counts failures.
     fn cold_share(&self, rules: &Rules, now: Micros) -> Option<f64> {
         if self.down(rules, now) || self.suspect(rules, now) {
             return Some(rules.cold_share);
@@ -246,15 +268,15 @@
         (warm < 1.0).then_some(rules.cold_share + (1.0 - rules.cold_share) * warm)
     }
 
-    /// Calls a second that were served here while all was well.
+    /// Calls per second that were served here while the route was healthy.
     fn usual_rate(&self, rules: &Rules) -> f64 {
         self.served.0 / (self.served.1 + rules.overload_for as f64 / 1e6)
     }
 
-    /// Whether the ramp after an outage leaves room for a further message, with so many messages held.
-    /// Guards against many senders of little each: what all hold came since the outage began, so a message's
-    /// part of the traffic is one over the time since. Less than a call a span goes at random times at that
-    /// rate. It hurts where few senders have anything to send.
+    /// Whether the ramp after an outage allows a further message, with `held` messages waiting for the
+    /// destination. Protects against many senders that send little each: all held messages came since the
+    /// outage began, so one message stands for a rate of one over the time since. A rate below one call per
+    /// overload window is sent at random times. This delays messages where few senders have anything to send.
     fn ramp_allows(&mut self, settings: &Settings, now: Micros, joins: bool, held: f64, luck: f64) -> bool {
         let rules = &settings.rules;
         while self.sent.front().is_some_and(|s| s.0 + rules.overload_for <= now) {
@@ -285,20 +307,21 @@
         self.turn <= 0.0
     }
 
-    /// After how long without an answer a call here is silent.
+    /// Time without an answer after which a call here counts as silent.
     fn patience(&self, aim: Micros) -> Micros {
         self.usual.map_or(aim / 2, |(mean, dev)| ((mean + 5.0 * dev) as Micros).clamp(aim / 16, aim))
     }
 
-    /// Guards against a destination that takes calls and answers none, whatever the cause, long before
-    /// time-outs tell: a call out past our patience, sent since it last answered. A slow one answers.
+    /// Detects a destination that accepts calls and answers none, whatever the cause, long before time-outs
+    /// would: the call was sent since the last answer and has waited for too long. A slow destination
+    /// answers.
     fn silent(&self, sent: Micros, aim: Micros, now: Micros) -> bool {
         sent >= self.answered_at && sent + self.patience(aim) <= now
     }
 
-    /// When to stop waiting for an answer that connection or endpoint may have swallowed: a call holds a slot
-    /// until then. Where a repeat does no harm it is well before the aim, and later with each attempt, so
-    /// that one that is slow gets through. After an outage answers take their time.
+    /// How long to wait for an answer that the connection or the endpoint may have lost; the call holds a
+    /// slot until then. Where a repeat is harmless this is well below the aim, and grows with each attempt,
+    /// so that a slow answer gets through. After an outage answers take longer, and the aim applies.
     fn time_out(&self, rules: &Rules, effect: Effect, tried: usize, aim: Micros, now: Micros) -> Micros {
         let unsure = self.usual.is_none() || self.failing() || self.cold_share(rules, now).is_some();
         if effect == Effect::Once || unsure {
@@ -313,8 +336,9 @@
         self.usual = Some((mean + (took - mean) / 8.0, dev + ((took - mean).abs() - dev) / 8.0));
     }
 
-    /// Learns the pace of a destination that refuses: what it granted of late, or our part of what it
-    /// is told to take, then less with each refusal. Senders that cannot be seen use the same limit.
+    /// Learns the pace of a destination that refuses: the rate it served recently, or this sender's part of
+    /// the advertised limit, and less with each refusal. Other senders, which this one cannot see, use the
+    /// same limit.
     fn slow_down(&mut self, settings: &Settings, now: Micros, aim: Micros) {
         self.refill(now);
         self.credit = self.credit.min(0.0);
@@ -327,16 +351,17 @@
         self.pace = (self.pace.min(granted) * PACE_CUT).max(2e6 / aim.max(1) as f64);
     }
 
-    /// Calls a second that all senders together may make, as far as is told.
+    /// Calls per second that all senders together may make, as far as it is known; 0 if it is not.
     fn limit(&self) -> f64 {
         if self.reported > 0.0 { self.reported } else { self.told }
     }
 
-    /// Another call is planned at a destination with a told limit; when it may go.
+    /// Plans another call at a destination with an advertised limit; returns when it may be sent.
     fn book(&mut self, now: Micros, senders: usize) -> Micros {
         let gap = 1e6 / (self.limit() * LIMIT_MARGIN);
         let at = now.max(self.booked.saturating_sub(LIMIT_AHEAD));
-        // No sender has more than one call planned: whatever notes say, our turn comes within a round of all.
+        // No sender has more than one call planned, so whatever the notes say, this sender's turn comes
+        // within one round of all senders.
         let round = (gap * senders as f64) as Micros;
         self.booked = (self.booked.max(now) + gap as Micros).min(now + LIMIT_AHEAD + round);
         at
@@ -356,7 +381,7 @@
         }
         match outcome {
             Outcome::Delivered => {
-                // A breaker that silence opened for less than an overload's span was no outage.
+                // A breaker that was opened by silence for less than an overload window was no outage.
                 let brief = self.bad_run < self.outage_run(&settings.rules, now)
                     && now < self.delivered_at + settings.rules.overload_for;
                 if self.down(&settings.rules, now) && !brief {
@@ -372,16 +397,16 @@
                 self.late = false;
                 self.granted = faded(self.granted, now, aim, 1.0);
                 let step = now.saturating_sub(self.grown_at.max(self.cut_at)) as f64 / aim.max(1) as f64;
-                // Beyond our part of a limit that is told, little is to be gained.
+                // Beyond this sender's part of an advertised limit there is little to gain.
                 let known = self.told > 0.0 && self.pace > self.told / settings.senders as f64;
-                // The longer without a refusal, the faster the pace grows.
+                // The pace grows faster the longer there has been no refusal.
                 let calm = now.saturating_sub(self.cut_at) as f64 / aim.max(1) as f64;
                 let calm = calm.min(if known { 0.5 } else { 4.0 });
                 self.pace *= 1.0 + PACE_GROWTH * calm * step.min(1.0);
                 self.grown_at = now;
                 (self.bad_run, self.fulls) = (0, 0);
             }
-            // Refusals of calls that were out together count once.
+            // Refusals of calls that were outstanding together count once.
             Outcome::Full(wait) if sent > self.full_at => {
                 self.full_at = now;
                 self.slow_down(settings, now, aim);
@@ -389,12 +414,13 @@
                 self.wait_until = self.wait_until.max(if wait.is_none() { pause } else { 0 });
                 self.fulls += 1;
             }
-            // Where answers came since it was sent, the call was lost, not the destination: guards against
-            // taking a lossy path, or one call that hangs, for an outage.
+            // Answers have come since the call was sent, so that the call was lost and not the destination: a
+            // lossy path, or a single call that hangs, must not be taken for an outage.
             Outcome::TimedOut if sent < self.answered_at => {
                 self.breaker.record(call, Outcome::Cancelled, now, aim);
                 self.late = true;
-                // It took so long at least: time-outs alone must not keep what is usual from growing.
+                // The answer would have taken at least this long: without these samples, time-outs would keep
+                // the mean answer time from growing.
                 self.note_took(now - sent);
                 return;
             }
@@ -413,12 +439,13 @@
     ready: bool,
     out: usize,
     bad_run: u32,
-    /// When the last call was sent, and how long after the one before.
+    /// When the last call was sent.
     sent_at: Micros,
+    /// Time between the last call and the one before it.
     gap: Micros,
 }
 
-/// A message that this sender owes a final answer.
+/// A message that this sender has accepted and not yet given a final answer to.
 #[derive(Serialize, Deserialize)]
 struct Held {
     message: Message,
@@ -426,31 +453,33 @@
     aim: Micros,
     attempts: u32,
     out: u32,
-    /// Attempts that may have run or are out: number, time of sending, endpoint.
+    /// Attempts that may have run or are outstanding: number, time of sending, endpoint.
     may_have_run: Vec<(u16, Micros, EndpointId)>,
 }
 
-/// A call holds a slot until all its messages have their outcomes.
+/// A call in progress. It holds a slot until all its messages have their outcomes.
 #[derive(Serialize, Deserialize)]
 struct Call {
     route: RouteId,
     endpoint: EndpointId,
     sent: Micros,
+    /// Messages without an outcome.
     messages: usize,
+    /// Its outcome has been recorded.
     judged: bool,
 }
 
-/// Messages of one ordered key, in the order of acceptance.
+/// Messages of one ordered key, in the order in which they were accepted.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 struct Line {
     waiting: VecDeque<MessageId>,
     out: BTreeSet<(MessageId, u16)>,
-    /// The key rests until then after an unclear end of this message's attempt.
+    /// The key is paused until then for all messages but this one, an attempt of which ended unclearly.
     rest: (Micros, Option<MessageId>),
 }
 
-/// The decisions of one sender.
+/// The decision module of one sender.
 #[derive(Default, Serialize, Deserialize)]
 pub struct Policy {
     settings: Settings,
@@ -458,37 +487,38 @@
     rng: fastrand::Rng,
     now: Micros,
     endpoints: BTreeMap<EndpointId, Endpoint>,
-    /// Endpoints by destination, so that no tick looks at those that nothing is held for.
+    /// Endpoints by destination, so that a batch does not visit those that no message is held for.
     cells: BTreeMap<DestinationId, BTreeSet<EndpointId>>,
     routes: BTreeMap<RouteId, Route>,
     held: BTreeMap<MessageId, Held>,
-    /// Attempts without an outcome, which may outlive their messages: their calls and ordered keys.
+    /// Call and ordered key of each attempt without an outcome. An attempt may outlive its message.
     flights: BTreeMap<(MessageId, u16), (u64, Option<u64>)>,
     calls: BTreeMap<u64, Call>,
     next_call: u64,
     lines: BTreeMap<u64, Line>,
-    /// When to ask for the list (again).
+    /// When to request the list of endpoints (again).
     ask_at: Option<Micros>,
-    /// Times in a row that asking failed.
+    /// Consecutive failed requests for the list.
     #[serde(default)]
     asks_failed: u32,
+    /// When the pending timer goes off.
     reminder: Option<Micros>,
-    /// Connections that are used no more often than this are closed after use.
+    /// Connections that are used less often than once in this time are closed after use.
     keep: Micros,
-    /// To be told to the other senders at the end of the tick.
+    /// Notes to the other senders, sent at the end of the batch.
     #[serde(skip)]
     news: BTreeSet<(Topic, DestinationId)>,
-    /// When this process ends, once that is known.
+    /// When this process will end, once that is known.
     stop_at: Option<Micros>,
-    /// Out of service: when all that is held must have ended, if a time was given.
+    /// While out of service: when all held messages must have ended, if a time was given.
     #[serde(default)]
     drain_by: Option<Micros>,
-    /// Messages a second that each tenant handed in here of late, and when that was last counted.
+    /// Recent rate of messages per second from each tenant at this sender, and when it was last updated.
     tenants: Vec<(f64, Micros)>,
 }
 
 impl Policy {
-    /// A sender that knows nothing but its settings.
+    /// Creates the module of a sender that knows nothing but its settings.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let turn = rng.u64(0..=settings.ask_round());
@@ -503,20 +533,21 @@
         }
     }
 
-    /// What an earlier process of this sender decided by goes on in this one, with nothing known of its end.
+    /// Continues with the state of an earlier process of this sender; when this process will end is not
+    /// known.
     pub fn taken_over(self, seed: u64) -> Self {
         let ask_at = self.settings.must_ask.then_some(self.now);
         Self { rng: fastrand::Rng::with_seed(seed), stop_at: None, drain_by: None, ask_at, ..self }
     }
 
-    /// Attempts without an outcome, and where they went.
+    /// Attempts without an outcome, and the endpoint of each.
     pub fn out(&self) -> impl Iterator<Item = (MessageId, u16, EndpointId)> + '_ {
         self.flights.iter().filter_map(|((message, attempt), (call, _))| {
             Some((*message, *attempt, self.calls.get(call)?.endpoint))
         })
     }
 
-    /// Folds in all events of the tick, then decides once.
+    /// Applies all events of the batch, then decides once.
     pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
         for event in events {
@@ -542,7 +573,7 @@
                 }
                 Event::Changes(entries) => self.list(entries),
                 Event::ListFailed if self.settings.must_ask => {
-                    // Asked again well inside the interval after which we would be deemed told.
+                    // Asks again well within the interval after which this sender would be deemed informed.
                     let every = self.settings.rules.ask_every.unwrap_or(RESET_TIMEOUT);
                     let pause = (self.settings.ask_round() << self.asks_failed.min(6)).min(every / 2);
                     self.asks_failed += 1;
@@ -550,8 +581,8 @@
                 }
                 Event::Probed { endpoint, report, .. } => self.note_report(*endpoint, report),
                 Event::Settings(settings) => self.adopt(settings),
-                // What is held goes on, and what still comes on open connections is taken: it would only come
-                // to another sender later. It ends by the drain's time, if that has one.
+                // Held messages continue, and messages that still come on open connections are accepted:
+                // another sender would only get them later. They end by the drain's deadline, if it has one.
                 Event::Service { wanted, until } => self.drain_by = until.filter(|_| !wanted),
                 Event::Note { content, .. } => self.note(content),
                 Event::Cold { destination, ago, part } => self.cold(*destination, *ago, *part),
@@ -583,12 +614,12 @@
         }
     }
 
-    /// Messages that are owed a final answer.
+    /// Number of messages without a final answer.
     pub fn held(&self) -> usize {
         self.held.len()
     }
 
-    /// What is known of a destination and a tenant, for estimates; nothing is decided by it.
+    /// Summary of the state of a destination and a tenant, for estimates; no decision depends on it.
     pub fn outlook(&self, to: DestinationId, tenant: usize) -> Outlook {
         let (rules, aim, now) = (&self.settings.rules, self.settings.shortest_aim(), self.now);
         let routes = self.routes.range(routes_to(to)).map(|(_, r)| {
@@ -600,25 +631,25 @@
         Outlook { backlog, tenant_rate: rate, routes: routes.collect(), ..Outlook::default() }
     }
 
-    /// Listed endpoints that a breaker keeps messages from.
+    /// Number of listed endpoints that a breaker keeps messages from.
     pub fn avoided(&self) -> usize {
         let shut = |id: &RouteId| self.routes.get(id).is_some_and(|r| r.breaker.state != State::Closed);
         let routes = self.endpoints.iter().filter(|(_, e)| e.ready).filter_map(|(id, _)| self.route_of(*id));
         routes.filter(shut).count()
     }
 
-    /// Whether a message that is held goes by the class at this position.
+    /// Whether a held message has the class at this position.
     pub fn holds_class(&self, class: usize) -> bool {
         self.held.values().any(|held| held.message.class == class)
     }
 
-    /// The position of the class that a message goes by, if it is held.
+    /// The position of a message's class, if the message is held.
     pub fn class_of(&self, message: MessageId) -> Option<usize> {
         Some(self.held.get(&message)?.message.class)
     }
 
-    /// Forgets a destination and what it learned of it, but for the routes that are not as good as new, which
-    /// [`Self::enter`] takes back. Refuses while a message for it is held or a call to it has no end.
+    /// Evicts a destination and what was learned of it. Returns the routes that are not as good as new, for
+    /// [`Self::enter`] to restore; none while a message for it is held or a call to it is outstanding.
     pub fn evict(&mut self, destination: DestinationId, now: Micros) -> Option<Vec<(RouteId, Route)>> {
         let held = self.held.values().any(|held| held.message.destination == destination);
         if held || self.calls.values().any(|call| call.route.0 == destination) {
@@ -631,8 +662,9 @@
         Some(routes.into_iter().filter(|(_, route)| !route.as_new(rules, now)).collect())
     }
 
-    /// A destination is about to be listed with these routes. What was not kept is taken for known, and idle
-    /// since ever. Where routes have come together or apart, a told wait binds all that it may be about.
+    /// Loads a destination that is about to be listed with these routes. A route that was not kept counts as
+    /// known and idle since the beginning of time. Where routes were merged or split in the meantime, a
+    /// requested wait binds all routes that it may apply to.
     pub fn enter(&mut self, routes: impl IntoIterator<Item = RouteId>, mut kept: BTreeMap<RouteId, Route>) {
         let waits: Vec<(RouteId, Micros)> = kept.iter().map(|(id, route)| (*id, route.wait_until)).collect();
         for id in routes {
@@ -643,10 +675,10 @@
         }
     }
 
-    /// What is held keeps its aim, deadline, class and tenant; all that comes next goes by the new settings,
-    /// attempts allowed among them: a message that has had more is answered.
+    /// Held messages keep their aim, deadline, class and tenant; everything else follows the new settings.
+    /// This includes the limit on attempts: a message that has had more is answered.
     fn adopt(&mut self, settings: &Settings) {
-        // Who sent how much goes by the tenant's name, wherever its place is now.
+        // The rates follow the tenants' names, since their positions may have changed.
         let places = settings.tenants_after(&self.settings);
         let rates = std::mem::replace(&mut self.tenants, vec![(0.0, self.now); settings.tenants.len()]);
         for (rate, place) in rates.into_iter().zip(&places) {
@@ -666,13 +698,13 @@
         self.settings = settings.clone();
     }
 
-    /// A message that outlived the process that took it: what may have run then still binds.
+    /// Takes up a message that an earlier process had accepted; its attempts that may have run still count.
     fn resume(&mut self, message: &Message, attempts: u32, may_have_run: &[(Micros, EndpointId)]) {
         self.hold(message);
         let Some(held) = self.held.get_mut(&message.id) else { return };
         held.attempts = attempts;
-        held.message.time_left += 1; // It was taken on before this turn.
-        // No attempt of this process has such a number, so that the end of none takes one of these away.
+        held.message.time_left += 1; // It was accepted before this batch.
+        // No attempt of this process has this number, so that none of their outcomes removes one of these.
         let earlier = may_have_run.iter().map(|a| (u16::MAX, self.now.saturating_sub(a.0), a.1));
         held.may_have_run.extend(earlier);
     }
@@ -713,7 +745,8 @@
             self.cells.entry(endpoint.destination).or_default().insert(entry.endpoint);
             let id = (entry.destination, kind.routes_apart.then_some(entry.endpoint));
             let route = self.routes.entry(id).or_insert_with(|| Route::new(self.now));
-            // A kind may be one route or several from now on: a wait that was told binds either way.
+            // The kind may have changed between one route and a route per endpoint: a requested wait binds
+            // either way.
             route.wait_until = route.wait_until.max(wait_until);
             route.told = match self.settings.weights {
                 Weights::None => route.told,
@@ -723,7 +756,7 @@
         }
     }
 
-    /// What a wait that this endpoint tells is about.
+    /// The route of an endpoint, to which a wait requested by the endpoint applies.
     pub fn route_of(&self, endpoint: EndpointId) -> Option<RouteId> {
         let e = self.endpoints.get(&endpoint)?;
         Some((e.destination, e.kind.routes_apart.then_some(endpoint)))
@@ -737,7 +770,7 @@
         let (known, limit) = (std::mem::replace(&mut route.reported, route.told), route.told);
         let changed = limit > known * LIMIT_CHANGE || limit * LIMIT_CHANGE < known;
         self.news.extend((changed && known > 0.0).then_some((Topic::Limit, id.0)));
-        // What was learnt of a limit does not hold once that has risen, by more than reports are off.
+        // A pace learned below a limit does not hold once the limit has risen by more than reports are off.
         if route.told > route.told_at_cut * TOLD_RISE {
             route.refill(self.now);
             route.pace = route.pace.max(route.told / self.settings.senders as f64 * PACE_CUT);
@@ -745,7 +778,7 @@
         }
     }
 
-    /// Takes up a note from another sender, a hint that costs a wait of at most a round if it is wrong.
+    /// Applies a note from another sender. A wrong note costs a wait of at most one round of all senders.
     fn note(&mut self, content: &[u8]) {
         let Some(Note { topic, destination, limit }) = Note::decode(content) else { return };
         let (now, senders) = (self.now, self.settings.senders);
@@ -753,13 +786,13 @@
         let Some(route) = route.filter(|r| r.limit() > 0.0) else { return };
         match topic {
             Topic::Turn => (0..turns_a_note(senders)).for_each(|_| _ = route.book(now, senders)),
-            // The limit is used up, with nothing ahead.
+            // The limit is used up, including the calls that may run ahead of it.
             Topic::Full => route.booked = route.booked.max(now + LIMIT_AHEAD),
             Topic::Limit => route.reported = if limit > 0.0 { limit } else { route.reported },
         }
     }
 
-    /// It is cold as of then, unless it is known to have come back later.
+    /// Marks a destination as cold since it returned, unless it is known to have returned later.
     fn cold(&mut self, destination: DestinationId, ago: Micros, part: f64) {
         let since = Some(self.now.saturating_sub(ago));
         for (_, route) in self.routes.range_mut(routes_to(destination)) {
@@ -771,15 +804,15 @@
         let Some(flight) = self.flights.remove(&(id, attempt)) else { return };
         let now = self.now;
         if let Some(call) = self.calls.get_mut(&flight.0) {
-            // The messages of a call share one fate, which counts once.
-            // What was not sent tells nothing of it, unless that is all there is to tell.
+            // The messages of a call share one outcome, which counts once. A message that was not sent says
+            // nothing about the call, unless none of its messages was.
             call.messages -= 1;
             let done = call.messages == 0;
             let first = !call.judged && (done || !matches!(outcome, Outcome::Moot { .. }));
             call.judged |= first;
             if let Some(route) = self.routes.get_mut(&call.route) {
                 route.out -= usize::from(done);
-                // Each message of a call may be told a wait of its own.
+                // Each message of a call may come with a requested wait of its own.
                 if let Outcome::Full(Some(wait)) = outcome {
                     route.wait_until = route.wait_until.max(now + wait);
                 }
@@ -823,7 +856,7 @@
         }
     }
 
-    /// The message is over; attempts that are out keep their slots until their outcomes come.
+    /// Drops a message that has ended; its outstanding attempts keep their slots until their outcomes come.
     fn forget(&mut self, id: MessageId) {
         let Some(held) = self.held.remove(&id) else { return };
         if let Some(line) = held.message.key.and_then(|key| self.lines.get_mut(&key)) {
@@ -831,29 +864,29 @@
         }
     }
 
-    /// When a held message must be answered at the latest: two ticks before its time is up, or the drain's.
+    /// When a held message must be answered at the latest: two periods before its deadline, or the drain's.
     fn last_call(&self, held: &Held) -> Micros {
         let until = self.drain_by.unwrap_or(Micros::MAX).min(held.deadline);
         until.saturating_sub(2 * self.settings.period)
     }
 
-    /// In a drain with a time: the last moment at which a call for the message could still be answered.
+    /// In a drain with a deadline: the last time at which a call for the message could still be answered.
     fn last_start(&self, held: &Held) -> Micros {
         let aim = self.settings.classes[held.message.class].aim;
         let patience = self.usable(held).map(|route| route.patience(aim)).min().unwrap_or(0);
         self.last_call(held).saturating_sub(patience)
     }
 
-    /// Guards the rule on effects: whether a further attempt at this endpoint can do no harm.
+    /// Enforces the rule on effects: whether a further attempt at this endpoint is harmless.
     fn repeat_allowed(&self, held: &Held, endpoint: EndpointId) -> bool {
         let Some(first) = held.may_have_run.iter().min_by_key(|a| a.1) else { return true };
         match self.settings.classes[held.message.class].effect {
             Effect::Repeatable => true,
             Effect::Once => false,
             Effect::Keyed { group, window } => {
-                // The repeat must get there while the key is remembered.
+                // The repeat must arrive while the key is remembered.
                 let margin = self.settings.repeat_margin(window);
-                // Two zones that the settings do not name may be different ones.
+                // Two endpoints in zones that the settings do not name may be in different ones.
                 let zone = |e: EndpointId| self.endpoints.get(&e).map_or(u16::MAX, |e| e.zone);
                 self.now + margin < first.1 + window
                     && held.may_have_run.iter().all(|a| match group {
@@ -865,7 +898,7 @@
         }
     }
 
-    /// The one place for final answers that this sender gives: refused where that is harmless, else failed.
+    /// The only place that decides on a final answer: refused where that is harmless, failed otherwise.
     fn answer(&mut self, id: MessageId, retry_after: Micros, actions: &mut Vec<Action>) {
         let Some(held) = self.held.get(&id) else { return };
         let repeatable = self.settings.classes[held.message.class].effect == Effect::Repeatable;
@@ -877,34 +910,35 @@
         self.forget(id);
     }
 
-    /// Answers what cannot be delivered any more.
+    /// Answers messages that can no longer be delivered.
     fn settle(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let mut over = Vec::new();
         for (id, held) in &self.held {
             if now >= self.last_call(held) {
-                // Whoever a drain cuts short can go to another sender there and then.
+                // A client whose message a drain cuts short can go to another sender at once.
                 over.push((*id, self.drain_by.map_or(0, |_| self.settings.period)));
             } else if held.out == 0 {
                 let stuck = match self.settings.classes[held.message.class].effect {
                     Effect::Once => !held.may_have_run.is_empty(),
                     Effect::Keyed { .. } if !held.may_have_run.is_empty() => {
-                        // What a restart does not know yet may still come to be listed.
+                        // An endpoint that is not known yet after a restart may still be listed.
                         let unlisted = held.may_have_run.iter().map(|a| a.2);
                         let unlisted = unlisted.filter(|e| !self.endpoints.contains_key(e));
                         !self.cell(held).map(|e| e.0).chain(unlisted).any(|e| self.repeat_allowed(held, e))
                     }
                     _ => false,
                 };
-                // Held for the trial, unless the deadline comes first. A drain with a time keeps nothing that
-                // can't be called, and answered, within it: no endpoint, a told wait, too little time.
+                // Held until the trial, unless the deadline comes first. A drain with a deadline keeps no
+                // message that can't be sent and answered before it: no endpoint, a requested wait, too
+                // little time.
                 let (last, until) = match self.drain_by {
                     Some(_) => (self.last_start(held), Micros::MAX),
                     None => (self.last_call(held), 0),
                 };
                 let due = |r: &Route| r.breaker.due().max(r.wait_until.min(until));
                 let trial = self.usable(held).map(due).min().unwrap_or(until);
-                // What was never called is not handed back early for a breaker's sake.
+                // A message that was never sent is not handed back early because of a breaker.
                 let called = self.drain_by.is_some() || held.attempts > 0;
                 let late = trial.max(until.min(now)) > last && (called || self.early_price(held) == 0.0);
                 if stuck || held.attempts >= self.settings.try_limit || late {
@@ -916,8 +950,8 @@
         over.into_iter().for_each(|(id, retry_after)| self.answer(id, retry_after, actions));
     }
 
-    /// Part of the worth that is left to a tenant's message when it may be beyond the tenant's share, as
-    /// far as one sender can tell.
+    /// Fraction of its worth that a tenant's message keeps when it may be beyond the tenant's share, as far
+    /// as one sender can tell.
     fn within_share(&self, tenant: usize) -> f64 {
         let (Some(rate), Some(t)) = (self.tenants.get(tenant), self.settings.tenants.get(tenant)) else {
             return 1.0;
@@ -925,13 +959,14 @@
         let senders = self.settings.senders as f64;
         let sent: f64 = self.tenants.iter().map(|rate| rate.0 * senders).sum();
         let quota: f64 = self.settings.tenants.iter().map(|t| t.quota).sum();
-        // A busier sender than others hears more of every tenant: only the mix tells who is beyond its share.
+        // A sender that is busier than others gets more from every tenant: only the proportions between the
+        // tenants show which of them is beyond its share.
         let total = rate.0 * senders / (sent / quota.max(1e-9)).max(1.0);
         let within = if total > t.quota { t.quota / total } else { 1.0 };
         within + (1.0 - within) * self.settings.over_share_worth
     }
 
-    /// What a message is worth if it is delivered at that time.
+    /// Worth of a message that is delivered at that time.
     fn worth_at(&self, held: &Held, at: Micros) -> f64 {
         let class = &self.settings.classes[held.message.class];
         let late = at.saturating_sub(held.aim) as f64;
@@ -944,8 +979,9 @@
         class.worth * left * self.within_share(held.message.tenant)
     }
 
-    /// Guards the buffer: where it fills with what a few destinations cannot take, messages for the others
-    /// would be turned away at the door. Refuses those of least worth at the time they can expect to go.
+    /// Protects the buffer from filling with messages that a few destinations cannot take, when messages for
+    /// the others would be refused on arrival. Refuses the messages of least worth at the time at which they
+    /// can expect to be sent.
     fn shed(&mut self, actions: &mut Vec<Action>) {
         let room = (self.settings.max_open / 16).max(1);
         let excess = (self.held.len() + room).saturating_sub(self.settings.max_open);
@@ -957,7 +993,7 @@
         let mut least = Vec::new();
         for (id, held) in self.held.iter().filter(|(_, h)| h.out == 0 && h.may_have_run.is_empty()) {
             let backlog = queued.get(&held.message.destination).copied().unwrap_or(0.0);
-            // An outage is taken to last as long again as it has; a backlog to go at the pace of late.
+            // An outage is assumed to last as long again as it has, and a backlog to go at the recent rate.
             let wait = self.usable(held).map(|r| {
                 let down = if r.down(&self.settings.rules, now) { now - r.answered_at.min(now) } else { 0 };
                 down + (backlog / r.granted.0.max(r.usual_rate(&self.settings.rules)).max(0.1) * 1e6)
@@ -971,8 +1007,9 @@
         least.into_iter().take(excess).for_each(|(_, _, id, wait)| self.answer(id, wait, actions));
     }
 
-    /// What handing it back now would cost beside its worth. What comes in this very turn is not taken on
-    /// yet, and what was told to wait beyond its early time, or has no try left, has its reason.
+    /// Cost of handing a message back now, in addition to its worth. It is 0 for a message of this very
+    /// batch, which is not accepted yet, and where there is a reason: a requested wait lasts beyond the time
+    /// in which handing back counts as early, or no attempt is left.
     fn early_price(&self, held: &Held) -> f64 {
         let time = held.message.time_left;
         let until = held.deadline - (time as f64 * EARLY) as Micros;
@@ -983,7 +1020,7 @@
         if reason { 0.0 } else { EARLY * worth }
     }
 
-    /// Messages held for each destination.
+    /// Number of waiting messages for each destination.
     fn backlog(&self) -> BTreeMap<DestinationId, f64> {
         let mut backlog = BTreeMap::new();
         for held in self.held.values().filter(|held| held.out == 0) {
@@ -992,7 +1029,7 @@
         backlog
     }
 
-    /// The routes of the endpoints that are listed for the message's destination.
+    /// Routes of the ready endpoints of the message's destination.
     fn usable<'a>(&'a self, held: &'a Held) -> impl Iterator<Item = &'a Route> + 'a {
         self.cell(held).filter(|(_, e)| e.ready).filter_map(|(id, _)| self.routes.get(&self.route_of(id)?))
     }
@@ -1003,14 +1040,14 @@
         ids.filter_map(|id| Some((*id, self.endpoints.get(id)?)))
     }
 
-    /// The one path of every send.
+    /// The only path of every send.
     fn dispatch(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let yields = |held: &Held| now > held.aim || self.within_share(held.message.tenant) < 0.5;
         let waiting = self.held.iter().filter(|(_, held)| held.out == 0);
         let mut queue: Vec<_> = waiting.map(|(id, held)| (yields(held), held.aim, *id)).collect();
         queue.sort_unstable();
-        // Calls begun in this tick: later messages to the same endpoint travel along.
+        // Calls begun in this batch, which later messages to the same endpoint join.
         let mut begun: BTreeMap<EndpointId, (u64, usize)> = BTreeMap::new();
         let backlog = self.backlog();
         for (_, _, id) in queue {
@@ -1028,12 +1065,12 @@
                 .collect();
             choices.iter_mut().for_each(|choice| choice.3 = choice.3 * 256 + self.rng.usize(0..256));
             choices.sort_unstable();
-            // The first that agrees takes it.
+            // The message goes to the first endpoint that admits it.
             choices.into_iter().any(|choice| self.admit(id, choice.4, waiting, &mut begun, actions));
         }
     }
 
-    /// Every guard on a send, each in this one spot; sends if all agree.
+    /// Checks all conditions of a send, each in this one place; sends if all are met.
     fn admit(
         &mut self,
         id: MessageId,
@@ -1047,15 +1084,15 @@
             return false;
         };
         let class = &self.settings.classes[held.message.class];
-        // No message lost, nothing after its end; drains kept; never two attempts at once.
+        // No message is lost or sent after its end; drains are observed; no message has two attempts at once.
         let last_call = self.last_call(held);
         let over = now >= last_call || held.attempts >= self.settings.try_limit || held.out > 0;
         let elsewhere = !endpoint.ready || endpoint.destination != held.message.destination;
-        // No effect twice.
+        // No effect takes place twice.
         if over || elsewhere || !self.repeat_allowed(held, endpoint_id) {
             return false;
         }
-        // Order kept.
+        // Messages of an ordered key go in order.
         let key = held.message.key.filter(|_| class.in_order);
         if let Some(line) = key.and_then(|key| self.lines.get(&key)) {
             let resting = now < line.rest.0 && line.rest.1 != Some(id);
@@ -1065,7 +1102,8 @@
         }
         let route_id = (endpoint.destination, endpoint.kind.routes_apart.then_some(endpoint_id));
         let Some(route) = self.routes.get_mut(&route_id) else { return false };
-        // Nothing may be out at the end that the next process must not repeat, unless it may have run.
+        // When this process ends, no attempt may be outstanding that the next process must not repeat, unless
+        // the message may have run already.
         let binds = |end: &Micros| match class.effect {
             Effect::Repeatable => false,
             Effect::Once => true,
@@ -1078,7 +1116,8 @@
         }
         let joined = begun.get(&endpoint_id).copied().filter(|b| b.1 < endpoint.kind.bundle);
         route.refill(now);
-        // Waits heeded; our own pauses, and one call at a time until a refusing destination accepts.
+        // Requested waits and this sender's own pauses are observed; a destination that has refused gets one
+        // call at a time until it accepts one.
         let waits = now < route.wait_until || (route.fulls > 0 && route.out > 0);
         if waits || (joined.is_none() && route.credit < 1.0) {
             return false;
@@ -1087,22 +1126,22 @@
         if !route.ramp_allows(&self.settings, now, joined.is_some(), backlog, self.rng.f64()) {
             return false;
         }
-        // Slots: all of them, and the destination's share. Nothing joins a trial.
+        // There is a free slot, also within the destination's share of them. No message joins a trial.
         let slots = self.settings.slots;
         let share = if route.failing() { slots / 2 } else { slots * 3 / 4 }.max(1);
         let no_slot = self.calls.len() >= slots || route.out >= share;
         if joined.map_or(no_slot, |_| route.breaker.state != State::Closed) {
             return false;
         }
-        // A trial has the time to be answered: one that its message's deadline cuts short proves nothing, and
-        // would keep the destination shut.
+        // A trial has enough time to be answered: one that its message's deadline cuts short proves nothing,
+        // and would keep the breaker open.
         let tried = held.may_have_run.len();
         let wait = route.time_out(&self.settings.rules, class.effect, tried, class.aim, now);
         let timeout = wait.min(last_call - now).min(until - now).max(1);
         if route.breaker.state != State::Closed && timeout < route.patience(class.aim) {
             return false;
         }
-        // Our turn among all senders at a limit that is told.
+        // It is this sender's turn among all senders at an advertised limit.
         let shared = self.settings.peers && self.settings.senders > 1 && route_id.1.is_none();
         if joined.is_none() && shared && route.limit() > 0.0 && route.breaker.state == State::Closed {
             let slot = route.slot.filter(|at| now < at + LIMIT_AHEAD);
@@ -1116,7 +1155,7 @@
                 return false;
             }
         }
-        // The breaker decides last, since it counts what it admits.
+        // The breaker decides last, because it counts the calls that it allows.
         if joined.is_none() && !route.breaker.allows(now) {
             return false;
         }
@@ -1152,8 +1191,9 @@
         true
     }
 
-    /// Guards an endpoint's table of connections against idle ones: closes what is not used again before it
-    /// closes by itself; a failed connect halves what is kept. Costs handshakes.
+    /// Protects an endpoint's connection table from idle connections: closes those that would not be used
+    /// again before they close by themselves. A failed connect halves the time for which they are kept. This
+    /// costs additional handshakes.
     fn close_idle(&mut self, events: &[Event], actions: &mut Vec<Action>) {
         let (longest, few) = (self.settings.idle_close, FEW_SENDERS as Micros);
         let senders = self.settings.senders.max(1) as Micros;
@@ -1170,7 +1210,7 @@
         }
     }
 
-    /// Asks to be woken when the next decision can fall due without an event.
+    /// Sets a timer for the next time at which a decision can become due without an event.
     fn remind(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         self.lines.retain(|_, l| !l.waiting.is_empty() || !l.out.is_empty() || l.rest.0 > now);
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,4 +1,4 @@
-//! The bench's wire: frames, records and the settings' JSON. No decisions are made here.
+//! Wire protocol of the simulator: frames, records and the JSON of the settings. No decisions are made here.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -14,7 +14,7 @@
 const LISTS: usize = 16;
 const ALL_PEERS: u16 = u16::MAX;
 
-/// What is wrong with the input, in one line.
+/// Describes an error in the input in one line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WireError(String);
 
@@ -30,18 +30,18 @@
     Err(WireError(text.into().replace(['\n', '\r'], " ")))
 }
 
-/// A frame as it was read: the clock, the number of records and the bytes behind the header.
+/// A frame as it was read: the clock, the number of records and the bytes after the header.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Frame {
     /// The clock of the batch.
     pub now: Micros,
     /// The number of records.
     pub count: usize,
-    /// Records and tail.
+    /// The records, followed by the data that they refer to (the tail).
     pub body: Vec<u8>,
 }
 
-/// What a record says to one instance.
+/// Content of a record for one instance.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
     /// The instance starts.
@@ -53,11 +53,11 @@
     },
     /// The instance is killed.
     Teardown,
-    /// Something happened to it.
+    /// The instance receives an event.
     Event(Event),
 }
 
-/// Reads one frame; `None` at the end of the input.
+/// Reads one frame; returns `None` at the end of the input.
 ///
 /// # Errors
 /// Fails when the input ends within a frame or cannot be read.
@@ -84,7 +84,7 @@
     Ok(Some(Frame { now, count, body }))
 }
 
-/// Little-endian fields at byte positions that are known to be in range.
+/// Reads little-endian fields at byte positions that are known to be in range.
 struct Bytes<'a>(&'a [u8]);
 
 impl Bytes<'_> {
@@ -114,7 +114,7 @@
     fn report(&self, at: usize) -> Result<Vec<f32>, WireError> {
         match self.0[at] {
             n @ 0..=4 => Ok((0..n as usize).map(|k| self.f32(at + 1 + 4 * k)).collect()),
-            n => fault(format!("load report with {n} values")),
+            n => fault(format!("load report with {n} values instead of at most 4")),
         }
     }
 }
@@ -133,22 +133,22 @@
     })
 }
 
-/// Decodes frames; keeps the numbered lists that the process was told.
+/// Decodes frames. Stores the numbered lists of endpoints that earlier records have defined.
 #[derive(Debug, Default)]
 pub struct Decoder {
     lists: [Option<Vec<Entry>>; LISTS],
-    /// How many classes each instance that was ever started knows.
+    /// Number of classes of each instance that was ever started.
     classes: BTreeMap<u16, usize>,
 }
 
 impl Decoder {
-    /// Decodes a frame into what it says to each instance, in order.
+    /// Decodes a frame into inputs, each with the number of its instance, in order.
     ///
     /// # Errors
     /// Fails on anything malformed.
     pub fn decode(&mut self, frame: &Frame) -> Result<Vec<(u16, Input)>, WireError> {
         if frame.count.checked_mul(EVENT_SIZE).is_none_or(|n| n > frame.body.len()) {
-            return fault("frame shorter than its records");
+            return fault(format!("frame of {} bytes is shorter than its {} records", frame.body.len(), frame.count));
         }
         let (records, tail) = frame.body.split_at(frame.count * EVENT_SIZE);
         let mut used = 0;
@@ -163,7 +163,7 @@
                         used = used.max(start + bytes.len());
                         Ok(bytes)
                     }
-                    None => fault(format!("data at {start} for {n} lies outside the tail")),
+                    None => fault(format!("{n} items at {start} are outside the tail")),
                 }
             };
             let event = match record[0] {
@@ -197,7 +197,7 @@
                     match r.u16(7) {
                         class if usize::from(class) < known => accepted(&r)?,
                         class => {
-                            return fault(format!("message of class {class}; its instance knows {known}"));
+                            return fault(format!("message of class {class}; its instance has {known} classes"));
                         }
                     }
                 }
@@ -238,12 +238,12 @@
         }
         let id = r.u32(4) as usize;
         let Some(Some(list)) = self.lists.get(id) else {
-            return fault(format!("news refers to list {id}, which was never told"));
+            return fault(format!("list update refers to list {id}, which was never defined"));
         };
         match kind {
             0 => Ok(Event::Changes(list.clone())),
             2 | 3 => Ok(Event::List(list.clone())),
-            n => fault(format!("unknown kind of list news {n}")),
+            n => fault(format!("unknown kind of list update {n}")),
         }
     }
 }
@@ -251,7 +251,7 @@
 fn accepted(r: &Bytes) -> Result<Event, WireError> {
     let destination = r.f32(29);
     if destination.fract() != 0.0 || !(0.0..=f32::from(u16::MAX)).contains(&destination) {
-        return fault(format!("destination {destination} is no number of one"));
+        return fault(format!("destination {destination} is not a whole number from 0 to 65535"));
     }
     let (key, options) = (r.u64(13), r.u16(33));
     Ok(Event::Accepted(Message {
@@ -281,7 +281,7 @@
     })
 }
 
-/// Encodes the reply to a batch: for each instance its actions, in order.
+/// Encodes the reply to a batch: the actions of each instance, in order.
 pub fn encode(reply: &[(u16, Vec<Action>)]) -> Vec<u8> {
     let (mut records, mut tail) = (Vec::new(), Vec::new());
     for (instance, action) in reply.iter().flat_map(|(i, actions)| actions.iter().map(move |a| (i, a))) {
@@ -475,15 +475,15 @@
     1.0
 }
 
-/// Whole microseconds of a figure; what is negative or not a number is 0.
+/// Converts to whole microseconds; a negative value or NaN becomes 0.
 fn micros(figure: f64) -> Micros {
     figure as Micros
 }
 
-/// Reads the settings from their JSON; unknown keys are ignored.
+/// Reads the settings from their JSON. Unknown keys are ignored.
 ///
 /// # Errors
-/// Fails when the text is not JSON or lacks what is needed.
+/// Fails when the text is not JSON or a required key is missing.
 pub fn settings(json: &[u8]) -> Result<Settings, WireError> {
     let raw: RawSettings = match serde_json::from_slice(json) {
         Ok(raw) => raw,
--- a/tests/conformance/design.rs
+++ b/tests/conformance/design.rs
@@ -1,4 +1,5 @@
-//! The design page: the breaker, what counts, held or answered, both shares, and its weaknesses.
+//! Conformance table of the design page: the breaker, what counts as a failure, which messages are held or
+//! answered, both shares of slots, and the weaknesses of the breaker.
 
 use crate::Expect::*;
 use crate::Step::*;
@@ -20,122 +21,122 @@
 }
 
 pub const ROWS: &[Row] = rows! {
-    // The states and the ways between them.
-    "closed: what comes goes at once",
+    // The states and the transitions between them.
+    "closed: messages are sent at once",
         Warm, [Serve(20)], [Take(3, SAFE)] => [Sent(3, 3), Shut(0)];
-    "closed stays closed at four failures in a row",
+    "closed stays closed at four consecutive failures",
         Warm, [Serve(20)], [Each(4, Error)] => [Sent(4, 4), Shut(0)];
-    "closed to open: the fifth failure in a row",
+    "closed to open: at the fifth consecutive failure",
         Warm, [Serve(20)], [Each(5, Error)] => [Sent(5, 5), Shut(1)];
-    "open: nothing goes before the time is up, half an aim at first",
+    "open: nothing is sent before the open time is over, half an aim at first",
         Warm, [Serve(20), Each(5, Error)], [Take(5, SAFE), Pass(1_990)] => [Sent(0, 0), Shut(1), Held(5)];
-    "open to half-open: once the time is up, with a call",
+    "open to half-open: once the open time is over, with one call",
         Warm, [Serve(20), Each(5, Error)], [Take(5, SAFE), Pass(2_010)] => [Sent(1, 1), Out(1), Shut(1)];
     "half-open: one trial at a time, however long it takes",
         Warm, [Serve(20), Each(5, Error), Take(5, ONCE), Pass(2_010)], [Take(5, SAFE), Pass(3_900)]
         => [Sent(0, 0), Out(1), Shut(1)];
-    "half-open to closed: one success, and what was held goes",
+    "half-open to closed: at one success, and held messages are sent",
         Warm, [Serve(20), Each(5, Error), Take(4, SAFE), Pass(2_010)], [End(1, Delivered)]
         => [Shut(0), Sent(3, 3), Held(3)];
-    "half-open to open: one failure of the trial",
+    "half-open to open: at one failure of the trial",
         Warm, [Serve(20), Each(5, Error), Take(4, ONCE), Pass(2_010)], [End(1, Error), Pass(1_000)]
         => [Shut(1), Sent(0, 0), Out(0)];
-    "half-open to open: one time-out of the trial",
+    "half-open to open: at one time-out of the trial",
         Warm, [Serve(20), Each(5, Error), Take(4, ONCE), Pass(2_010)], [End(1, TimedOut), Pass(1_000)]
         => [Shut(1), Sent(0, 0), Out(0)];
-    "half-open: a trial that is called off proves nothing, and the next goes",
+    "half-open: a cancelled trial proves nothing, and the next one is sent",
         Warm, [Serve(20), Each(5, Error), Take(4, ONCE), Pass(2_010)], [End(1, Cancelled)]
         => [Shut(1), Sent(1, 1), Out(1)];
     "half-open: a trial refused as full neither closes nor opens",
         Warm, [Serve(20), Each(5, Error), Take(4, ONCE), Pass(2_010)], [End(1, Refusal(None)), Pass(2_500)]
         => [Shut(1), Sent(1, 1), Out(1)];
-    "open to closed: a late success of a call from before",
+    "open to closed: at a late success of a call sent before",
         Warm, [Serve(20), Take(6, ONCE), End(5, Error)], [End(1, Delivered), Take(1, SAFE)]
         => [Shut(0), Sent(1, 1)];
-    "open: the count starts anew after it has closed",
+    "open: the count of failures restarts after it has closed",
         Warm, [Serve(20), Each(5, Error), Take(1, SAFE), Pass(2_010), End(1, Delivered)], [Each(4, Error)]
         => [Shut(0), Sent(4, 4)];
 
-    // The open time.
-    "open time: from the last failure, also one that comes while open",
+    // How long the breaker stays open.
+    "open time: counts from the last failure, also one that comes while open",
         Warm, [Serve(20), Take(6, ONCE), End(5, Error), Pass(1_000), End(1, Error)],
         [Take(1, SAFE), Pass(1_990)] => [Sent(0, 0)];
-    "open time: no longer than from the last failure",
+    "open time: ends when it has passed since the last failure",
         Warm, [Serve(20), Take(6, ONCE), End(5, Error), Pass(1_000), End(1, Error)],
         [Take(1, SAFE), Pass(2_010)] => [Sent(1, 1)];
-    "open time: a refusal as full while open leaves it",
+    "open time: is not changed by a refusal as full while open",
         Warm, [Serve(20), Take(6, ONCE), End(5, Error), Pass(1_000), End(1, Refusal(Some(0)))], [Pass(1_010)]
         => [Sent(1, 1)];
     "open time: twice as long after a trial that failed",
         Warm, [Serve(20), Each(5, Error), Take(4, ONCE), Pass(2_010), End(1, Error)], [Pass(3_990)]
         => [Sent(0, 0), Shut(1)];
-    "open time: no more than twice",
+    "open time: no more than twice as long",
         Warm, [Serve(20), Each(5, Error), Take(4, ONCE), Pass(2_010), End(1, Error)], [Pass(4_010)]
         => [Sent(1, 1)];
     "open time: at most five seconds",
         Warm, [Serve(20), Each(5, Error), Take(4, ONCE), Pass(2_010), End(1, Error), Pass(4_010),
             End(1, Error)],
         [Pass(5_010)] => [Sent(1, 1)];
-    "open time: those five seconds are waited",
+    "open time: not less than these five seconds",
         Warm, [Serve(20), Each(5, Error), Take(4, ONCE), Pass(2_010), End(1, Error), Pass(4_010),
             End(1, Error)],
         [Pass(4_990)] => [Sent(0, 0)];
-    "open time: short again after it was closed",
+    "open time: starts from half an aim again after it was closed",
         Warm, [Serve(20), Each(5, Error), Take(2, ONCE), Pass(2_010), End(1, Error), Pass(4_010),
             End(1, Delivered), Each(5, Error)],
         [Take(1, SAFE), Pass(2_010)] => [Sent(1, 1)];
 
-    // What counts, and what clears.
+    // Which outcomes count as failures, and which clear the count.
     "counts: connections that break",
         Warm, [Serve(20)], [Each(5, Reset)] => [Shut(1)];
-    "counts: connections that are not made",
+    "counts: connections that cannot be set up",
         Warm, [Serve(20)], [Repeated(5, ConnectFailed)] => [Shut(1)];
-    "counts: errors, broken and failed connections in one run",
+    "counts: errors, broken and failed connections together",
         Warm, [Serve(20)], [Each(2, Error), Each(2, Reset), Repeated(1, ConnectFailed)] => [Shut(1)];
-    "counts not: refusals as full",
+    "does not count: refusals as full",
         Warm, [Serve(20)], [Repeated(12, Refusal(None))] => [Shut(0)];
-    "counts not: calls that were called off",
+    "does not count: cancelled calls",
         Warm, [Serve(20)], [Each(25, Cancelled)] => [Shut(0), Sent(25, 25)];
-    "counts not: what was not sent at all",
+    "does not count: messages that were not sent at all",
         Warm, [Serve(20)], [Repeated(25, Moot { no_slot: true })] => [Shut(0)];
-    "clears not: a refusal between failures",
+    "does not clear: a refusal between failures",
         Warm, [Serve(20), Each(4, Error), Repeated(1, Refusal(None))], [Pass(500), End(1, Error)]
         => [Shut(1)];
-    "clears not: a time-out between failures",
+    "does not clear: a time-out between failures",
         Warm, [Serve(20)], [Each(4, Error), Each(1, TimedOut), Each(1, Error)] => [Shut(1)];
-    "clears: any success, the run of failures",
+    "clears: any success clears the count of failures",
         Warm, [Serve(20)], [Each(4, Error), Each(1, Delivered), Each(4, Error)] => [Shut(0), Sent(9, 9)];
-    "time-outs: nineteen in a row leave it closed",
+    "time-outs: nineteen consecutive ones leave it closed",
         Warm, [Serve(20)], [Each(19, TimedOut)] => [Shut(0), Sent(19, 19)];
-    "time-outs: the twentieth in a row opens",
+    "time-outs: the twentieth consecutive one opens it",
         Warm, [Serve(20)], [Each(20, TimedOut)] => [Shut(1)];
-    "time-outs: any success clears their run",
+    "time-outs: any success clears their count",
         Warm, [Serve(20)], [Each(19, TimedOut), Each(1, Delivered), Each(19, TimedOut)]
         => [Shut(0), Sent(39, 39)];
-    "time-outs: a run of their own beside that of failures",
+    "time-outs: are counted separately from failures",
         Warm, [Serve(20)], [Each(4, Error), Each(19, TimedOut)] => [Shut(0), Sent(23, 23)];
     "one call of several messages counts once",
         Bundles, [Serve(20), Batch(5, ONCE)], [EndTurn(Error)] => [Shut(0), Failed(5)];
 
-    // Held, refused or failed.
+    // Whether a message is held, refused or failed.
     "held: the trial comes before the deadline",
         Warm, [Serve(20), Each(5, Error)], [Brief(SAFE, 2_500)] => [Held(1), Refused(0), Sent(0, 0)];
-    "refused: the deadline comes before the trial, with the time until it",
+    "refused: the deadline comes before the trial; Retry-After is the time until the trial",
         Warm, [Serve(20), Each(5, Error)], [Brief(SAFE, 1_500)]
         => [Held(0), Refused(1), Return(1_990, 2_000)];
-    "refused: the advice is none that clients do not heed",
+    "refused: Retry-After is no longer than clients observe",
         Warm, [Serve(20), Each(5, Error), Take(1, ONCE), Pass(2_010), End(1, Error)], [Brief(SAFE, 1_500)]
         => [Refused(1), Return(3_000, 3_000)];
-    "refused: what had a call that never ran",
+    "refused: a message whose call never ran",
         Warm, [Serve(20), Each(4, Error), Brief(ONCE, 1_500)], [End(1, ConnectFailed)]
         => [Refused(1), Failed(0)];
-    "refused: what may have run and may run again",
+    "refused: a message that may have run and may be repeated",
         Warm, [Serve(20), Each(4, Error), Brief(SAFE, 1_500)], [End(1, Error)] => [Refused(1), Failed(0)];
-    "failed: what may have run and is only known for a while",
+    "failed: a message that may have run and whose key is only remembered for a while",
         Warm, [Serve(20), Each(4, Error), Brief(KEYED, 1_500)], [End(1, Error)] => [Refused(0), Failed(1)];
-    "failed: what may have run and must not run twice, breaker or not",
+    "failed: a message that may have run and must not run twice, whatever the breaker's state",
         Warm, [Serve(20), Take(1, ONCE)], [End(1, Error)] => [Refused(0), Failed(1)];
-    "held to its deadline where nothing is listed, then refused",
+    "held until its deadline if no endpoint is listed, then refused",
         Warm, [Serve(20), Unlisted, Take(1, SAFE), Pass(19_900)], [Pass(95)] => [Held(0), Refused(1)];
 
     // Both shares of slots, `dest_cap` and `parks`.
@@ -145,87 +146,87 @@
         Warm, [Serve(20), Each(1, Error)], [Take(20, SAFE)] => [Out(4)];
     "share: half after a time-out",
         Warm, [Serve(20), Each(1, TimedOut)], [Take(20, SAFE)] => [Out(4)];
-    "share: half after a time-out though others were answered since",
+    "share: half after a time-out, even if others were answered since",
         Warm, [Serve(20), Take(1, ONCE), Pass(20), Take(1, SAFE), Pass(20), EndNewest(Delivered),
             End(1, TimedOut)],
         [Take(20, SAFE)] => [Out(4)];
     "share: three quarters again after a success",
         Warm, [Serve(20), Each(1, Error), Each(1, Delivered)], [Take(20, SAFE)] => [Out(6)];
-    "share: one slot is shared by using it",
+    "share: a destination may use the only slot",
         Narrow, [], [Take(2, SAFE)] => [Out(1)];
     "dest_cap: a destination that hangs leaves slots for another",
         Two, [Serve(20), Take(20, SAFE), Pass(200)], [Elsewhere(6)] => [Out(8), SentElsewhere(2)];
-    "parks: a destination that is down causes far less than a call a message",
+    "parks: a destination that is down gets far less than one call per message",
         Cold, [Serve(20)], [Stream(30, ConnectFailed)] => [Sent(1, 40), Shut(1)];
 
-    // The weaknesses that the page names, and what guards against each.
-    "backlog: a trial's success lets go no more than a cold destination bears",
+    // The weaknesses that the design page names, and the protection against each.
+    "backlog: after a successful trial no more is sent than a cold destination can take",
         Cold, [Serve(80), Repeated(12, ConnectFailed), Take(20, SAFE), Pass(200)], [Stream(4, Delivered)]
         => [Busiest(8)];
     "backlog: the ramp ends once it is warm",
         Cold, [Serve(80), Repeated(12, ConnectFailed), Stream(24, Delivered)], [Take(6, SAFE)]
         => [Sent(6, 6)];
-    "backlog: two failures in a row are an outage, after which it is cold",
+    "backlog: two consecutive failures are an outage, after which the destination is cold",
         Cold, [Serve(80), Each(2, Error), Pass(3_500), Each(1, Delivered)], [Take(6, SAFE)] => [Sent(0, 5)];
-    "backlog: what refuses all for long returns as cold",
+    "backlog: a destination that refused everything for long returns cold",
         Cold, [Serve(80), Stream(10, Refusal(None))], [Stream(4, Delivered)] => [Busiest(8)];
-    "backlog: a trial carries no message but its own",
+    "backlog: no other message joins a trial",
         Bundles, [Serve(20), Each(5, Error)], [Batch(5, SAFE), Pass(2_010)] => [Sent(1, 1)];
-    "backlog: of many senders one that saw one failure waits for its turn",
+    "backlog: one of many senders waits for its turn after one failure",
         Crowd, [Pass(10_000), Take(1, SAFE), Pass(1_000)], [End(1, ConnectFailed), Pass(1_000)]
         => [Sent(0, 0)];
-    "backlog: of few senders one that saw one failure may try again",
+    "backlog: one of few senders may send again after one failure",
         Cold, [Pass(10_000), Take(1, SAFE), Pass(1_000)], [End(1, ConnectFailed), Pass(1_000)]
         => [Sent(1, 1)];
-    "slowness: two silent calls open it long before twenty time-outs",
+    "slowness: two silent calls open the breaker long before twenty time-outs",
         Warm, [Serve(20), Take(2, ONCE)], [Pass(300), Take(1, SAFE)] => [Shut(1), Sent(0, 0)];
-    "slowness: one silent call does not",
+    "slowness: one silent call does not open it",
         Warm, [Serve(20), Take(1, ONCE)], [Pass(300), Take(1, SAFE)] => [Shut(0), Sent(1, 1)];
-    "slowness: calls with answers since are slow, not silent",
+    "slowness: calls are slow, not silent, if others were answered since",
         Warm, [Serve(20), Take(2, ONCE), Pass(50), Take(1, SAFE), EndNewest(Delivered)], [Pass(300)]
         => [Shut(0)];
-    "slowness: a harmless repeat does not wait for the aim",
+    "slowness: a call that may be repeated times out before the aim",
         Warm, [Serve(20)], [Take(1, KEYED)] => [Given(1, 1_000)];
-    "slowness: what must not run twice does",
+    "slowness: a call that must not run twice times out at the aim",
         Warm, [Serve(20)], [Take(1, ONCE)] => [Given(4_000, 4_000)];
     "every other call: the breaker alone never opens",
         Warm, [Serve(20)], [Halved(10)] => [Shut(0), Sent(40, 40)];
-    "every other call: the endpoint that failed last comes last",
+    "every other call: the endpoint that failed last is chosen last",
         Pair, [Each(1, Error)], [Serve(12)] => [Sent(12, 12), SentThere(0)];
-    "every other call: while cold one failure starts the warm-up anew",
+    "every other call: one failure while cold restarts the warm-up",
         Cold, [Serve(80), Repeated(4, ConnectFailed), Stream(10, Delivered), Repeated(1, ConnectFailed)],
         [Stream(5, Delivered)] => [Busiest(12)];
     "every other call: half of the slots after each failure",
         Warm, [Serve(20), Halved(10), Each(1, Error)], [Take(20, SAFE)] => [Out(4)];
 
-    // Guards that are ours.
-    "a told wait is heeded",
+    // Protections that are not part of a plain breaker.
+    "nothing is sent during a requested wait",
         Warm, [Serve(20), Told(1_000)], [Take(3, SAFE), Pass(990)] => [Sent(0, 0), Held(3)];
-    "a told wait is over when it is over",
+    "messages are sent once a requested wait is over",
         Warm, [Serve(20), Told(1_000)], [Take(3, SAFE), Pass(1_010)] => [Sent(3, 3)];
-    "routes apart have breakers apart",
+    "each route has its own breaker",
         Apart, [Serve(20), Each(1, Error)], [Take(4, SAFE)] => [Shut(0), Sent(4, 4)];
-    "a refusing destination is called one at a time until it accepts",
+    "a destination that refuses gets one call at a time until it accepts one",
         Warm, [Serve(20), Take(1, SAFE), End(1, Refusal(None)), Pass(1_000)], [Take(5, SAFE), Pass(1_500)]
         => [Sent(0, 0), Out(1)];
     "no message has more attempts than allowed",
         Warm, [Serve(20)], [Take(1, SAFE), End(4, Cancelled)] => [Sent(4, 4), Refused(1)];
-    "a trial is given the time to be answered, or does not go",
+    "a trial that has too little time to be answered is not sent",
         Warm, [Serve(20), Each(5, Error)], [Brief(SAFE, 2_050), Pass(2_030)] => [Sent(0, 0)];
-    "a told wait is that of one route where routes are apart",
+    "a requested wait applies to one route if each endpoint is a route",
         Apart, [Serve(20), Told(1_000)], [Take(8, SAFE)] => [Sent(6, 6), SentElsewhere(6)];
-    "share: three quarters again once a call is answered after a lost one",
+    "share: three quarters again once a call is delivered after a lost one",
         Warm, [Serve(20), Take(1, ONCE), Pass(20), Take(1, SAFE), Pass(20), EndNewest(Delivered),
             End(1, TimedOut), Each(1, Delivered)],
         [Take(20, SAFE)] => [Out(6)];
-    "open to closed: what has little time left goes right after",
+    "open to closed: a message with little time left is sent right after",
         Warm, [Serve(20), Take(6, ONCE), End(5, Error), End(1, Delivered)], [Brief(SAFE, 1_500)]
         => [Sent(1, 1), Refused(0)];
-    "half-open to closed: by a late success, with the trial forgotten",
+    "half-open to closed: at a late success, and the trial no longer counts",
         Warm, [Serve(20), Take(6, ONCE), End(5, Error), Take(1, ONCE), Pass(2_010), End(1, Delivered),
             Each(5, Error)],
         [Take(1, SAFE), Pass(2_010)] => [Sent(1, 1)];
-    "slowness: time-outs with answers since are no outage",
+    "slowness: time-outs are no outage if others were answered since",
         Cold, [Serve(80), Take(2, ONCE), Pass(20), Take(1, SAFE), EndNewest(Delivered), Pass(2_000),
             End(2, TimedOut)],
         [Take(4, SAFE)] => [Sent(4, 4)];
--- a/tests/conformance/main.rs
+++ b/tests/conformance/main.rs
@@ -1,4 +1,5 @@
-//! Conformance tables: one row a statement, played on the module in virtual time by one runner.
+//! Conformance tables: each row is one statement, which a runner checks on the decision module in virtual
+//! time.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -9,24 +10,24 @@
 use std::collections::BTreeSet;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Milliseconds, as the rows give them.
+/// A millisecond, the unit of time in the rows.
 const MS: Micros = SECOND / 1_000;
 const OTHER: DestinationId = DestinationId(8);
 
-/// Where a row is played: eight slots, an aim of four seconds, one destination unless another is named.
+/// Environment of a row: eight slots, an aim of four seconds, and one destination unless it says otherwise.
 #[derive(Clone, Copy, Debug)]
 enum World {
-    /// A destination that is never cold, so that the breaker is seen alone.
+    /// A destination that is never cold, so that only the breaker has an effect.
     Warm,
-    /// A destination that comes back with a fifth of its capacity.
+    /// A destination that returns from an outage with a fifth of its capacity.
     Cold,
-    /// The same, of four hundred senders.
+    /// The same, in a tier of 400 senders.
     Crowd,
     /// Two destinations that are never cold.
     Two,
     /// Two endpoints of one destination.
     Pair,
-    /// Two endpoints, each a route of its own.
+    /// Two endpoints, each of which is a route of its own.
     Apart,
     /// Calls of up to five messages.
     Bundles,
@@ -36,64 +37,68 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// So many messages are taken and delivered one after the other, four a second.
+    /// This many messages are accepted and delivered one after the other, four per second.
     Serve(usize),
-    /// So many messages of a class come, each in a turn of its own.
+    /// This many messages of a class are submitted, each in a batch of its own.
     Take(usize, usize),
-    /// So many come in one turn.
+    /// This many messages of a class are submitted in one batch.
     Batch(usize, usize),
-    /// One of a class comes with so many milliseconds left.
+    /// A message of a class is submitted with this many milliseconds left.
     Brief(usize, u64),
-    /// So many come for the second destination.
+    /// This many messages for the second destination are submitted.
     Elsewhere(usize),
-    /// So many that must not run twice come, and the call of each ends so as soon as it is out.
+    /// This many messages that must not run twice are submitted; each ends with the outcome as soon as it is
+    /// sent.
     Each(usize, Outcome),
     /// The same with messages that may be repeated.
     Repeated(usize, Outcome),
-    /// The oldest calls that are out, so many of them, end so.
+    /// This many of the oldest outstanding attempts end with the outcome.
     End(usize, Outcome),
-    /// All messages of the oldest calls' turn end so in one turn.
+    /// All outstanding attempts end with the outcome in one batch.
     EndTurn(Outcome),
-    /// The newest call that is out ends so.
+    /// The newest outstanding attempt ends with the outcome.
     EndNewest(Outcome),
-    /// For so many seconds a message comes each quarter of a second, and all that is out then ends so.
+    /// For this many seconds a message is submitted every quarter of a second, and all outstanding attempts
+    /// end with the outcome.
     Stream(u64, Outcome),
-    /// The same, where every other call ends in an error.
+    /// The same, but every other call ends with an error and the others are delivered.
     Halved(u64),
     /// Milliseconds pass.
     Pass(u64),
-    /// The first endpoint told a wait of so many milliseconds, outside of any call.
+    /// The first endpoint requests a wait of this many milliseconds, outside of any call.
     Told(u64),
     /// No endpoint is listed any more.
     Unlisted,
 }
 
-/// What is seen of the `when` alone, or at its end.
+/// Expected observation of the `when` steps, or of the state after them.
 #[derive(Clone, Copy, Debug)]
 enum Expect {
-    /// Attempts sent: from, to.
+    /// Number of attempts sent: from, to.
     Sent(usize, usize),
-    /// Attempts sent to the second destination.
+    /// Number of attempts sent to the second endpoint, which may be of the second destination.
     SentElsewhere(usize),
-    /// Attempts that went to the endpoint of the last call before.
+    /// Number of attempts sent to the endpoint of the last call before.
     SentThere(usize),
-    /// Attempts out.
+    /// Number of outstanding attempts.
     Out(usize),
-    /// Listed endpoints that a breaker keeps messages from.
+    /// Number of listed endpoints that a breaker keeps messages from.
     Shut(usize),
-    /// Messages that are owed an answer.
+    /// Number of messages without a final answer.
     Held(usize),
+    /// Number of messages refused.
     Refused(usize),
+    /// Number of messages failed.
     Failed(usize),
-    /// Advice of the last refusal in milliseconds: from, to.
+    /// Retry-After of the last refusal in milliseconds: from, to.
     Return(u64, u64),
-    /// Most attempts in any three seconds.
+    /// Maximum number of attempts in any three seconds.
     Busiest(usize),
-    /// Time that the newest call is given, in milliseconds: from, to.
+    /// Time-out of the newest attempt in milliseconds: from, to.
     Given(u64, u64),
 }
 
-/// A statement in our words, and what shows it.
+/// A statement in words, and the steps that show it.
 struct Row {
     name: &'static str,
     world: World,
@@ -122,7 +127,7 @@
     Sender::new(settings, &entries)
 }
 
-/// Until a call is out, for at most twenty seconds.
+/// Waits until a call is outstanding, for at most 20 seconds.
 fn until_out(s: &mut Sender) {
     for _ in 0..400 {
         if !s.out.is_empty() {
@@ -190,7 +195,7 @@
     }
 }
 
-/// What of a row does not hold.
+/// Runs a row; returns the expectations that do not hold.
 fn play(row: &Row) -> Vec<String> {
     let mut s = world(row.world);
     row.given.iter().for_each(|given| step(&mut s, *given));
@@ -230,15 +235,15 @@
     row.then.iter().filter_map(check).collect()
 }
 
-/// Plays all rows of a table and names those that fail.
+/// Runs all rows of a table and fails with the names of those that do not hold.
 fn run(table: &[Row]) {
     let names: BTreeSet<_> = table.iter().map(|row| row.name).collect();
-    assert_eq!(names.len(), table.len(), "a name stands for one row");
+    assert_eq!(names.len(), table.len(), "row names are unique");
     let mut broken = vec![];
     for row in table {
-        assert!(!row.when.is_empty() && !row.then.is_empty(), "{}: says nothing", row.name);
+        assert!(!row.when.is_empty() && !row.then.is_empty(), "{}: the row has no steps or no expectations", row.name);
         let failed = catch_unwind(AssertUnwindSafe(|| play(row)));
-        let failed = failed.unwrap_or_else(|_| vec!["the play broke off".to_owned()]);
+        let failed = failed.unwrap_or_else(|_| vec!["the row panicked".to_owned()]);
         if !failed.is_empty() {
             broken.push(format!("ROW {}: {}", row.name, failed.join("; ")));
         }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,11 +1,11 @@
-//! The list of tests known to be red, as the check of all reads it: played on a made-up workspace, whose tests are red
-//! where the environment says so.
+//! The list of tests that are known to fail, as the check script reads it. The script runs on a made-up
+//! workspace, whose tests fail where an environment variable says so.
 
 use std::io;
 use std::path::Path;
 use std::process::{Command, Output};
 
-/// Runs one of the check's scripts in the workspace at a folder, with the tests of these names red.
+/// Runs one of the check scripts in the workspace at a folder; the tests named in `red` fail.
 fn run(folder: &Path, script: &str, list: Option<&str>, red: &str) -> io::Result<Output> {
     let at = folder.join("KNOWN-RED.txt");
     match list {
@@ -21,7 +21,8 @@
     command.arg(script).current_dir(folder).env("CARGO_NET_OFFLINE", "true").env("RED", red).output()
 }
 
-/// Two packages with a test of the same name in three targets, and another in two.
+/// Writes a workspace of two packages that has a test of the same name in three targets, and another one in
+/// two.
 fn workspace(folder: &Path) -> io::Result<()> {
     let own = Path::new(env!("CARGO_MANIFEST_DIR"));
     for path in [".ci", "src", "tests", "part/src"] {
@@ -56,7 +57,7 @@
     format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr))
 }
 
-/// Guards the verdict: exactly the tests of the list may be red, each of them is, and no file passes nothing over.
+/// The check passes only if exactly the listed tests fail; without a list no failing test is tolerated.
 #[test]
 fn exactly_the_tests_of_the_list_are_passed_over() -> io::Result<()> {
     let folder = tempfile::tempdir()?;
@@ -91,7 +92,7 @@
     Ok(())
 }
 
-/// Guards the list's form: what can't be held against the tests fails before any test runs.
+/// A list that is malformed, or names a test that does not exist, fails the check before any test runs.
 #[test]
 fn a_list_that_is_not_in_its_form_fails() -> io::Result<()> {
     let folder = tempfile::tempdir()?;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,10 +1,10 @@
-//! The users' limits on the decision module, and the house's on where tests live.
+//! Limits on the source of the decision module, and the rule on where tests live.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::{fs, io};
 
-/// Each Rust file at or below a path of the repository, with its text.
+/// Reads each Rust file at or below a path of the repository.
 fn texts(path: &str) -> io::Result<BTreeMap<PathBuf, String>> {
     let mut found = BTreeMap::new();
     let mut left = vec![Path::new(env!("CARGO_MANIFEST_DIR")).join(path)];
@@ -20,7 +20,8 @@
     Ok(found)
 }
 
-/// The files that the deployment names as the policy's, blank lines counted as `wc -l` does.
+/// Checks the files that the deployment lists as the policy's. Lines are counted as by `wc -l`, blank lines
+/// included.
 #[test]
 fn the_policy_stays_within_its_lines_and_columns() -> io::Result<()> {
     let deployed: toml::Table = include_str!("../deploy/balancer.toml").parse().expect("a table");
@@ -34,14 +35,14 @@
                 assert!(line.chars().count() <= 110, "{} line {}", path.display(), number + 1);
             }
             let told = text.lines().take(5).any(|line| line.contains("src/interface.rs"));
-            assert!(told, "{} names no interface", path.display());
+            assert!(told, "{} does not name its interface file in its first five lines", path.display());
         }
     }
     assert!(lines <= 1_200, "{lines} lines");
     Ok(())
 }
 
-/// Guards where tests live: beside the module in its `tests.rs`, or in `tests/`.
+/// Tests live next to their module in its `tests.rs`, or in `tests/`.
 #[test]
 fn no_test_lives_in_the_file_of_what_it_tests() -> io::Result<()> {
     let mut inside = vec![];
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The module alone: the breaker, each rule, and each failure found on the bench.
+//! Tests of the decision module alone: the breaker, each rule, and each failure found in simulations.
 
 mod common;
 
@@ -18,9 +18,9 @@
     let before = s.sent.len();
     s.accept(SAFE);
     s.pass(SECOND);
-    assert_eq!(s.sent.len(), before, "held while open");
+    assert_eq!(s.sent.len(), before, "messages are held while the breaker is open");
     s.pass(2 * SECOND);
-    assert_eq!(s.sent.len(), before + 1, "one trial once half an aim is over");
+    assert_eq!(s.sent.len(), before + 1, "one trial after half an aim");
     s.accept(SAFE);
     s.pass(SECOND);
     assert_eq!(s.sent.len(), before + 1, "one trial at a time");
@@ -29,7 +29,7 @@
     assert!(s.sent.len() > before + 1, "closed by its success");
 }
 
-/// Guards against a destination kept shut by trials that their messages' deadlines cut short.
+/// Trials that were cut short by their messages' deadlines kept the breaker of a working destination open.
 #[test]
 fn a_trial_is_given_the_time_to_be_answered() {
     let mut s = one();
@@ -39,14 +39,14 @@
         s.end(Outcome::Error);
     }
     let before = s.sent.len();
-    // The ramp lets the trial go after three seconds: the first has a twentieth of one left then.
+    // The ramp allows the trial after three seconds. The first message has 50 ms left then.
     for time_left in [3 * SECOND + SECOND / 20, 10 * SECOND] {
         let message = s.message(SAFE, None, time_left);
         s.tell(vec![Event::Accepted(message)]);
     }
     s.pass(3 * SECOND + SECOND / 10);
     assert_eq!(s.sent.len(), before + 1, "one trial");
-    assert_eq!(s.refused.len(), 1, "the first is answered when its time is up");
+    assert_eq!(s.refused.len(), 1, "the first message is answered at its deadline");
     assert_ne!(s.sent[before].message, s.refused[0].0);
     s.end(Outcome::Delivered);
     s.accept(SAFE);
@@ -61,7 +61,7 @@
     for _ in 0..4 {
         s.accept(SAFE);
         s.end(Outcome::Error);
-        // Its repeat, or after two failures the next one, is served once the ramp lets it go.
+        // The repeat, or after two failures the next message, is served once the ramp allows it.
         s.pass(4 * SECOND);
         while !s.out.is_empty() {
             s.end(Outcome::Delivered);
@@ -70,7 +70,7 @@
     let before = s.sent.len();
     s.accept(SAFE);
     s.pass(3 * SECOND);
-    assert!(s.sent.len() > before, "never open");
+    assert!(s.sent.len() > before, "the breaker never opened");
 }
 
 #[test]
@@ -87,12 +87,12 @@
     assert!(s.sent.len() - before <= 8);
     let refused = s.sent.len();
     s.pass(SECOND / 10);
-    assert_eq!(s.sent.len(), refused, "pauses after a refusal");
+    assert_eq!(s.sent.len(), refused, "a pause follows the refusals");
     s.pass(SECOND);
-    assert!(s.sent.len() > refused, "and goes on, closed");
+    assert!(s.sent.len() > refused, "sending continues, since the breaker is closed");
 }
 
-/// Guards against a pace that stays low for seconds after the limit it was learnt from has risen.
+/// The pace stayed low for seconds after the limit from which it had been learned had risen.
 #[test]
 fn a_limit_that_has_risen_lifts_the_pace_learnt_below_it() {
     let mut s = one();
@@ -144,17 +144,17 @@
         s.accept(SAFE);
     }
     assert_eq!(s.out.len(), 2);
-    // Past the patience, and short of the time-outs.
+    // Longer than a call may go unanswered, and shorter than the time-outs.
     s.pass(SECOND * 3 / 10);
     let before = s.sent.len();
     s.accept(SAFE);
-    assert_eq!(s.sent.len(), before, "two silent calls: nothing more goes there");
+    assert_eq!(s.sent.len(), before, "two silent calls open the breaker");
     s.end(Outcome::Delivered);
     s.pass(4 * SECOND);
-    assert!(s.sent.len() > before, "a late answer closes");
+    assert!(s.sent.len() > before, "a late answer closes the breaker");
 }
 
-/// Guards the slots against calls whose answers never come, where others' do.
+/// Calls whose answers were lost, while others were answered, occupied slots for too long.
 #[test]
 fn a_swallowed_call_is_repeated_well_before_its_aim_where_that_is_harmless() {
     let mut s = one();
@@ -163,14 +163,14 @@
     let (first, once) = (s.out[0], s.accept(ONCE));
     assert!(first.until < s.now + SECOND, "{first:?}");
     let wait = s.out.iter().find(|out| out.message == once).map(|out| out.until - out.sent);
-    assert_eq!(wait, Some(4 * SECOND), "what must not run twice waits for its aim");
+    assert_eq!(wait, Some(4 * SECOND), "a message that must not run twice waits until its aim");
     s.pass(SECOND / 10);
     s.accept(SAFE);
     s.end_last(Outcome::Delivered);
     s.pass(SECOND);
     let again = s.sent.iter().rfind(|out| out.message == keyed).copied();
-    let again = again.filter(|again| again.attempt == 1).expect("it is repeated");
-    assert!(again.until - again.sent > first.until - first.sent, "and given longer");
+    let again = again.filter(|again| again.attempt == 1).expect("the message is repeated");
+    assert!(again.until - again.sent > first.until - first.sent, "the repeat has a longer time-out");
 }
 
 #[test]
@@ -209,7 +209,7 @@
     let mut s = Sender::new(settings(), &[]);
     let id = s.accept(SAFE);
     s.pass(19 * SECOND);
-    assert!(s.refused.is_empty(), "held for news of its destination");
+    assert!(s.refused.is_empty(), "held, since its destination may still be listed");
     s.pass(SECOND);
     assert_eq!(s.refused, [(id, 0)]);
     s.pass(10 * SECOND);
@@ -273,7 +273,7 @@
     s.accept(KEYED);
     s.end(Outcome::Error);
     s.pass(SECOND);
-    assert_eq!(s.sent.len(), 2, "repeated inside");
+    assert_eq!(s.sent.len(), 2, "repeated within the window");
     // The window counts from the first attempt that may have run.
     s.pass(SECOND);
     s.end(Outcome::Error);
@@ -335,10 +335,10 @@
     s.pass(SECOND);
     assert!(s.sent.is_empty());
     s.tell(vec![Event::Changes(vec![entry(1, 0)])]);
-    assert_eq!(s.sent.len(), 1, "and undone when it comes back");
+    assert_eq!(s.sent.len(), 1, "sent once the endpoint is listed as ready again");
     s.tell(vec![Event::List(vec![])]);
     s.accept(SAFE);
-    assert_eq!(s.sent.len(), 1, "what a full list leaves out is gone");
+    assert_eq!(s.sent.len(), 1, "an endpoint that is not in the whole list is gone");
 }
 
 #[test]
@@ -353,15 +353,15 @@
     assert_eq!(s.other, [Action::Watch, Action::Watch]);
 }
 
-/// Found on the large fleet: all senders asked at once, and again 50 ms after each failure, so that discovery
-/// answered none of them for as long as the day lasted.
+/// Found in a simulation of a large tier: all senders requested the list at once, and again 50 ms after each
+/// failure, so that discovery answered none of them for the rest of the run.
 #[test]
 fn the_senders_of_a_large_fleet_ask_for_the_list_one_after_the_other() {
     let mut settings = settings();
     (settings.must_ask, settings.senders) = (true, 100);
     let mut fleet: Vec<_> = (0..100).map(|seed| Policy::new(settings.clone(), seed, START)).collect();
     let mut most = 0;
-    // Every ask fails at once.
+    // Every request fails at once.
     for second in 0..40 {
         let mut asks = 0;
         for policy in &mut fleet {
@@ -393,7 +393,8 @@
     assert!(s.sent.len() > 1);
 }
 
-/// Found on the bench: the messages of one call were told different waits, and only the first was read.
+/// Found in a simulation: the messages of one call got different requested waits, and only the first was
+/// observed.
 #[test]
 fn each_message_of_a_call_may_be_told_a_wait() {
     let mut s = Sender::new(settings(), &[entry(1, 2)]);
@@ -416,7 +417,7 @@
     s.accept(SAFE);
     let waits = s.out[0].endpoint;
     s.end(Outcome::Full(Some(2 * SECOND)));
-    assert_eq!(s.sent.len(), 2, "the other route takes it");
+    assert_eq!(s.sent.len(), 2, "sent on the other route");
     assert_ne!(s.out[0].endpoint, waits);
 }
 
@@ -426,7 +427,7 @@
     let first = s.accept_keyed(ORDERED, Some(9));
     let second = s.accept_keyed(ORDERED, Some(9));
     s.accept_keyed(ORDERED, Some(10));
-    assert_eq!(s.out.len(), 2, "another key goes");
+    assert_eq!(s.out.len(), 2, "a message with another key is sent");
     s.end(Outcome::Delivered);
     assert!(s.out.iter().any(|o| o.message == second));
     assert!(s.sent.iter().filter(|o| o.message == first).count() == 1);
@@ -439,7 +440,7 @@
     let second = s.accept_keyed(ORDERED, Some(9));
     s.tell(vec![Event::Left(first)]);
     s.pass(SECOND);
-    assert_eq!(s.sent.len(), 1, "an attempt of the earlier one is out");
+    assert_eq!(s.sent.len(), 1, "an attempt of the earlier message is outstanding");
     s.end(Outcome::Reset);
     s.pass(SECOND - 1);
     assert_eq!(s.sent.len(), 1);
@@ -447,14 +448,15 @@
     assert_eq!(s.sent.last().map(|o| o.message), Some(second));
 }
 
-/// Most calls sent within any three seconds from a time on.
+/// Maximum number of attempts sent in any three seconds after a time.
 fn busiest_span(s: &Sender, from: Micros) -> usize {
     let sent: Vec<_> = s.sent.iter().map(|o| o.sent).filter(|at| *at >= from).collect();
     let span = |at: &Micros| sent.iter().filter(|o| (*at..*at + 3 * SECOND).contains(*o)).count();
     sent.iter().map(span).max().unwrap_or(0)
 }
 
-/// Serves all that comes for so long, with a message every quarter of a second.
+/// For a number of seconds, accepts a message every quarter of a second and ends all its attempts as
+/// delivered.
 fn recover(s: &mut Sender, seconds: u64) {
     for _ in 0..seconds * 4 {
         s.accept(SAFE);
@@ -472,14 +474,15 @@
     s.suffer(12, Outcome::ConnectFailed);
     let back = s.now;
     recover(&mut s, 4);
-    // Four a second were usual: twice a fifth of that for three seconds, and the ramp's rise.
+    // The usual rate is four per second. The ramp allows twice a fifth of that for three seconds, and rises.
     assert!(busiest_span(&s, back) <= 8, "{}", busiest_span(&s, back));
     let warm = s.now + 14 * SECOND;
     recover(&mut s, 20);
-    assert!(s.sent.iter().filter(|o| o.sent > warm).count() > 20, "and the ramp ends");
+    assert!(s.sent.iter().filter(|o| o.sent > warm).count() > 20, "the ramp ends");
 }
 
-/// Found on the bench: a shut destination shows as full only; its return is as cold as any.
+/// Found in a simulation: a destination that has shut down only refuses as full; it returns as cold as any
+/// other.
 #[test]
 fn a_shut_destination_comes_back_cold() {
     let mut s = one();
@@ -496,7 +499,8 @@
     assert!(busiest_span(&s, back) <= 8, "{}", busiest_span(&s, back));
 }
 
-/// Found on the bench: at a half-failing destination the warm-up counted from a success amid the outage.
+/// Found in a simulation: at a half-failing destination the warm-up was counted from a success during the
+/// outage.
 #[test]
 fn a_failure_while_cold_starts_the_warm_up_anew() {
     let mut s = one();
@@ -509,7 +513,7 @@
     assert!(busiest_span(&s, back) <= 12, "{}", busiest_span(&s, back));
 }
 
-/// Found on the bench: messages of a destination that is down filled the buffer for all others.
+/// Found in a simulation: messages for a destination that was down filled the buffer, which all others share.
 #[test]
 fn a_full_buffer_sheds_what_cannot_go() {
     let mut other = entry(2, 0);
@@ -529,7 +533,7 @@
     assert!(s.sent.iter().any(|o| o.message == id));
 }
 
-/// Found on the standing test: what had been taken on was handed back for what came after it.
+/// Found in a long-running test: messages that had been accepted were handed back in favour of newer ones.
 #[test]
 fn a_full_buffer_turns_away_what_comes_before_it_hands_back() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
@@ -540,8 +544,8 @@
     s.pass(2 * SECOND);
     let new: Vec<_> = (0..5).map(|_| s.accept(SAFE)).collect();
     let refused: Vec<_> = std::mem::take(&mut s.refused).into_iter().map(|r| r.0).collect();
-    assert_eq!(refused, new, "nobody has been told that these are taken on");
-    // Nine tenths of their time later, the wait goes on: what is handed back then was not early.
+    assert_eq!(refused, new, "these have not been reported as accepted to their clients");
+    // After nine tenths of their time the wait is extended: handing them back is no longer early.
     s.pass(7 * SECOND);
     s.tell(vec![wait]);
     s.pass(6 * SECOND);
@@ -562,7 +566,8 @@
     assert_eq!(run(), run());
 }
 
-/// Found on the bench: one hanging call among answered ones made its destination ramp as cold.
+/// Found in a simulation: one hanging call among answered ones caused a ramp at its destination as if it were
+/// cold.
 #[test]
 fn a_time_out_with_answers_since_does_not_count() {
     let mut s = one();
@@ -578,7 +583,7 @@
         s.tell(vec![event]);
         s.pass(SECOND / 5);
     }
-    assert!(s.failed.len() == 3, "the three have timed out");
+    assert!(s.failed.len() == 3, "the three calls have timed out");
     let before = s.sent.len();
     for _ in 0..4 {
         s.accept(SAFE);
@@ -586,7 +591,7 @@
     assert_eq!(s.sent.len(), before + 4, "no ramp");
 }
 
-/// Hundreds of senders that each hold a message must not all try a destination that just failed.
+/// Hundreds of senders that each hold a message must not all call a destination that has just failed.
 #[test]
 fn among_many_senders_one_failure_spaces_out_the_next_calls() {
     let calls = |senders| {
@@ -606,19 +611,19 @@
     assert!(calls(400) < calls(2), "{} {}", calls(400), calls(2));
 }
 
-/// Idle connections of many senders fill an endpoint's table.
+/// Idle connections of many senders fill an endpoint's connection table.
 #[test]
 fn a_connection_that_would_close_unused_is_closed_after_use() {
     let mut s = one();
     let close = Action::CloseIdle(endpoint(1));
     s.accept(SAFE);
     s.end(Outcome::Delivered);
-    assert!(s.other.contains(&close), "no second use is in sight");
+    assert!(s.other.contains(&close), "closed: no second use is expected");
     s.other.clear();
     s.pass(SECOND);
     s.accept(SAFE);
     s.end(Outcome::Delivered);
-    assert!(!s.other.contains(&close), "used again within the time that an idle one lives");
+    assert!(!s.other.contains(&close), "kept: it was used again before an idle connection would close");
 }
 
 fn resumed(s: &mut Sender, class: usize, attempts: u32, ran: &[Micros]) -> MessageId {
@@ -629,23 +634,23 @@
     id
 }
 
-/// Guards against a restart that repeats an effect.
+/// A restart must not repeat an effect.
 #[test]
 fn a_resumed_message_is_bound_by_what_may_have_run() {
     let mut s = one();
     let unsafe_one = resumed(&mut s, ONCE, 1, &[SECOND]);
     assert_eq!(s.failed, [unsafe_one]);
     let late = resumed(&mut s, KEYED, 1, &[23 * SECOND / 4]);
-    assert_eq!(s.failed, [unsafe_one, late], "the key is remembered for too short a time");
+    assert_eq!(s.failed, [unsafe_one, late], "the key would be forgotten before the repeat arrives");
     assert!(s.sent.is_empty());
     resumed(&mut s, KEYED, 1, &[57 * SECOND / 10]);
     resumed(&mut s, ONCE, 1, &[]);
-    assert_eq!(s.sent.len(), 2, "both can do no harm");
+    assert_eq!(s.sent.len(), 2, "both attempts are harmless");
     let used_up = resumed(&mut s, ONCE, 4, &[]);
     assert_eq!(s.refused.iter().map(|r| r.0).collect::<Vec<_>>(), [used_up]);
 }
 
-/// Guards against a call that is cut off by the end of the process and must not be repeated.
+/// The end of the process must not interrupt a call that the next process is not allowed to repeat.
 #[test]
 fn nothing_unsafe_is_out_when_the_process_ends() {
     let mut s = one();
@@ -662,7 +667,7 @@
     s.accept(KEYED);
     assert_eq!(s.sent.len(), before + 1, "the next process may repeat it");
     resumed(&mut s, KEYED, 1, &[9 * SECOND / 2]);
-    assert_eq!(s.sent.len(), before + 2, "it may have run already, and is repeated in time or not at all");
+    assert_eq!(s.sent.len(), before + 2, "it may have run already: it is repeated in time or not at all");
 }
 
 #[test]
@@ -676,7 +681,7 @@
     assert_eq!(s.sent.len(), 1);
 }
 
-/// Guards against a call whose answer counts for nothing since its first message was over already.
+/// The answer of a call was ignored because its first message had already ended and was not sent.
 #[test]
 fn a_message_that_was_not_sent_does_not_judge_its_call() {
     let mut s = Sender::new(settings(), &[]);
@@ -698,7 +703,7 @@
     assert_eq!(s.sent.len(), before, "five failed calls have opened the breaker");
 }
 
-/// A sender among others, with a limit told of what it sends to.
+/// A sender of a tier that has been given the limit of its destination.
 fn one_of(senders: usize, limit: f32) -> Sender {
     let mut settings = settings();
     (settings.senders, settings.peers) = (senders, true);
@@ -709,7 +714,8 @@
     s
 }
 
-/// Found on the large fleet: each sender sees few calls, and all together made twice what the limit allows.
+/// Found in a simulation of a large tier: each sender sees few calls, and all together made twice as many as
+/// the limit allows.
 #[test]
 fn senders_take_turns_at_a_limit_that_is_told() {
     let mut fleet: Vec<_> = (0..10).map(|_| one_of(10, 10.0)).collect();
@@ -730,33 +736,33 @@
     assert!((10..=18).contains(&sent), "{sent} in a second");
 }
 
-/// Guards against a sender that notes can keep from sending: cut, of another version, of nobody's destination,
-/// or one over and over again.
+/// No notes may keep a sender from sending: truncated ones, ones of another version or about an unknown
+/// destination, or the same one repeated many times.
 #[test]
 fn notes_hold_a_sender_back_for_a_round_of_all_at_most() {
     let mut s = one_of(10, 10.0);
     let note = |content: &[u8]| Event::Note { from: 1, content: content.to_vec() };
     s.tell(vec![note(&[]), note(&[0x11]), note(&[0x21, 7, 0]), note(&[0x11, 9, 9]), note(&[0x11, 7, 0, 0])]);
     s.accept(SAFE);
-    assert_eq!(s.sent.len(), 1, "none of these says anything");
+    assert_eq!(s.sent.len(), 1, "none of these notes has an effect");
     s.end(Outcome::Delivered);
     for _ in 0..3 {
         s.tell(vec![note(&[0x11, 7, 0]); 1000]);
         s.accept(SAFE);
         s.pass(SECOND / 2);
     }
-    assert_eq!(s.sent.len(), 2, "held for a second and half a second ahead");
+    assert_eq!(s.sent.len(), 2, "held for a round of one second plus half a second ahead of the limit");
 }
 
-/// Found on the large fleet: a sender that hears of a destination once in four seconds went on by a limit that
-/// had fallen, or risen again, long before.
+/// Found in a simulation of a large tier: a sender that gets a report of a destination once in four seconds
+/// kept using a limit that had fallen, or risen again, long before.
 #[test]
 fn a_limit_that_has_changed_is_told_to_the_others() {
     let mut s = one_of(10, 100.0);
     let probed =
         Event::Probed { endpoint: endpoint(1), outcome: Outcome::Delivered, report: vec![1.0, 110.0] };
     s.tell(vec![probed]);
-    assert_eq!(s.other, [], "no more than reports are off");
+    assert_eq!(s.other, [], "the change is within the error of reports");
     let probed = Event::Probed { endpoint: endpoint(1), outcome: Outcome::Delivered, report: vec![1.0, 1.0] };
     s.tell(vec![probed]);
     let [Action::Tell { to: None, content }] = &s.other[..] else { panic!("{:?}", s.other) };
@@ -772,11 +778,11 @@
     for _ in 0..3 {
         unaware.accept(SAFE);
     }
-    assert_eq!(unaware.sent.len(), 3, "no limit is none");
+    assert_eq!(unaware.sent.len(), 3, "a limit of 0 in a note is ignored");
 }
 
-/// A destination that is cold since its own start, of which nobody saw an outage: what it bears is shared by the parts
-/// that senders were told, not evenly.
+/// A destination is cold after its own start, without an outage that any sender saw: its capacity is divided
+/// by the parts given to the senders, not evenly.
 #[test]
 fn a_cold_destination_gets_this_senders_part_of_what_it_bears() {
     let calls = |part: Option<f64>| {
@@ -793,7 +799,7 @@
         }
         s.sent.len()
     };
-    // Two times its fifth and a little of 20 calls a second, for three seconds, less a tenth.
+    // Twice a fifth, and a little more, of 20 calls per second, for three seconds, less a tenth.
     let (none, all, half, tenth) = (calls(None), calls(Some(1.0)), calls(Some(0.5)), calls(Some(0.1)));
     assert!(
         none == 30 && (25..=29).contains(&all) && (12..=14).contains(&half) && tenth == 2,
@@ -801,8 +807,8 @@
     );
 }
 
-/// Found on the large fleet: where a limit was used up for a moment, senders that call there once in some seconds
-/// were held back as from an outage, for ten seconds and more.
+/// Found in a simulation of a large tier: when a limit was used up for a moment, senders that call there once
+/// in several seconds were held back as after an outage, for ten seconds and more.
 #[test]
 fn one_refusal_is_no_outage_and_two_with_nothing_served_may_be() {
     let calls = |refusals| {
@@ -821,11 +827,12 @@
         s.pass(3 * SECOND);
         s.sent.len() - before
     };
-    assert_eq!(calls(1), 1, "the next call tells whether it was more than a limit");
-    assert_eq!(calls(2), 0, "a destination that refuses this as well may be shut, and come back cold");
+    assert_eq!(calls(1), 1, "the next call is sent, and shows whether the cause was more than a limit");
+    assert_eq!(calls(2), 0, "a destination that refuses that one too may have shut down, and return cold");
 }
 
-/// Guards told waits: a kind's routes may come apart, or together, while a destination is away.
+/// The routes of a kind may be split or merged while a destination is evicted; a requested wait must still be
+/// observed.
 #[test]
 fn a_told_wait_binds_whatever_became_of_the_kind_while_the_destination_was_away() {
     // Kind 0 has one route for all endpoints, kind 1 one for each.
@@ -845,7 +852,7 @@
     }
 }
 
-/// Guards memory: what is kept of a destination that is away does not grow with what was sent to it.
+/// The state that is kept of an evicted destination must not grow with the number of messages sent to it.
 #[test]
 fn what_is_kept_of_a_route_is_short_however_much_was_sent() {
     let mut settings = settings();
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Random streams of events keep the rules.
+//! The module keeps its rules on random sequences of events.
 
 mod common;
 
@@ -29,7 +29,7 @@
     ]
 }
 
-/// What an outside observer remembers of the rules.
+/// Observer that checks the rules from outside the module.
 #[derive(Default)]
 struct Watch {
     seen: usize,
@@ -46,40 +46,40 @@
     fn check(&mut self, s: &Sender) {
         for out in &s.sent[self.seen..] {
             let (class, key, deadline) = self.accepted[&out.message];
-            assert!(!self.over.contains(&out.message), "nothing goes out after the end");
+            assert!(!self.over.contains(&out.message), "no attempt after the message has ended");
             assert!(out.sent < deadline && out.until <= deadline && out.attempt < 4);
-            assert!(!self.drained.contains(&out.endpoint), "drains are kept");
-            assert!(out.sent >= self.wait, "waits are heeded");
+            assert!(!self.drained.contains(&out.endpoint), "no attempt to a draining endpoint");
+            assert!(out.sent >= self.wait, "no attempt before a requested wait is over");
             let ran = self.may_have_run.entry(out.message).or_default();
             match class {
-                ONCE => assert!(ran.is_empty(), "no effect twice"),
-                KEYED => assert!(ran.iter().all(|r| out.sent <= r.1 + 6 * SECOND), "within its window"),
+                ONCE => assert!(ran.is_empty(), "no effect takes place twice"),
+                KEYED => assert!(ran.iter().all(|r| out.sent <= r.1 + 6 * SECOND), "no repeat after the key's window"),
                 _ => {}
             }
             let others = s.out.iter().filter(|o| o.message == out.message && o.attempt != out.attempt);
-            assert_eq!(others.count(), 0, "never two at once");
+            assert_eq!(others.count(), 0, "no two attempts at once");
             if class == ORDERED {
                 let earlier = self.order.iter().take_while(|m| **m != out.message);
                 for m in earlier.filter(|m| self.accepted[m].0 == ORDERED && self.accepted[m].1 == key) {
-                    assert!(self.over.contains(m), "order is kept");
+                    assert!(self.over.contains(m), "no attempt before earlier messages of the key have ended");
                     assert!(s.out.iter().all(|o| o.message != *m));
                 }
                 let rest = self.rest.get(&key).filter(|r| r.1 != out.message).map_or(0, |r| r.0);
-                assert!(out.sent >= rest, "the key rests");
+                assert!(out.sent >= rest, "no attempt while the key is paused");
             }
             ran.push((out.attempt, out.sent));
         }
         self.seen = s.sent.len();
         let answers: Vec<_> = s.refused.iter().map(|r| r.0).chain(s.failed.iter().copied()).collect();
         let distinct: BTreeSet<_> = answers.iter().copied().collect();
-        assert_eq!(distinct.len(), answers.len(), "one final answer");
+        assert_eq!(distinct.len(), answers.len(), "each message has one final answer");
         for (id, _) in &s.refused {
             let ran = self.may_have_run.get(id).is_some_and(|r| !r.is_empty());
-            assert!(!ran || self.accepted[id].0 >= SAFE, "a refusal is harmless");
+            assert!(!ran || self.accepted[id].0 >= SAFE, "no refusal of a message that may have run and must not be repeated");
         }
         self.over.extend(distinct);
         for (id, (_, _, deadline)) in &self.accepted {
-            assert!(s.now <= deadline + 20_000 || self.over.contains(id), "answered in time");
+            assert!(s.now <= deadline + 20_000 || self.over.contains(id), "every message is answered in time");
         }
     }
 
@@ -155,7 +155,8 @@
                     s.tell(vec![Event::Changes(vec![entry])]);
                 }
                 Step::Pass(span) => {
-                    // In small steps, so that each time-out is seen before the sends that follow it.
+                    // Time passes in small steps, so that each time-out is seen before the sends that follow
+                    // it.
                     let until = s.now + span;
                     while s.now < until {
                         let due: Vec<_> = s.out.iter().copied().filter(|o| o.until <= s.now + 5_000).collect();
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Frames in and out, and what is malformed.
+//! Wire protocol of the simulator's adapter: decoding, encoding and errors in malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -112,7 +112,7 @@
     let list = |offset: u8| record(4, &[(5, &[offset, 0, 0, 0, 1, 0, 0, 0])]);
     let news = record(6, &[(1, &[3]), (3, &[2])]);
     let inputs =
-        after_boot(&[list(0), news.clone(), list(24), news], &entries).expect("a repeated number is legal");
+        after_boot(&[list(0), news.clone(), list(24), news], &entries).expect("a list number may be defined again");
     let listing = |input: &Input| match input {
         Input::Event(Event::List(list)) => list[0].listing,
         other => panic!("{other:?}"),
@@ -162,7 +162,7 @@
     let news = record(6, &[(1, &[3]), (3, &[2])]);
     let cases: Vec<(Result<Vec<Input>, String>, &str)> = vec![
         (after_boot(&[record(99, &[])], b""), "unknown event code 99"),
-        (after_boot(&[news], b""), "list 0, which was never told"),
+        (after_boot(&[news], b""), "list 0, which was never defined"),
         (after_boot(&[record(4, &[(5, &[9, 0, 0, 0, 1])])], b""), "outside the tail"),
         (after_boot(&[record(4, &[(1, &[16])])], b""), "list number 16 out of range"),
         (after_boot(&[], b"xx"), "over-long frame"),
@@ -198,7 +198,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    child.stdin.take().expect("piped").write_all(input).expect("the adapter reads");
+    child.stdin.take().expect("piped").write_all(input).expect("the adapter reads its input");
     child.wait_with_output().expect("the adapter ends")
 }
 
@@ -206,7 +206,7 @@
 fn the_adapter_answers_each_batch_and_ends_with_its_input() {
     let mut input = frame(&[], b"");
     input.extend(boot(SETTINGS));
-    // Killed and started in one batch, then an outcome of a message no longer held.
+    // An instance is killed and started in one batch, then gets the outcome of a message that it no longer holds.
     let length = (SETTINGS.len() as u32).to_le_bytes();
     let start = record(8, &[(1, &[3]), (15, &length)]);
     input.extend(frame(&[record(9, &[(1, &[3])]), start], SETTINGS.as_bytes()));
@@ -232,5 +232,5 @@
     assert!(!output.status.success());
     let text = String::from_utf8(output.stderr).expect("plain text");
     assert_eq!(text, "myrtleyard-adapter: unknown event code 99\n");
-    assert_eq!(output.stdout, [0; 8], "the reply to the good batch and nothing more");
+    assert_eq!(output.stdout, [0; 8], "only the reply to the valid batch");
 }
--- a/tests/working_set.rs
+++ b/tests/working_set.rs
@@ -1,5 +1,5 @@
-//! A destination that leaves the module and enters again: it never leaves while anything rests on it, and decisions
-//! afterwards are those that would have been made had it stayed.
+//! Evicting a destination from the decision module and loading it again: it is never evicted while it is in
+//! use, and the decisions afterwards are the same as without the eviction.
 
 mod common;
 
@@ -10,7 +10,8 @@
 use myrtleyard::policy::Route;
 use proptest::prelude::*;
 
-/// Leaves, and enters again with what was kept, as the driver keeps it. How many routes were; none if it did not leave.
+/// Evicts the destination and loads it again with its kept routes, serialized as the driver does it. Returns
+/// the number of kept routes, or `None` if the destination was not evicted.
 fn away_and_back(s: &mut Sender, entries: &[Entry]) -> Option<usize> {
     let kept = s.policy.evict(DEST, s.now)?;
     let bytes = postcard::to_allocvec(&kept).unwrap();
@@ -30,38 +31,38 @@
 fn nothing_leaves_while_a_message_is_held() {
     let mut s = Sender::new(settings(), &[]);
     s.accept(SAFE);
-    assert!(s.policy.evict(DEST, s.now).is_none(), "it waits for an endpoint");
+    assert!(s.policy.evict(DEST, s.now).is_none(), "the message waits for an endpoint");
     s.pass(30 * SECOND);
     assert_eq!(s.refused.len(), 1);
     assert_eq!(s.policy.evict(DEST, s.now).map(|kept| kept.len()), Some(0));
 }
 
-/// An attempt may outlive its message: it holds a slot, and its end tells of the route.
+/// An attempt may outlive its message: it holds a slot, and its outcome says something about the route.
 #[test]
 fn nothing_leaves_while_a_call_is_out() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     let message = s.accept(SAFE);
     assert_eq!(s.out.len(), 1);
-    assert!(s.policy.evict(DEST, s.now).is_none(), "held and out");
+    assert!(s.policy.evict(DEST, s.now).is_none(), "held and outstanding");
     s.tell(vec![Event::Left(message)]);
     assert_eq!(s.policy.held(), 0);
-    assert!(s.policy.evict(DEST, s.now).is_none(), "out, though over");
+    assert!(s.policy.evict(DEST, s.now).is_none(), "outstanding, although the message has ended");
     s.end(Outcome::Delivered);
     assert!(s.policy.evict(DEST, s.now).is_some());
 }
 
-/// An effect that may have happened binds for as long as its message is held.
+/// An effect that may have taken place restricts repeats for as long as its message is held.
 #[test]
 fn nothing_leaves_while_a_repeat_may_come() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     s.accept(KEYED);
     s.tell(vec![Event::Wait { endpoint: endpoint(1), wait: SECOND }]);
     s.end(Outcome::Error);
-    assert_eq!((s.policy.held(), s.out.len()), (1, 0), "its repeat waits");
+    assert_eq!((s.policy.held(), s.out.len()), (1, 0), "the repeat waits");
     assert!(s.policy.evict(DEST, s.now).is_none());
 }
 
-/// Once it has left nothing of it is there; a message that comes before it is listed again waits.
+/// Nothing of a destination remains after its eviction; a message that comes before it is listed again waits.
 #[test]
 fn what_has_left_is_gone_until_it_is_listed_again() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
@@ -76,8 +77,9 @@
     assert_eq!(s.sent.len(), before + 1);
 }
 
-/// A sender that sends little sees one failure where others see many: who enters anew is taken for idle since ever, so
-/// that the failure holds the next calls back as it does where nothing was delivered for long.
+/// A sender that sends little sees one failure where others see many. A destination that is loaded without
+/// kept routes counts as idle since the beginning of time, so that the failure holds the next calls back as
+/// it does where nothing was delivered for a long time.
 #[test]
 fn a_first_failure_after_an_absence_is_suspect() {
     let sent = |leaves: bool| {
@@ -98,7 +100,8 @@
     assert!(sent(true) <= sent(false) && sent(true) < 4, "{} for {}", sent(true), sent(false));
 }
 
-/// Where endpoints are routes apart each keeps its own wait; one that was told while they were one route binds all.
+/// Where each endpoint is a route, each keeps its own requested wait. A wait that was requested while they
+/// were one route applies to all.
 #[test]
 fn waits_come_back_to_the_routes_that_they_are_about() {
     let apart = [entry(1, 1), entry(2, 1)];
@@ -151,7 +154,7 @@
     }
 }
 
-/// What a sender has decided.
+/// All decisions of a sender so far.
 fn decided(s: &Sender) -> (&[Out], &[(MessageId, Micros)], &[MessageId]) {
     (&s.sent, &s.refused, &s.failed)
 }
@@ -177,9 +180,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Two senders with the same seed and the same events; from one the destination leaves at each idle moment. Kept
-    /// routes decide as if they had stayed. Where none was worth keeping the next messages go out at once, as many as do
-    /// from the sender where it stayed; estimates, and with them times to wait, may differ from there on.
+    /// Two senders have the same seed and get the same events; one of them evicts the destination at each
+    /// idle time. With kept routes the decisions are the same. Where no route was worth keeping, the next
+    /// messages are sent at once, as many as by the sender without the eviction; from there on, estimates and
+    /// the waiting times that depend on them may differ.
     #[test]
     fn an_absence_changes_no_decision(steps in prop::collection::vec(step(), 1..120)) {
         let one = [entry(1, 0)];
