--- a/examples/membership.rs
+++ b/examples/membership.rs
@@ -1,4 +1,5 @@
-//! Figures of the view of the fleet in virtual time, over seeds: `cargo run --release --example membership -- 50`.
+//! Convergence figures of the membership view in virtual time, over many seeds:
+//! `cargo run --release --example membership -- 50`.
 
 #[path = "../tests/common/tier.rs"]
 mod tier;
@@ -7,7 +8,7 @@
 use myrtleyard::membership::State;
 use tier::{PERIOD, START, Tier};
 
-/// Median, 99th percentile and most, in periods; what never came is told.
+/// Median, 99th percentile and maximum, in periods, and the number of runs in which the condition never held.
 fn shown(mut periods: Vec<Option<u32>>) -> String {
     let runs = periods.len();
     let never = periods.iter().filter(|p| p.is_none()).count();
@@ -29,14 +30,14 @@
     };
     let over = |figure: &dyn Fn(u64) -> Option<u32>| shown((1..=seeds).map(|n| figure(n * 7919)).collect());
     for size in sizes {
-        println!("{size} members; periods as median / 99th percentile / most");
+        println!("{size} members; periods as median / 99th percentile / maximum");
         println!(
-            "  all start cold, until all views are whole: {}",
+            "  all start cold, until all views are complete: {}",
             over(&|seed| { Tier::new(size, seed).until(200, Tier::whole) })
         );
         if size > 2 {
             println!(
-                "  one crashes, until all hold it for dead: {}",
+                "  one crashes, until it is dead in all views: {}",
                 over(&|seed| {
                     let mut tier = settled(size, seed);
                     tier.take(1);
@@ -44,7 +45,7 @@
                 })
             );
             println!(
-                "  three in ten crash at once, until all are held for dead: {}",
+                "  three in ten crash at once, until all of them are dead in all views: {}",
                 over(&|seed| {
                     let mut tier = settled(size, seed);
                     (0..size * 3 / 10).for_each(|rank| drop(tier.take(rank)));
@@ -52,7 +53,7 @@
                 })
             );
             println!(
-                "  seven in ten crash at once, until all are held for dead: {}",
+                "  seven in ten crash at once, until all of them are dead in all views: {}",
                 over(&|seed| {
                     let mut tier = settled(size, seed);
                     (0..size * 7 / 10).for_each(|rank| drop(tier.take(rank)));
@@ -60,7 +61,7 @@
                 })
             );
             println!(
-                "  and back together, until all views are whole: {}",
+                "  these come back together, until all views are complete: {}",
                 over(&|seed| {
                     let mut tier = settled(size, seed);
                     (0..size * 7 / 10).for_each(|rank| drop(tier.take(rank)));
@@ -70,7 +71,7 @@
                 })
             );
             println!(
-                "  a split in halves for 60 periods heals: {}",
+                "  a split in halves for 60 periods heals, until all views are complete: {}",
                 over(&|seed| {
                     let mut tier = settled(size, seed);
                     let half = size as u16 / 2;
@@ -82,7 +83,7 @@
             );
         }
         println!(
-            "  one restarts at once, until all views are whole: {}",
+            "  one restarts at once, until all views are complete: {}",
             over(&|seed| {
                 let mut tier = settled(size, seed);
                 tier.take(0);
@@ -105,7 +106,7 @@
                     }
                 }
                 let all = seeds * u64::from(periods);
-                println!("  {loss} lost: somebody there held for dead in {wronged} of {all} periods");
+                println!("  loss {loss}: a running member considered dead in {wronged} of {all} periods");
             }
         }
         let mut tier = settled(size, 5);
@@ -114,7 +115,7 @@
         let after = cost(&tier);
         let a_period = |n: u64| n as f64 / size as f64 / 50.0;
         println!(
-            "  cost: {:.1} datagrams, {:.0} bytes a member a period",
+            "  cost: {:.1} datagrams, {:.0} bytes per member and period",
             a_period(after.0 - before.0),
             a_period(after.1 - before.1)
         );
--- a/src/channel.rs
+++ b/src/channel.rs
@@ -1,41 +1,44 @@
-//! Messages in order and once over datagrams that get lost, late and repeated, between two processes.
+//! Ordered, exactly-once messages between two processes, over datagrams that may be lost, delayed or
+//! duplicated.
 //!
-//! Each process draws a number for each channel. A datagram names both; it counts only if both are the present ones.
-//! A number that is not known yet is taken only from an answer to a challenge of this moment, so that nothing that an
-//! earlier process sent comes in later. Segments are numbered, acknowledged cumulatively and selectively (RFC 2018),
-//! and resent after a time-out from the round trips seen (RFC 6298), which doubles.
+//! Each process draws a random number for each channel. A datagram carries both numbers, and is accepted only
+//! if both are current. An unknown number is accepted only in the answer to a pending challenge, so that no
+//! datagram of an earlier process is accepted later. Segments are numbered, acknowledged cumulatively and
+//! selectively (RFC 2018), and retransmitted after a time-out that is derived from measured round trips (RFC
+//! 6298) and doubles with each retry.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::interface::Micros;
 
-/// The first byte of a datagram tells whose channel it is; no other datagram between senders begins so.
+/// First byte of a datagram of the takeover channels. It identifies the component that a channel belongs to;
+/// no other datagram between senders begins with it.
 pub const TAKEOVER: u8 = 0xb3;
-/// The same, for the status index.
+/// First byte for the status index.
 pub const STATUS: u8 = 0xc5;
-/// The same, for starts.
+/// First byte for starts.
 pub const START: u8 = 0xd1;
-/// The same, for estimates.
+/// First byte for estimates.
 pub const ESTIMATE: u8 = 0xe3;
 const VERSION: u8 = 1;
 const HEAD: usize = 38;
-/// Bytes of a datagram at most.
+/// Maximum length of a datagram, in bytes.
 const DATAGRAM: usize = 256;
-/// Bytes of a segment at most.
+/// Maximum length of a segment, in bytes.
 pub const SEGMENT: usize = DATAGRAM - HEAD;
-/// Segments under way at most.
+/// Maximum number of segments in flight.
 const WINDOW: usize = 64;
-/// Segments sent at a time: a burst fills no queue on the way.
+/// Maximum number of segments sent at once, so that a burst does not overflow queues on the path.
 const BURST: usize = 16;
-/// Rest between two bursts.
+/// Minimum time between two bursts.
 const PACE: Micros = 2_000;
-/// Bytes that may wait to be sent; more breaks the channel.
+/// Maximum number of bytes queued; a message beyond it breaks the channel.
 pub const MOST_WAITING: usize = 1 << 20;
-/// A longer message is not sent.
+/// Maximum length of a message, in bytes.
 pub const MOST_BYTES: usize = 80 * 1024;
-/// Bounds of the time after which a segment is sent again.
+/// Minimum and maximum of the first retransmission time-out.
 const AGAIN: (Micros, Micros) = (40_000, 500_000);
-/// Until a round trip was seen.
+/// Assumed round-trip time before the first measurement.
 const FIRST_TRIP: Micros = 60_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -54,16 +57,16 @@
     arrived: bool,
 }
 
-/// What came of a datagram.
+/// The result of receiving a datagram.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Came {
-    /// Messages, in order.
+    /// Complete messages, in order.
     pub messages: Vec<Vec<u8>>,
-    /// The other side is a new process: what was under way is lost.
+    /// The peer restarted: everything in flight is lost.
     pub anew: bool,
-    /// It is from the process that is there now.
+    /// The datagram is from the peer's current process.
     pub heard: bool,
-    /// It is nothing of this channel, or of another time.
+    /// The datagram does not belong to this channel, or to its current processes.
     pub dropped: bool,
 }
 
@@ -74,9 +77,9 @@
     tier: u32,
     own: u64,
     peer: Option<u64>,
-    /// The number that is doubted, the challenge, and when it was sent last.
+    /// The unverified peer number, the challenge, and when it was last sent.
     challenge: Option<(u64, u32, Micros)>,
-    /// Numbers whose hello is to be answered, with their challenge.
+    /// The peer number whose hello is to be answered, and its challenge.
     welcome: Option<(u64, u32)>,
     waiting: VecDeque<u8>,
     window: VecDeque<Segment>,
@@ -91,8 +94,8 @@
 }
 
 impl Channel {
-    /// A channel of the process that drew `own`, in the tier with that checksum; `magic` is one of [`TAKEOVER`],
-    /// [`STATUS`], [`START`] and [`ESTIMATE`].
+    /// A channel of the process that drew the number `own`, in the tier with the checksum `tier`; `magic` is
+    /// one of [`TAKEOVER`], [`STATUS`], [`START`] and [`ESTIMATE`].
     pub fn new(magic: u8, own: u64, tier: u32) -> Self {
         Self {
             magic,
@@ -114,39 +117,40 @@
         }
     }
 
-    /// Whether the other side is known.
+    /// Whether the channel is established: the peer's current number is verified.
     pub fn is_up(&self) -> bool {
         self.peer.is_some()
     }
 
-    /// When something was sent last.
+    /// When a data datagram was last sent.
     pub fn last_sent(&self) -> Micros {
         self.sent
     }
 
-    /// Bytes that were not sent yet.
+    /// Number of queued bytes that were not sent yet.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether something waits to be sent or acknowledged.
+    /// Whether anything is queued or not acknowledged.
     pub fn busy(&self) -> bool {
         !self.waiting.is_empty() || !self.window.is_empty()
     }
 
-    /// Begins to get to know the other side, if it is not known.
+    /// Starts the handshake, if the channel is not established.
     pub fn greet(&mut self, challenge: u32) {
         if self.peer.is_none() && self.challenge.is_none() {
             self.challenge = Some((0, challenge, 0));
         }
     }
 
-    /// Says something at the next flush, so that the other side hears of this one.
+    /// Sends a keep-alive at the next flush, if nothing else is sent.
     pub fn ping(&mut self) {
         self.answer = true;
     }
 
-    /// Queues a message. False if it breaks the channel's bounds: then the channel is of no use any more.
+    /// Queues a message. Returns false if it exceeds the channel's limits: the channel must then be
+    /// discarded.
     #[must_use]
     pub fn send(&mut self, message: &[u8]) -> bool {
         if message.len() > MOST_BYTES || self.waiting.len() + message.len() + 4 > MOST_WAITING {
@@ -157,7 +161,7 @@
         true
     }
 
-    /// A datagram has come. `challenge` is drawn by chance.
+    /// Handles a datagram. `challenge` is a fresh random number.
     pub fn receive(&mut self, now: Micros, bytes: &[u8], challenge: u32) -> Came {
         let dropped = Came { dropped: true, ..Came::default() };
         let Some((kind, from, to, [seq, ack, sack])) = self.read(bytes) else { return dropped };
@@ -175,7 +179,7 @@
                 self.challenge = None;
                 let anew = self.peer.is_some_and(|peer| peer != from);
                 if anew {
-                    // Whatever was said was said to a process that is no more.
+                    // Everything sent so far went to a process that has ended.
                     *self = Self {
                         welcome: self.welcome,
                         sent: self.sent,
@@ -211,7 +215,7 @@
         }
     }
 
-    /// Asks whoever uses a number that is not known to prove that it is there now.
+    /// Challenges the user of an unknown number to prove that it is running now.
     fn doubt(&mut self, number: u64, challenge: u32) {
         let known = self.peer == Some(number);
         if !known && self.challenge.is_none_or(|(asked, ..)| asked != number) {
@@ -224,7 +228,7 @@
         while let Some(length) = self.partial.get(at..at + 4).and_then(|l| l.try_into().ok()) {
             let length = u32::from_le_bytes(length) as usize;
             if length > MOST_BYTES {
-                // No sound process says that: nothing more is made of what comes from it.
+                // No correct process sends such a length: the channel is reset.
                 self.partial.clear();
                 self.peer = None;
                 return;
@@ -259,7 +263,7 @@
         (first << tries.saturating_sub(1).min(3)).min(AGAIN.1 * 2)
     }
 
-    /// Sends what is due: answers, segments that are new or were lost, a challenge.
+    /// Sends what is due: handshake answers, a challenge, new and lost segments, acknowledgements.
     pub fn flush(&mut self, now: Micros, out: &mut impl FnMut(Vec<u8>)) {
         if let Some((to, seq)) = self.welcome.take() {
             out(self.write(Kind::Welcome, to, [seq, 0, 0], &[]));
@@ -310,7 +314,7 @@
         overtaken || now >= sent + self.again_after(segment.tries)
     }
 
-    /// When it wants to be flushed next.
+    /// When the next flush is due.
     pub fn due(&self) -> Option<Micros> {
         let challenge = self.challenge.map(|(_, _, sent)| sent + 2 * FIRST_TRIP);
         let rested = self.rested + PACE;
@@ -324,7 +328,7 @@
         challenge.into_iter().chain(up).chain(answer).min()
     }
 
-    /// Bits of what has come beyond the next segment that is missing.
+    /// Selective acknowledgement: bitmap of the segments received beyond the next missing one.
     fn missing(&self) -> u32 {
         let bit = |seq: &u32| seq.wrapping_sub(self.came + 2);
         self.early.keys().map(bit).filter(|bit| *bit < 32).fold(0, |bits, bit| bits | 1 << bit)
@@ -344,7 +348,8 @@
         bytes
     }
 
-    /// Kind, both numbers, and segment, acknowledged, and missing.
+    /// Decodes a datagram: kind; the writer's and the reader's number; segment, cumulative and selective
+    /// acknowledgement.
     fn read(&self, bytes: &[u8]) -> Option<(Kind, u64, u64, [u32; 3])> {
         let long = |at: usize| Some(u64::from_le_bytes(bytes.get(at..at + 8)?.try_into().ok()?));
         let short = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
--- a/src/channel/tests.rs
+++ b/src/channel/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Two sides and what is under way between them; each datagram may be lost, late or repeated.
+/// Two sides and the datagrams in flight between them; each may be lost, delayed or duplicated.
 struct Pair {
     sides: [Channel; 2],
     under_way: Vec<(Micros, usize, Vec<u8>)>,
@@ -48,7 +48,8 @@
     }
 }
 
-/// Guards order and once-only over loss, lateness and repetition, for messages of no bytes up to many segments.
+/// Checks order and exactly-once delivery under loss, delay and duplication, for messages from zero bytes up
+/// to many segments.
 #[test]
 fn all_arrives_once_and_in_order() {
     for (seed, loss) in (0..12).zip([0.0, 0.05, 0.2, 0.4].into_iter().cycle()) {
@@ -65,7 +66,7 @@
     }
 }
 
-/// Guards against what an earlier process sent, and what was sent to one: after a restart none of it comes in.
+/// Guards against datagrams sent by or to an earlier process: after a restart none of them is accepted.
 #[test]
 fn nothing_crosses_a_restart() {
     for seed in 0..12 {
@@ -88,7 +89,7 @@
     }
 }
 
-/// Guards against datagrams that are cut, spoilt, another tier's, or nothing at all.
+/// Guards against datagrams that are truncated, corrupt, empty or from another tier.
 #[test]
 fn what_is_not_sound_is_dropped() {
     let mut other = Channel::new(TAKEOVER, 1, 9);
--- a/src/check.rs
+++ b/src/check.rs
@@ -1,6 +1,6 @@
-//! Checking a configuration before it is taken: all that is wrong with it at once, each fault with its key, what
-//! stands there and what is expected, and what a valid one would change. No I/O; what is read here is what the
-//! platform writes, so that keys beyond those known are let be, but for the sections of optional parts.
+//! Validation of a configuration before it is applied: all faults at once, each with its key, the value found
+//! and what is expected, and for a valid one the changes that it would make. No I/O. The platform writes
+//! these documents, so unknown keys are ignored, except in the sections of optional components.
 
 pub mod apart;
 
@@ -12,21 +12,21 @@
 use serde::de::{DeserializeSeed, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Number, Value};
 
-/// A larger document is not read.
+/// Maximum size of a document, in bytes.
 pub const LARGEST: usize = 256 * 1024;
-/// Faults and changes that are told at most.
+/// Maximum number of faults or changes reported.
 pub const MOST_TOLD: usize = 64;
-/// A value is shown up to so many characters.
+/// Maximum number of characters of a value in a report.
 const SHOWN: usize = 60;
 
-/// Something that is wrong.
+/// A fault of the document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Fault {
-    /// Where, as keys and positions: `settings.classes[1].effect`. Empty for the document as a whole.
+    /// Path of keys and positions: `settings.classes[1].effect`. Empty for the document as a whole.
     pub key: String,
-    /// What stands there, shortened; `missing` if nothing does.
+    /// The value found, shortened; `missing` if there is none.
     pub value: String,
-    /// What should.
+    /// What is expected instead.
     pub expected: String,
 }
 
@@ -46,26 +46,26 @@
 /// When a change takes effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum Takes {
-    /// With the next turn.
+    /// With the next event-loop iteration.
     #[serde(rename = "at once")]
     AtOnce,
-    /// Not in this process.
+    /// Not in the running process, only in the next one.
     #[serde(rename = "with a new process")]
     NewProcess,
 }
 
-/// What a document changes.
+/// A change that a document makes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Change {
-    /// Where.
+    /// Path of keys, as in [`Fault::key`].
     pub key: String,
-    /// What is in force; `missing` if nothing is.
+    /// The value in force; `missing` if there is none.
     pub before: String,
-    /// What would be.
+    /// The value of the document; `missing` if there is none.
     pub after: String,
-    /// When.
+    /// When it takes effect.
     pub takes: Takes,
-    /// What it means for messages under way.
+    /// What it means for messages in hand.
     pub under_way: &'static str,
 }
 
@@ -74,7 +74,7 @@
     if text.chars().count() <= SHOWN { text } else { text.chars().take(SHOWN).chain(['…']).collect() }
 }
 
-/// Reads any JSON, and notes keys that an object has twice: the last one would win unseen.
+/// Parses any JSON, and collects keys that occur twice in an object: the last one would win unnoticed.
 struct Read<'a> {
     path: String,
     twice: &'a RefCell<Vec<String>>,
@@ -105,7 +105,7 @@
         Ok(value.into())
     }
     fn visit_f64<E: Error>(self, value: f64) -> Result<Value, E> {
-        Number::from_f64(value).map(Value::Number).ok_or_else(|| E::custom("a number out of range"))
+        Number::from_f64(value).map(Value::Number).ok_or_else(|| E::custom("number out of range"))
     }
     fn visit_str<E>(self, value: &str) -> Result<Value, E> {
         Ok(value.into())
@@ -138,10 +138,10 @@
     if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") }
 }
 
-/// The document that a text holds.
+/// Parses a text as a document.
 ///
 /// # Errors
-/// Tells what keeps it from being read.
+/// Returns why the text is not a document.
 pub fn read(text: &[u8]) -> Result<Value, Vec<Fault>> {
     let whole = |value: String, expected: &str| vec![Fault::new("", value, expected)];
     if text.len() > LARGEST {
@@ -166,7 +166,7 @@
     if twice.is_empty() { Ok(document) } else { Err(twice) }
 }
 
-/// What a value has to be.
+/// The form that a value must have.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Is {
     Text,
@@ -175,11 +175,11 @@
     Hex,
     /// Any number.
     Number,
-    /// A number that comes to at least 1 when it is cut to a whole one: a time that is not none.
+    /// A number that is at least 1 when truncated to an integer: a time other than zero.
     Time,
-    /// A number over 0.
+    /// A number greater than 0.
     Over0,
-    /// A whole number from the first to the second.
+    /// A whole number in this inclusive range.
     Whole(u64, u64),
     Flag,
     Texts,
@@ -194,19 +194,19 @@
 impl Is {
     fn expected(self) -> String {
         match self {
-            Self::Text => "a text".into(),
+            Self::Text => "a string".into(),
             Self::Address => "an address and port".into(),
             Self::Addresses => "a list of addresses and ports".into(),
-            Self::Hex => "a hexadecimal number of 64 bits".into(),
+            Self::Hex => "a 64-bit hexadecimal number".into(),
             Self::Number => "a number".into(),
-            Self::Time => "a number of microseconds from 1".into(),
-            Self::Over0 => "a number over 0".into(),
+            Self::Time => "a number of microseconds, at least 1".into(),
+            Self::Over0 => "a number greater than 0".into(),
             Self::Whole(0, u64::MAX) => "a whole number from 0".into(),
             Self::Whole(least, u64::MAX) => format!("a whole number from {least}"),
             Self::Whole(least, most) => format!("a whole number from {least} to {most}"),
             Self::Flag => "true or false".into(),
-            Self::Texts => "a list of texts".into(),
-            Self::Flags => "a list of true or false".into(),
+            Self::Texts => "a list of strings".into(),
+            Self::Flags => "a list of true and false".into(),
             Self::Wholes => "a list of whole numbers from 0".into(),
             Self::Numbers => "a list of numbers".into(),
             Self::Object => "an object".into(),
@@ -243,7 +243,7 @@
 enum Need {
     Must,
     May,
-    /// It may be null, too.
+    /// The key may also be null.
     Null,
 }
 
@@ -253,7 +253,7 @@
 
 const ANY: Is = Whole(0, u64::MAX);
 
-/// The platform's form as far as it is known.
+/// The known keys of the platform's documents.
 const TOP: &[(&str, Is, Need)] = &[
     ("name", Text, Must),
     ("listen", Address, Must),
@@ -365,7 +365,7 @@
     ("bears_per_s", Whole(crate::start::BEARS.0 as u64, crate::start::BEARS.1 as u64), Null),
 ];
 type Keys = &'static [(&'static str, Is, Need)];
-/// Sections of optional parts, and their keys.
+/// Sections of optional components, and their keys.
 const SECTIONS: &[(&str, Keys)] = &[
     ("draining", DRAINING),
     ("membership", MEMBERSHIP),
@@ -375,7 +375,7 @@
 ];
 
 fn object(faults: &mut Vec<Fault>, path: &str, value: Option<&Value>, keys: &[(&str, Is, Need)]) {
-    // What is no object is told where its own key is looked at.
+    // A value that is not an object is reported with its own key.
     let Some(Value::Object(object)) = value else { return };
     for (key, is, need) in keys {
         let at = join(path, key);
@@ -407,7 +407,7 @@
     }
 }
 
-/// All that is wrong with a document, as far as that can be told without the one in force.
+/// All faults of a document that can be found without the one in force.
 pub fn faults(document: &Value) -> Vec<Fault> {
     let mut faults = Vec::new();
     let at = |path: &str| document.pointer(path);
@@ -435,7 +435,7 @@
     if let Some(plans) = document.get("plans").and_then(Value::as_object)
         && plans.len() > crate::plans::MOST_PLANS
     {
-        faults.push(Fault::new("plans", plans.len().to_string(), "256 plans at most"));
+        faults.push(Fault::new("plans", plans.len().to_string(), "at most 256 plans"));
     }
     let classes = at("/settings/classes").and_then(Value::as_array);
     if classes.is_some_and(Vec::is_empty) {
@@ -462,7 +462,7 @@
             faults.push(Fault::new(path("dedup_window_us"), value, Time.expected()));
         }
     }
-    // A part's section is its own: what it does not know was meant otherwise.
+    // Sections of optional components are this program's own: an unknown key in them is a mistake.
     for (section, keys) in SECTIONS {
         unheard_of(&mut faults, section, &document[*section], keys);
     }
@@ -470,8 +470,8 @@
     faults
 }
 
-/// Keys that the document in force has and this one lacks. Entries of lists come and go; a class is held against
-/// its namesake, unless its effect changed and with it what it needs.
+/// Keys that the document in force has and this one lacks. List entries may come and go; a class is compared
+/// with the one of the same name, unless its effect changed, and with it the keys that it needs.
 pub fn lacking(document: &Value, in_force: &Value) -> Vec<Fault> {
     fn walk(path: &str, here: &Value, there: &Value, faults: &mut Vec<Fault>) {
         match (here, there) {
@@ -480,7 +480,9 @@
                     let at = join(path, key);
                     match here.get(key) {
                         None if path.is_empty() && OPTIONAL.contains(&key.as_str()) => {}
-                        None => faults.push(Fault::new(at, "missing", "a key that the one in force has")),
+                        None => {
+                            faults.push(Fault::new(at, "missing", "a key that the document in force has"));
+                        }
                         Some(found) => walk(&at, found, value, faults),
                     }
                 }
@@ -503,10 +505,11 @@
     faults
 }
 
-/// Sections of optional parts: leaving one out turns the part off.
+/// Sections of optional components: leaving one out turns the component off.
 const OPTIONAL: &[&str] = &["draining", "membership", "takeover", "start", "status", "plans"];
 
-/// What a document changes against another, key by key; a class is named, and goes as a whole.
+/// The changes from one document to another, key by key; a class is identified by its name, and compared as a
+/// whole.
 pub fn changes(before: &Value, after: &Value) -> Vec<Change> {
     fn walk(path: &str, before: Option<&Value>, after: Option<&Value>, changes: &mut Vec<Change>) {
         if before == after {
@@ -548,15 +551,15 @@
     changes
 }
 
-/// When a change of a key takes effect, and what it means for messages under way.
+/// When a change of a key takes effect, and what it means for messages in hand.
 fn meaning(path: &str) -> (Takes, &'static str) {
     let under_way = match path {
-        p if p.starts_with("settings.classes") => "those under way keep the class that they came with",
-        "settings.limits.try_limit" => "those that have had as many attempts are answered at once",
-        "settings.limits.max_open" => "those held beyond it are handed back, the least of worth first",
-        "settings.family_info.calls_out" => "calls that are out go on; no new one begins above it",
+        p if p.starts_with("settings.classes") => "messages in hand keep the class they were accepted with",
+        "settings.limits.try_limit" => "messages that already had that many attempts end at once",
+        "settings.limits.max_open" => "messages beyond the new limit are handed back, lowest worth first",
+        "settings.family_info.calls_out" => "calls in progress continue; no new call begins above the limit",
         "discovery" => "notices that are owed go to the new address",
-        p if p.starts_with("settings") => "they go on by the new figure from the next turn on",
+        p if p.starts_with("settings") => "the new value applies from the next event-loop iteration on",
         _ => "none",
     };
     match path == "discovery" || path.starts_with("settings.") {
--- a/src/check/apart.rs
+++ b/src/check/apart.rs
@@ -1,6 +1,6 @@
-//! A configuration with a long list of endpoints. The list is taken out of the text, so that the rest of the document
-//! keeps its bound and is checked like any other; what was taken out is read as discovery's lists are. Beside the text,
-//! which is held once, a copy of the rest is held, of [`LARGEST`] bytes at most.
+//! A configuration with a long list of endpoints. The list is cut out of the text, so that the size limit
+//! applies to the rest of the document, which is checked like any other; the list is parsed like discovery's
+//! lists. In memory are the text, once, and a copy of the rest, of at most [`LARGEST`] bytes.
 
 use std::borrow::Cow;
 use std::io::{Cursor, Read};
@@ -14,15 +14,15 @@
 use crate::endpoints::{Bounds, ListError};
 use crate::told::Told;
 
-/// Where the list stands.
+/// Path of the list in the document.
 const KEY: &str = "known.endpoints";
 
-/// A document's text and its list.
+/// A document's text, and its list if that was cut out.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Apart<'a> {
-    /// The text; the list in it is empty if it was taken out.
+    /// The text; its list is empty if it was cut out.
     pub text: Cow<'a, [u8]>,
-    /// The list's text, if it was taken out.
+    /// The list's text, if it was cut out.
     pub list: Option<&'a [u8]>,
 }
 
@@ -38,15 +38,15 @@
     endpoints: Option<&'a RawValue>,
 }
 
-/// Bytes of a document with its list at most, where the list may have so many.
+/// Maximum size of a document with its list, in bytes.
 pub fn most_bytes(bounds: &Bounds) -> u64 {
     bounds.bytes.saturating_add(LARGEST as u64)
 }
 
-/// Takes the list out of a text of more than [`LARGEST`] bytes; any other text is left as it is.
+/// Cuts the list out of a text of more than [`LARGEST`] bytes; any other text is left as it is.
 ///
 /// # Errors
-/// Tells that a long text is not JSON, or too long without its list.
+/// Fails if a long text is not JSON, too long as a whole, or too long without its list.
 pub fn apart<'a>(text: &'a [u8], bounds: &Bounds) -> Result<Apart<'a>, Vec<Fault>> {
     if text.len() <= LARGEST {
         return Ok(Apart { text: text.into(), list: None });
@@ -73,10 +73,10 @@
     })
 }
 
-/// Where the list stands in a text, if it has one.
+/// The position of the list in a text, if it has one.
 fn place(text: &[u8]) -> serde_json::Result<Option<Range<usize>>> {
     let document: Document = serde_json::from_slice(text)?;
-    // What is no object is told where the document is checked.
+    // A value that is not an object is reported by the check of the document.
     let known = document.known.and_then(|known| serde_json::from_str::<Known>(known.get()).ok());
     let list = known.and_then(|known| known.endpoints).map(RawValue::get);
     Ok(list.filter(|list| list.starts_with('[')).map(|list| {
@@ -85,10 +85,10 @@
     }))
 }
 
-/// Reads a list that was taken out, of this version.
+/// Parses a list that was cut out, as the version `index`.
 ///
 /// # Errors
-/// Tells why it is not taken, and what can be done.
+/// Returns why the list is rejected, and the remedy.
 pub fn read(list: &[u8], index: u64, bounds: &Bounds) -> Result<List, Fault> {
     let head = format!("{{\"index\":{index},\"snapshot\":true,\"endpoints\":");
     let text = Cursor::new(head).chain(list).chain(&b"}"[..]);
@@ -98,5 +98,5 @@
 fn fault(why: &ListError) -> Fault {
     let value: String =
         format!("{}: {why}", why.code()).replace(['\n', '\r'], " ").chars().take(200).collect();
-    Fault::new(KEY, value, format!("a list that can be taken ({})", why.remedy()))
+    Fault::new(KEY, value, format!("a valid list of endpoints ({})", why.remedy()))
 }
--- a/src/drain.rs
+++ b/src/drain.rs
@@ -1,6 +1,6 @@
-//! Draining, as far as it needs no I/O: the operators' marks on endpoints, laid over discovery's list, and what
-//! is said of a process that is being emptied. A mark goes by the endpoint's name. The module hears of it as a
-//! listing alone: an endpoint that is marked is draining, whatever discovery says.
+//! Draining, without I/O: the operators' marks on endpoints, applied on top of discovery's list, and the
+//! state of a process that is being drained. Marks are keyed by endpoint name. The policy module sees a mark
+//! only as a listing: a marked endpoint is draining although discovery lists it as ready.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,11 +10,11 @@
 use crate::told;
 use crate::told::Told;
 
-/// Marks that are kept at most, whatever the configuration says.
+/// Maximum number of marks, whatever the configuration says.
 pub const MOST_MARKS: usize = 256;
-/// A name that is longer, as JSON, is not marked.
+/// Maximum length of a marked name, as JSON.
 pub const LONGEST_NAME: usize = 128;
-/// What a mark takes at most when it is written down.
+/// Maximum size of a stored mark, in bytes.
 const MARK_BYTES: u64 = LONGEST_NAME as u64 + 64;
 
 /// An operator's mark on an endpoint.
@@ -29,27 +29,27 @@
 /// An endpoint as discovery lists it.
 #[derive(Debug, Clone, Copy)]
 pub struct Listed<'a> {
-    /// Its name.
+    /// The endpoint's name.
     pub name: &'a str,
-    /// Its destination.
+    /// The destination that it belongs to.
     pub destination: u32,
-    /// Discovery says that it may be used.
+    /// Whether discovery lists it as usable.
     pub active: bool,
 }
 
-/// Why endpoints are not drained. Nothing was changed then.
+/// Why a request to drain endpoints was refused. Nothing is changed in that case.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
     /// No names were given.
     #[error("no endpoint is named")]
     Nothing,
     /// Names that are not in the list.
-    #[error("not in the list: {}", joined(.0))]
+    #[error("not in the list of endpoints: {}", joined(.0))]
     Unknown(Vec<String>),
     /// Destinations that would be left without an active endpoint.
     #[error("no active endpoint would be left for destination {}", joined(.0))]
     Last(Vec<u32>),
-    /// More marks than are kept.
+    /// There would be more marks than allowed.
     #[error("more than {0} endpoints would be marked")]
     TooMany(usize),
 }
@@ -61,7 +61,7 @@
     TooMany => "draining.too-many", "put endpoints back, or raise draining.max_marks and start a new process";
 } }
 
-/// Marks that were written down can't be read; on-call staff set them again.
+/// The stored marks cannot be read; operators must set them again.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct Unread(#[from] serde_json::Error);
@@ -90,20 +90,20 @@
 }
 
 impl Marks {
-    /// No marks; `most` of them are kept.
+    /// An empty set of at most `most` marks.
     pub fn new(most: usize) -> Self {
         Self { most: most.min(MOST_MARKS), marks: BTreeMap::new() }
     }
 
-    /// Bytes that the marks may take where they are kept: old and new stand side by side while they are written.
+    /// Maximum disk usage in bytes: the old and the new file coexist while the marks are written.
     pub fn room(most: usize) -> u64 {
         2 * (most.min(MOST_MARKS) as u64 * MARK_BYTES + 1024)
     }
 
-    /// The marks as they were written down, as many as are kept.
+    /// Decodes stored marks; those beyond `most` are dropped.
     ///
     /// # Errors
-    /// Fails when it can't be read.
+    /// Fails when the text is not valid.
     pub fn read(most: usize, text: &[u8]) -> Result<Self, Unread> {
         let marks: BTreeMap<String, Mark> = serde_json::from_slice(text)?;
         let mut read = Self::new(most);
@@ -111,12 +111,12 @@
         Ok(read)
     }
 
-    /// The marks to be written down.
+    /// Encodes the marks for storage.
     pub fn written(&self) -> Vec<u8> {
         serde_json::to_vec(&self.marks).unwrap_or_default()
     }
 
-    /// All of them, by name.
+    /// All marks, ordered by endpoint name.
     pub fn iter(&self) -> impl Iterator<Item = (&str, Mark)> {
         self.marks.iter().map(|(name, mark)| (name.as_str(), *mark))
     }
@@ -126,7 +126,7 @@
         self.marks.get(name).copied()
     }
 
-    /// What the module is told of an endpoint that discovery lists so.
+    /// The listing of an endpoint with its mark applied.
     pub fn over(&self, name: &str, listing: Listing) -> Listing {
         match listing {
             Listing::Ready if self.marks.contains_key(name) => Listing::Draining,
@@ -134,11 +134,11 @@
         }
     }
 
-    /// The marks with these endpoints marked as well. Marking again what is marked changes nothing but that it
-    /// may be forced now.
+    /// The marks with these endpoints marked as well. An existing mark stays as it is, except that it becomes
+    /// forced if `force` is set.
     ///
     /// # Errors
-    /// Fails as a whole where one of them can't be, or must not be, drained.
+    /// Fails as a whole if one of the endpoints cannot be, or must not be, drained.
     pub fn with(
         &self,
         names: &BTreeSet<String>,
@@ -171,21 +171,21 @@
         Ok(with)
     }
 
-    /// The marks without those on these endpoints; it is no fault if there is none.
+    /// The marks without those on these endpoints, marked or not.
     pub fn without(&self, names: &BTreeSet<String>) -> Self {
         let mut without = self.clone();
         without.marks.retain(|name, _| !names.contains(name));
         without
     }
 
-    /// The marks that are left when these are the endpoints of the list.
+    /// The marks on endpoints that are still listed.
     pub fn kept(&self, there: impl Fn(&str) -> bool) -> Self {
         let mut kept = self.clone();
         kept.marks.retain(|name, _| there(name));
         kept
     }
 
-    /// Listed destinations that have no active endpoint left, whoever took them out.
+    /// Listed destinations without an active endpoint, whether by discovery or by marks.
     pub fn bare(&self, list: &[Listed]) -> BTreeSet<u32> {
         let usable = |listed: &&Listed| listed.active && !self.marks.contains_key(listed.name);
         let usable: BTreeSet<u32> = list.iter().filter(usable).map(|listed| listed.destination).collect();
@@ -193,33 +193,33 @@
     }
 }
 
-/// How far a process is on its way out.
+/// Service state of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It takes clients.
+    /// It accepts clients.
     Serving,
-    /// It sends clients elsewhere and ends what it has.
+    /// It redirects clients and finishes its remaining work.
     Draining,
-    /// It has nothing left to end.
+    /// It has no work left.
     Drained,
 }
 
-/// What a process still has.
+/// The work that a process has left.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Left {
-    /// Messages whose end, or the notice of it, is owed.
+    /// Messages whose final outcome, or its notice, is still owed.
     pub owed: usize,
-    /// Calls to endpoints that are out.
+    /// Calls to endpoints that are in progress.
     pub calls_out: usize,
-    /// Clients that are connected.
+    /// Connected clients.
     pub clients: usize,
     /// Records that could not be written to the journal yet.
     pub unwritten: usize,
 }
 
 impl Left {
-    /// How far it is.
+    /// The service state, given whether the process is to serve.
     pub fn state(&self, serving: bool) -> State {
         match (serving, *self == Self::default()) {
             (true, _) => State::Serving,
@@ -228,7 +228,7 @@
         }
     }
 
-    /// The one thing that staff need to know before they touch the machine.
+    /// Whether operators may stop the process or lose the machine, as a sentence.
     pub fn verdict(&self, serving: bool) -> String {
         let counted = [
             (self.calls_out, "calls out"),
--- a/src/drain/tests.rs
+++ b/src/drain/tests.rs
@@ -21,7 +21,7 @@
     let both = one.with(&names(&["b"]), true, 2, &list).unwrap();
     assert_eq!(both.on("b"), Some(Mark { since: 2, forced: true }));
     assert_eq!(both.bare(&list), BTreeSet::from([7, 9]));
-    // What discovery took out already is drained without harm, and what is marked may be marked again.
+    // An endpoint that discovery already took out can be drained, and a marked one can be marked again.
     assert!(both.with(&names(&["a", "c", "e"]), false, 3, &list).is_ok());
 }
 
@@ -33,7 +33,7 @@
     let unknown = Refusal::Unknown(vec!["x".into(), "y".into()]);
     assert_eq!(marks.with(&names(&["b", "x", "y"]), true, 2, &list), Err(unknown));
     assert_eq!(marks.with(&names(&["b"]), true, 2, &list), Err(Refusal::TooMany(1)));
-    assert_eq!(marks.with(&names(&["a"]), false, 2, &list), Ok(marks.clone()), "it keeps its age");
+    assert_eq!(marks.with(&names(&["a"]), false, 2, &list), Ok(marks.clone()), "the mark keeps its time");
     assert_eq!(marks.without(&names(&["b", "x"])), marks);
 }
 
@@ -53,7 +53,7 @@
     let marks =
         Marks::new(8).with(&names(&["a", "b"]), true, 5, &list(&[("a", 7, true), ("b", 8, true)])).unwrap();
     assert_eq!(Marks::read(8, &marks.written()).unwrap(), marks);
-    assert_eq!(Marks::read(1, &marks.written()).unwrap().iter().count(), 1, "as many as are kept");
+    assert_eq!(Marks::read(1, &marks.written()).unwrap().iter().count(), 1, "at most as many as allowed");
     let written = marks.written();
     for end in 0..written.len() {
         assert!(Marks::read(8, &written[..end]).is_err(), "{end}");
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,19 +1,21 @@
-//! Who of a tier is there: a view that each member keeps for itself, without I/O. Time, randomness and datagrams
-//! are passed in, datagrams come out. What it says may be wrong; nothing that a message's fate hangs on goes by it.
+//! Tier membership: each member's own view of which members are alive, without I/O. Time, randomness and
+//! datagrams are passed in, datagrams come out. The view may be wrong; no message's fate may depend on it.
 //!
-//! Each member is observed by several others, as in Rapid (Suresh and others, 2018), and sends them beats. It owns
-//! one record: its life (incarnation), its beat, whether it leaves, and which of those that it observes it has not
-//! heard for too long. Records are passed on by gossip; of two records of one member the one of the later life and
-//! beat holds, so that the order in which they come does not matter. What a member is held for follows from the
-//! records of its observers alone: dead once nearly all of them that are there accuse it, suspected from two on.
-//! An accusation ends when its observer hears the member again, so that nobody has to refute anything, and a split
-//! that heals is over as soon as beats pass.
+//! Each member is observed by several others, as in Rapid (Suresh and others, 2018), and sends them
+//! heartbeats. It owns one record: its incarnation, its heartbeat counter, whether it leaves, and which of
+//! the members that it observes it has not heard for too long. Records spread by gossip; of two records of
+//! one member the one with the later incarnation and heartbeat wins, so that the order of arrival does not
+//! matter. A member's state follows from the records of its observers alone: it is dead once nearly all of
+//! its live observers suspect it, and suspect from two on. A suspicion ends when the observer hears the
+//! member again, so that nobody has to refute anything, and a healed split is over as soon as heartbeats get
+//! through.
 //!
-//! SWIM (Das, Gupta, Motivala, 2002) declares a member dead on what one accuser says unless it refutes that in
-//! time; a lost refutation is a wrong death. Here a wrong death takes nearly all observers to lose all beats of
-//! several periods. Lifeguard's (Dadgar and others, 2017) question, whether it is the accuser who is slow, is kept:
-//! a member that finds itself late by a period accuses nobody for what it did not hear meanwhile. Beats that rise in
-//! gossip, as in van Renesse's failure detector (1998), tell who of the observers is there.
+//! SWIM (Das, Gupta, Motivala, 2002) declares a member dead on the word of one observer unless the member
+//! refutes that in time; a lost refutation is a false death. Here a false death requires nearly all observers
+//! to lose all heartbeats of several periods. Lifeguard's (Dadgar and others, 2017) question, whether the
+//! observer itself is slow, is kept: a member that finds itself late by a period suspects nobody for what it
+//! did not hear meanwhile. Heartbeat counters that rise in gossip, as in van Renesse's failure detector
+//! (1998), show which observers are alive.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, VecDeque};
@@ -22,92 +24,93 @@
 
 use crate::interface::Micros;
 
-/// A member: its place in the configured list of the tier.
+/// A member, as its index in the configured list of the tier.
 pub type Rank = u16;
 
-/// The most members of a tier.
+/// Maximum number of members of a tier.
 pub const MOST_MEMBERS: usize = 1024;
-/// No datagram is longer.
+/// Maximum length of a datagram.
 pub const LONGEST: usize = 256;
-/// First byte of the envelope; the senders' short notes begin otherwise.
+/// First byte of a datagram; the senders' short notes begin with another one.
 pub const MAGIC: u8 = 0xa7;
-/// Members that observe one, in a tier that has as many.
+/// Observers of each member, if the tier is large enough.
 pub const OBSERVERS: usize = 8;
-/// Datagrams a period: to observers, and to whomever chance picks, those held for dead among them.
+/// Datagrams per period sent to the observers.
 const TO_OBSERVERS: usize = 8;
-/// See [`TO_OBSERVERS`].
+/// Datagrams per period sent to random members, dead ones included.
 const TO_ANY: usize = 2;
-/// Datagrams that a member sends in a period.
+/// Datagrams that a member sends per period.
 pub const SENDS: usize = TO_OBSERVERS + TO_ANY;
-/// Beats that must be lost to nearly all observers together before a member is held for dead: at 40 in a hundred
-/// lost, 0.4 to this power is 2e-13.
+/// Heartbeats that must be lost, over nearly all observers together, before a member is declared dead: at 40%
+/// loss, 0.4 to this power is 2e-13.
 const LOST_BEATS: usize = 32;
-/// Of the beats to an observer that is held for dead, every so many-th is sent; the others go to whom chance picks,
-/// so that a tier that has lost many still talks as much.
+/// Of the heartbeats to a dead observer, one in this many is sent; the others go to random live members, so
+/// that a tier that has lost many members sends as much as before.
 const TO_DEAD: u32 = 4;
-/// How many times as long a member that came and went is waited for, at most.
+/// Maximum factor by which the suspicion timeout of a member that came and went is extended.
 const MOST_PATIENCE: u32 = 8;
-/// A member that has stayed for so many periods is waited for half as long again.
+/// After this many stable periods the factor is halved.
 const CALM_PERIODS: Micros = 60;
-/// Answers that a member gives in a period at most, however many ask.
+/// Maximum number of replies that a member sends per period, however many ask.
 const ANSWERS: u32 = 4 * SENDS as u32;
-/// Changes of the view that are kept.
+/// Number of view changes kept.
 pub const HISTORY: usize = 256;
-/// A record may be so many lives ahead of the one that is known, and no life is later than [`LAST_LIFE`]: nobody
-/// can use up a member's lives for it.
+/// A record may be at most this many incarnations ahead of the known one, and no incarnation may reach
+/// [`LAST_LIFE`]: nobody can use up another member's incarnations.
 const LEAP: u32 = 1000;
 /// See [`LEAP`].
 const LAST_LIFE: u32 = 1 << 31;
 
 const VERSION: u8 = 1;
 const HEAD: usize = 15;
-/// The shortest and the longest record as it is written.
+/// Minimum and maximum encoded length of a record.
 const RECORD: (usize, usize) = (5, 15);
-/// Records that one datagram carries.
+/// Maximum number of records in a datagram.
 pub const MOST_RECORDS: usize = (LONGEST - HEAD) / RECORD.0;
-/// A member's beat, to one that observes it or to any.
+/// A member's heartbeat, to an observer or to any member.
 const BEAT: u8 = 1;
-/// Tells a member of a later life of its own, or what it asked for. It is not answered.
+/// Informs a member of a later incarnation of its own, or has the records that it asked for. It is not
+/// answered.
 const REPLY: u8 = 2;
-/// Asks for records, from one member's on.
+/// Asks for records, starting with a given member's.
 const ASK: u8 = 3;
 
-/// What a member is held for.
+/// A member's state in the view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// Configured, and never heard of.
+    /// Configured, but never heard of.
     Joining,
-    /// It is there.
+    /// Running.
     Alive,
-    /// Some that observe it do not hear it, or nothing new of it has come for long.
+    /// Some of its observers do not hear it, or its record has not advanced for a long time.
     Suspect,
-    /// Nearly all that observe it do not hear it.
+    /// Nearly all of its observers do not hear it.
     Dead,
-    /// It said that it goes.
+    /// It announced that it leaves.
     Left,
 }
 
-/// What a member says of itself. Only the member itself makes these; others pass them on.
+/// A member's statement about itself. Only the member itself creates records; others forward them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Record {
-    /// Which of its lives; 0 is none.
+    /// The member's incarnation; 0 for none.
     pub incarnation: u32,
-    /// Rises with each datagram that it sends.
+    /// Heartbeat counter; rises with each datagram that the member sends.
     pub beat: u32,
-    /// It goes.
+    /// The member leaves.
     pub left: bool,
-    /// Bit by bit: of the members that it observes, those that it does not hear.
+    /// Bitmap over the members that it observes: those that it does not hear.
     pub silent: u8,
-    /// Its zone, a position in the settings' list.
+    /// Its zone, as an index into the settings' list.
     pub zone: u8,
 }
 
 impl Record {
-    /// Of one that was never heard of.
+    /// The record of a member that was never heard of.
     pub const NONE: Self = Self { incarnation: 0, beat: 0, left: false, silent: 0, zone: u8::MAX };
 
-    /// The one of the later life and beat holds; of the same beat there is only one.
+    /// Whether this record has the later incarnation and heartbeat. No two records share both.
     pub fn supersedes(&self, other: &Self) -> bool {
         (self.incarnation, self.beat) > (other.incarnation, other.beat)
     }
@@ -116,42 +119,42 @@
 /// What is known of a member.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// Its record.
+    /// Its latest record.
     pub record: Record,
-    /// What it is held for.
+    /// Its state.
     pub state: State,
-    /// Since when.
+    /// When it entered that state.
     pub since: Micros,
-    /// When it was last heard itself.
+    /// When a datagram of the member itself last arrived.
     pub heard: Option<Micros>,
-    /// When its beat last rose, whoever told.
+    /// When its record last advanced, directly or through gossip.
     pub seen: Micros,
-    /// How many of its observers accuse it.
+    /// Number of its observers that suspect it.
     pub accusers: u8,
-    /// How often its record is still news.
+    /// How many more times its record is sent as an update.
     retell: u32,
 }
 
-/// One that this member observes.
+/// A member that this one observes.
 #[derive(Debug, Clone)]
 struct Observed {
     rank: Rank,
-    /// It is counted from then on.
+    /// Start of the present silence.
     since: Option<Micros>,
-    /// Times as long as usual that it is waited for.
+    /// Factor on the suspicion timeout.
     patience: u32,
-    /// When that was last changed.
+    /// When that factor last changed.
     patient_since: Micros,
 }
 
-/// How the protocol runs: the section `membership`. The same at all members of a tier.
+/// The `membership` section of the configuration. It must be the same at all members of a tier.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Each member sends [`SENDS`] datagrams in one.
+    /// Length of a period, in which each member sends [`SENDS`] datagrams.
     #[serde(default = "one_second")]
     pub period_ms: u32,
-    /// The tier's name, which tells it from others that are wrongly given the same addresses.
+    /// The tier's name, which distinguishes tiers that were configured with the same addresses by mistake.
     #[serde(default)]
     pub tier: String,
 }
@@ -161,9 +164,9 @@
 pub struct Place {
     /// Its own rank.
     pub own: Rank,
-    /// Members of the tier.
+    /// Number of members of the tier.
     pub size: usize,
-    /// See [`tier_of`].
+    /// The tier's checksum; see [`tier_of`].
     pub tier: u32,
     /// Its zone.
     pub zone: u8,
@@ -173,77 +176,77 @@
     1000
 }
 
-/// The shortest and the longest period, in milliseconds.
+/// Range of the period, in milliseconds.
 pub const PERIODS_MS: (u32, u32) = (50, 60_000);
 
-/// Datagrams, counted.
+/// Datagram counters.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Counts {
     /// Sent.
     pub sent: u64,
     /// Bytes sent.
     pub sent_bytes: u64,
-    /// Read.
+    /// Received.
     pub received: u64,
-    /// Bytes read.
+    /// Bytes received.
     pub received_bytes: u64,
-    /// Dropped: cut, of another length, or spoilt.
+    /// Dropped: truncated, of a wrong length, or corrupt.
     pub unreadable: u64,
-    /// Dropped: another tier's, or not from whom it says.
+    /// Dropped: from another tier, or not from the member that it claims.
     pub foreign: u64,
-    /// Dropped: of a later version or a kind that is not known here.
+    /// Dropped: of a later version, or of an unknown kind.
     pub unknown: u64,
-    /// Records dropped: of nobody, or of a life that nobody can have.
+    /// Records dropped: of no member, or with an impossible incarnation.
     pub absurd: u64,
-    /// Read in part only: the writer has another number of members in its list.
+    /// Used only in part: the writer's list has a different number of members.
     pub other_size: u64,
 }
 
-/// What other parts may rest a choice on: a hint, never a proof.
+/// A member as other components see it: a hint for their choices, never a proof.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fact {
-    /// What the member is held for.
+    /// The member's state.
     pub state: State,
-    /// Since when.
+    /// When it entered that state.
     pub since: Micros,
-    /// Which of its lives.
+    /// Its incarnation.
     pub incarnation: u32,
     /// It is in this member's zone.
     pub near: bool,
 }
 
-/// The view as other parts see it.
+/// The membership view as other components see it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Facts {
     /// This member.
     pub own: Rank,
     /// All members, by rank.
     pub members: Vec<Fact>,
-    /// Nobody is heard: what is held of the others is old.
+    /// No other member is heard: the states of the others are outdated.
     pub isolated: bool,
-    /// Fewer than half are there: this may be the lesser side of a split.
+    /// Fewer than half are alive: this may be the smaller side of a split.
     pub minority: bool,
 }
 
 /// A change of the view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Change {
-    /// When.
+    /// Time of the change.
     pub at: Micros,
-    /// Whose state.
+    /// The member whose state or incarnation changed.
     pub member: Rank,
-    /// Of which life.
+    /// Its incarnation.
     pub incarnation: u32,
-    /// Before.
+    /// State before.
     pub from: State,
-    /// Now.
+    /// State after.
     pub to: State,
 }
 
-/// Datagrams to be sent, each to one member.
+/// Datagrams to send, each to one member.
 pub type Out = Vec<(Rank, Vec<u8>)>;
 
-/// One member's part of the protocol, and its view.
+/// One member's protocol state, and its view.
 #[derive(Debug, Clone)]
 pub struct Membership {
     own: Rank,
@@ -251,39 +254,39 @@
     period: Micros,
     rng: fastrand::Rng,
     members: Vec<Member>,
-    /// Distances to those that observe a member, around the list.
+    /// Distances from a member to its observers, around the list.
     strides: Vec<usize>,
     observed: Vec<Observed>,
-    /// Members whose records are news, those that have been told the least first.
+    /// Members whose records are sent as updates, the least often sent first.
     news: BTreeSet<(Reverse<u32>, Rank)>,
-    /// Where asking for records stands, when it was last asked, and whether that brought anything.
+    /// Next rank to ask for, time of the last ask, and whether it brought anything.
     wanted: (usize, Micros, bool),
-    /// Where the round of all records stands.
+    /// Next rank in the round-robin over all records.
     fill: usize,
     slot: usize,
     next: Micros,
     heard_any: Micros,
-    /// Answers given since then.
+    /// Start of the current reply period, and the replies sent in it.
     answered: (Micros, u32),
-    /// Something has changed that states may follow from.
+    /// Something changed that may affect states.
     dirty: bool,
-    /// How often this member found itself late, and when last.
+    /// How often this member found that it had been paused, and when last.
     stops: (u64, Option<Micros>),
     history: VecDeque<Change>,
-    /// Rises with each change of a state or a life.
+    /// Rises with each change of a state or an incarnation.
     pub version: u64,
-    /// Datagrams so far.
+    /// Datagram counters.
     pub counts: Counts,
 }
 
-/// Tells tiers apart that are wrongly given one address.
+/// Checksum of a tier's name, to tell apart tiers that were configured with the same addresses by mistake.
 pub fn tier_of(name: &str) -> u32 {
     crc32fast::hash(name.as_bytes())
 }
 
-/// Distances to observers: as many as there can be, all different, the same at every member of a tier (drawn by
-/// `SplitMix64`, Steele and others, 2014), so that neighbours in the list, which may share a host, do not all
-/// observe each other.
+/// Distances to observers: as many as possible up to [`OBSERVERS`], all different, the same at every member
+/// of a tier (drawn with `SplitMix64`, Steele and others, 2014), so that neighbours in the list, which may
+/// share a host, do not all observe each other.
 fn strides(size: usize, tier: u32) -> Vec<usize> {
     let others = size.saturating_sub(1);
     if others <= OBSERVERS {
@@ -305,7 +308,7 @@
 }
 
 impl Membership {
-    /// A member of a tier. It begins with its first life and is told by others of those it had before.
+    /// A member of a tier. It starts with its first incarnation, and learns from others of earlier ones.
     pub fn new(config: &Config, place: Place, seed: u64, now: Micros) -> Self {
         let Place { own, size, tier, zone } = place;
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -341,7 +344,7 @@
             wanted: (rng.usize(0..size.max(1)), now, true),
             fill: rng.usize(0..size.max(1)),
             slot: rng.usize(0..SENDS),
-            // Starts do not march in step.
+            // Members that start together do not send in lockstep.
             next: now + rng.u64(0..period / SENDS as Micros + 1),
             heard_any: now,
             answered: (now, 0),
@@ -359,27 +362,27 @@
         &self.members
     }
 
-    /// What a member is held for.
+    /// A member's state.
     pub fn state(&self, rank: Rank) -> Option<State> {
         self.members.get(usize::from(rank)).map(|member| member.state)
     }
 
-    /// Its own rank.
+    /// This member's rank.
     pub fn own(&self) -> Rank {
         self.own
     }
 
-    /// One datagram is sent in each; a period has [`SENDS`].
+    /// Time between two datagrams; a period has [`SENDS`] of them.
     fn step(&self) -> Micros {
         self.period / SENDS as Micros
     }
 
-    /// The period, microseconds.
+    /// The period, in microseconds.
     pub fn period(&self) -> Micros {
         self.period
     }
 
-    /// The view for other parts.
+    /// The view for other components.
     pub fn facts(&self, now: Micros) -> Facts {
         let zone = self.members[usize::from(self.own)].record.zone;
         let fact = |member: &Member| Fact {
@@ -396,31 +399,31 @@
         }
     }
 
-    /// Nothing has been heard for so long that what this member says of others means nothing; it then declares
-    /// nobody dead.
+    /// Whether nothing has been heard for so long that this member's opinion of others means nothing. It then
+    /// declares nobody dead.
     pub fn isolated(&self, now: Micros) -> bool {
         self.members.len() > 1 && now >= self.heard_any + self.patience()
     }
 
-    /// At most half of those that were ever heard of and have not left are seen alive or suspected.
+    /// Whether at most half of the members that were ever heard of and have not left are alive or suspect.
     pub fn minority(&self) -> bool {
         let of = |states: &[State]| self.members.iter().filter(|m| states.contains(&m.state)).count();
         let there = of(&[State::Alive, State::Suspect]);
         there * 2 <= there + of(&[State::Dead])
     }
 
-    /// How often this member found that it had been stopped, and when last.
+    /// How often this member found that it had been paused, and when last.
     pub fn stops(&self) -> (u64, Option<Micros>) {
         self.stops
     }
 
-    /// The last changes, oldest first.
+    /// The latest changes, oldest first.
     pub fn history(&self) -> impl Iterator<Item = &Change> {
         self.history.iter()
     }
 
-    /// The same for two views that hold everybody for the same, each in the same life; suspicion is not in it, since
-    /// it may be one member's own.
+    /// Checksum of the view: equal for two views in which every member has the same state and incarnation. A
+    /// suspect counts as alive, since a suspicion may be one member's own.
     pub fn digest(&self) -> u32 {
         let mut hasher = crc32fast::Hasher::new();
         for member in &self.members {
@@ -431,17 +434,18 @@
         hasher.finalize()
     }
 
-    /// Those that observe a member, by the place that it has among those that they observe.
+    /// A member's observers, ordered by the bit that it has in their `silent` bitmaps.
     fn observers(&self, rank: Rank) -> impl Iterator<Item = usize> + '_ {
         self.strides.iter().map(move |stride| (usize::from(rank) + stride) % self.members.len())
     }
 
-    /// Accusers that make a death, of so many observers that are there: all, but for one of eight.
+    /// Number of suspecting observers, out of `there` live ones, at which a member is dead: all but one in
+    /// eight.
     fn deadly(there: usize) -> usize {
         there - there / OBSERVERS
     }
 
-    /// Those that observe a member and do not hear it, as far as is known here.
+    /// The observers that do not hear a member, as far as is known here.
     pub fn accused_by(&self, rank: Rank) -> impl Iterator<Item = Rank> + '_ {
         let observers = self.observers(rank).enumerate();
         observers
@@ -449,17 +453,17 @@
             .map(|(_, o)| o as Rank)
     }
 
-    /// How long an observer waits for a beat before it accuses.
+    /// How long an observer waits for a heartbeat before it suspects the member.
     pub fn patience(&self) -> Micros {
         let observers = self.strides.len().max(1);
         let beats = LOST_BEATS.div_ceil(Self::deadly(observers).max(1)) as Micros;
-        // With few observers each is sent several beats a period.
+        // With few observers, each is sent several heartbeats per period.
         let a_period = (TO_OBSERVERS / observers).max(1) as Micros;
         beats.div_ceil(a_period) * self.period
     }
 
-    /// A record whose beat has not risen for so long is news of nobody: twice what gossip takes to bring each
-    /// record round.
+    /// Age at which a record that has not advanced is stale: twice the time that gossip takes to spread each
+    /// record to all members.
     pub fn stale_after(&self) -> Micros {
         (12 + self.members.len() as Micros / 25) * self.period
     }
@@ -469,13 +473,13 @@
         self.next
     }
 
-    /// Does what is due.
+    /// Updates the view and sends the next datagram, if that is due.
     pub fn tick(&mut self, now: Micros, out: &mut Out) {
         if now < self.next {
             return;
         }
         if now >= self.next + self.period {
-            // It was this member that was not there: that time is nobody's silence.
+            // This member itself was paused: that time does not count as anybody's silence.
             let missed = now - self.next;
             self.stops = (self.stops.0 + 1, Some(now));
             self.observed
@@ -506,7 +510,7 @@
         }
     }
 
-    /// Its own record, made anew.
+    /// Advances the heartbeat of its own record.
     fn beat(&mut self) {
         let record = &mut self.members[usize::from(self.own)].record;
         match record.beat.checked_add(1) {
@@ -515,7 +519,7 @@
         }
     }
 
-    /// Any other member that is there.
+    /// A random other member that is alive.
     fn there(&mut self) -> Option<Rank> {
         let own = self.own;
         let members = self.members.iter().enumerate();
@@ -524,7 +528,7 @@
         (!there.is_empty()).then(|| there[self.rng.usize(..there.len())])
     }
 
-    /// Any other member that has not left: those held for dead too, since a split heals from both sides.
+    /// A random other member that has not left: dead ones too, since a split heals from both sides.
     fn any(&mut self) -> Option<Rank> {
         let others = self.members.len().saturating_sub(1);
         for _ in 0..4 {
@@ -539,7 +543,7 @@
         None
     }
 
-    /// Accuses those that have not been heard for too long.
+    /// Suspects the observed members that have not been heard for too long.
     fn observe(&mut self, now: Micros) {
         let patience = self.patience();
         let mut silent = 0;
@@ -564,9 +568,9 @@
         }
     }
 
-    /// Works out what everybody is held for.
+    /// Recomputes the states of all members.
     fn judge(&mut self, now: Micros) {
-        // Staleness comes with time alone; it is looked at once a period.
+        // Staleness depends on time alone; it is checked once per period.
         if !self.dirty && self.slot != 0 {
             return;
         }
@@ -580,7 +584,8 @@
         }
         let half = self.strides.len().div_ceil(2).max(1);
         let (stale, isolated) = (self.stale_after(), self.isolated(now));
-        // Who is itself accused by half, or not heard of any more, is no witness.
+        // A member that is itself suspected by half of its observers, or is stale, does not count as an
+        // observer.
         let witness: Vec<bool> = (0..size)
             .map(|rank| {
                 let member = &self.members[rank];
@@ -600,7 +605,7 @@
             }
             let stale = now >= member.seen + stale;
             let gone = match there {
-                // All that observed it have gone too.
+                // All of its observers are gone too.
                 0 => stale,
                 _ => against >= Self::deadly(there),
             };
@@ -609,7 +614,7 @@
                 _ if rank == usize::from(self.own) && !member.record.left => State::Alive,
                 Record { incarnation: 0, .. } => State::Joining,
                 Record { left: true, .. } => State::Left,
-                // A member that hears nobody is the one that is cut off.
+                // A member that hears nobody is itself the one that is cut off.
                 _ if gone && isolated && member.state != State::Dead => State::Suspect,
                 _ if gone => State::Dead,
                 _ if doubted => State::Suspect,
@@ -632,7 +637,7 @@
         self.changed(rank, before, now);
     }
 
-    /// Takes down what a member was held for before, and is now; the same for a new life.
+    /// Records a change of a member's state, or a new incarnation, in the history.
     fn changed(&mut self, rank: usize, from: State, now: Micros) {
         let Member { record, state: to, .. } = self.members[rank];
         let change = Change { at: now, member: rank as Rank, incarnation: record.incarnation, from, to };
@@ -643,7 +648,7 @@
         self.history.push_back(change);
     }
 
-    /// Tells that this member goes, which is no death.
+    /// Announces that this member leaves, so that it is not declared dead.
     pub fn leave(&mut self, now: Micros, out: &mut Out) {
         self.members[usize::from(self.own)].record.left = true;
         self.dirty = true;
@@ -655,8 +660,8 @@
         }
     }
 
-    /// It stays after all, in a new life: nobody may have heard that it left, and nobody is sure to hear that it did
-    /// not.
+    /// Cancels the leave with a new incarnation: perhaps nobody heard that the member left, and nobody is
+    /// certain to hear that it did not.
     pub fn stay(&mut self, now: Micros) {
         let own = &mut self.members[usize::from(self.own)];
         if own.record.left {
@@ -667,7 +672,7 @@
         }
     }
 
-    /// Takes a datagram that came from a member's address.
+    /// Handles a datagram that came from a member's address.
     pub fn receive(&mut self, now: Micros, from: Rank, datagram: &[u8], out: &mut Out) {
         self.counts.received += 1;
         self.counts.received_bytes += datagram.len() as u64;
@@ -691,8 +696,8 @@
         if usize::from(read.size) == self.members.len() {
             read.records.iter().for_each(|(member, record)| self.learn(*member, *record, now));
         } else {
-            // While lists are rolled out, only what is sure is taken: that the writer is there. Whom its accusations
-            // are against follows from a list that is not this one.
+            // While a new list is rolled out, only the writer's presence is certain. Whom it suspects depends
+            // on its own list, which is not this one.
             self.counts.other_size += 1;
             let first = read.records[0].1;
             self.learn(from, Record { silent: 0, ..first }, now);
@@ -700,7 +705,7 @@
         let patience = self.patience();
         for (place, observed) in self.observed.iter_mut().enumerate().filter(|(_, o)| o.rank == from) {
             if observed.since.is_some_and(|since| now >= since + patience) {
-                // Whoever comes and goes is waited for as long as it does.
+                // The timeout of a member that comes and goes stays extended for as long as it does.
                 observed.patient_since = now;
             }
             if self.members[usize::from(self.own)].record.silent & 1 << place != 0 {
@@ -714,7 +719,7 @@
             known.incarnation == said.incarnation && known.beat > said.beat && said.beat < SENDS as u32;
         match read.kind {
             ASK => self.answer(from, Some(usize::from(read.wanted)), now, out),
-            // It does not know yet that it has lived before.
+            // It does not know its earlier incarnations yet.
             BEAT if known.incarnation > said.incarnation || newborn => self.answer(from, None, now, out),
             REPLY => self.wanted.2 = self.lacking(now) < lacked,
             _ => {}
@@ -734,7 +739,7 @@
         }
     }
 
-    /// Whether nothing new of a member has come for so long that another may know more.
+    /// Whether a member's record has not advanced for so long that another member may have a later one.
     fn lacks(&self, rank: usize, now: Micros) -> bool {
         let member = &self.members[rank];
         let old = member.record.incarnation == 0 || now >= member.seen + self.patience();
@@ -745,7 +750,7 @@
         (0..self.members.len()).filter(|rank| self.lacks(*rank, now)).count()
     }
 
-    /// Asks one that is there for what is lacking: once a period, and once a step as long as that brings something.
+    /// Asks a live member for missing records: once per period, or once per step while that brings something.
     fn ask(&mut self, from: Rank, now: Micros, out: &mut Out) {
         let rest = if self.wanted.2 { self.step() } else { self.period };
         if now < self.wanted.1 + rest {
@@ -756,12 +761,12 @@
         if let Some(rank) = next {
             self.wanted = (rank, now, false);
             self.write(from, ASK, Some(rank), out);
-            // The next time it is asked from elsewhere on.
+            // The next ask starts at a random rank.
             self.wanted.0 = (rank + 1 + self.rng.usize(0..size)) % size;
         }
     }
 
-    /// Takes a record if it holds against the one that is known.
+    /// Applies a record if it supersedes the known one.
     fn learn(&mut self, member: Rank, record: Record, now: Micros) {
         let retell = usize::BITS - self.members.len().leading_zeros();
         let Some(known) = self.members.get_mut(usize::from(member)) else {
@@ -777,7 +782,7 @@
             return;
         }
         if member == self.own {
-            // Said of an earlier process, or by nobody: this life is a later one.
+            // From an earlier process of this member, or forged: continue with a later incarnation.
             known.record.incarnation = (record.incarnation + 1).min(LAST_LIFE - 1);
             known.record.beat = 0;
             known.since = now;
@@ -800,8 +805,9 @@
         }
     }
 
-    /// Writes a datagram: the own record, what the reader should know of itself, the news, and as much of the round
-    /// of all records as there is room for; where records are asked for, those from that member's on.
+    /// Writes a datagram: the member's own record, the reader's record, updates, and as much of the
+    /// round-robin over all records as fits. A reply to an ask has the records from the wanted member on
+    /// instead.
     fn write(&mut self, to: Rank, kind: u8, wanted: Option<usize>, out: &mut Out) {
         let size = self.members.len();
         let asked = if kind == REPLY { wanted } else { None };
@@ -850,29 +856,30 @@
     }
 }
 
-/// A datagram's content.
+/// A decoded datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Datagram {
-    /// Of the envelope.
+    /// Version of the format.
     pub version: u8,
-    /// A beat, a reply or an ask.
+    /// A heartbeat, a reply or an ask.
     pub kind: u8,
-    /// Whose.
+    /// The writer's tier.
     pub tier: u32,
-    /// Members in the writer's list.
+    /// Number of members in the writer's list.
     pub size: u16,
-    /// From whose record on others are asked for; `u16::MAX` if they are not.
+    /// The rank from which on records are asked for; `u16::MAX` if none are.
     pub wanted: u16,
     /// Records; the first is the writer's own.
     pub records: Vec<(Rank, Record)>,
 }
 
-/// A record as it is written: the member, its life doubled with the last bit for whether it leaves, its beat, whom it
-/// accuses, its zone; figures in postcard's form, which is short for small ones.
+/// An encoded record: the rank, the incarnation doubled with the last bit set if the member leaves, the
+/// heartbeat, the bitmap of members not heard, the zone; numbers in postcard's encoding, which is short for
+/// small ones.
 type Written = (Rank, u64, u32, u8, u8);
 
 impl Datagram {
-    /// Reads one. A checksum guards against bytes that were changed on the way.
+    /// Decodes a datagram. The checksum detects bytes that were changed in transit.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         if bytes.len() > LONGEST || bytes.len() < HEAD + RECORD.0 {
             return None;
@@ -910,14 +917,14 @@
     hasher.finalize()
 }
 
-/// A datagram that is being written: first byte, version and kind, tier, size, from whom on, number of records,
-/// checksum, little-endian; then the records.
+/// Encodes a datagram: magic byte, version and kind, tier, size, wanted rank, number of records, checksum,
+/// little-endian; then the records.
 pub struct Writer {
     bytes: Vec<u8>,
 }
 
 impl Writer {
-    /// One without records.
+    /// A datagram without records.
     pub fn new(kind: u8, tier: u32, size: u16, wanted: u16) -> Self {
         let mut bytes = Vec::with_capacity(LONGEST);
         bytes.extend([MAGIC, VERSION << 4 | kind]);
@@ -928,7 +935,7 @@
         Self { bytes }
     }
 
-    /// Adds a record, if there is room.
+    /// Adds a record, if it fits; returns whether it did.
     pub fn add(&mut self, rank: Rank, record: &Record) -> bool {
         let life = u64::from(record.incarnation) << 1 | u64::from(record.left);
         let written: Written = (rank, life, record.beat, record.silent, record.zone);
@@ -942,7 +949,7 @@
         fits
     }
 
-    /// The whole datagram.
+    /// The finished datagram, with its checksum.
     pub fn finished(mut self) -> Vec<u8> {
         let sum = checksum(&self.bytes[..HEAD - 4], &self.bytes[HEAD..]);
         self.bytes[HEAD - 4..HEAD].copy_from_slice(&sum.to_le_bytes());
--- a/src/mesh.rs
+++ b/src/mesh.rs
@@ -1,8 +1,9 @@
-//! Channels to many other senders, made when first needed and bounded together: for parts that tell others more than a
-//! datagram holds. [`crate::channel`] is one of them; takeover, which ties leases to its channels, keeps its own.
+//! Channels to many other senders, opened on demand and bounded together, for components that send others
+//! more than a datagram holds. [`crate::channel`] is a single channel; takeover, which ties leases to its
+//! channels, has its own.
 //!
-//! Sans I/O. What is queued for a sender that does not come is dropped with its channel after [`GIVEN_UP`]; whoever
-//! uses a mesh must be able to say all of it again.
+//! Sans I/O. Messages queued for a sender that does not answer are dropped with its channel after
+//! [`GIVEN_UP`]; the user of a mesh must be able to send all of them again.
 
 use std::collections::BTreeMap;
 
@@ -13,41 +14,41 @@
 use crate::membership::{Out, Rank};
 use crate::told;
 
-/// Channels at a time at most; beyond it the one that was heard the longest ago goes.
+/// Maximum number of channels; beyond it, the one that was heard or used the longest ago is closed.
 pub const MOST_CHANNELS: usize = 64;
-/// Bytes that may wait in all channels together.
+/// Maximum number of bytes queued in all channels together.
 pub const MOST_WAITING: usize = 4 << 20;
-/// A sender that has something queued and was not heard for so long is given up.
+/// Time without an answer after which a channel with queued messages is closed.
 pub const GIVEN_UP: Micros = 10_000_000;
-/// A channel that nobody used for so long is forgotten.
+/// Time after which an unused channel is closed.
 pub const IDLE: Micros = 30_000_000;
 
-/// Why a message was not queued. Nothing of it is sent; the caller says it again later, or does without.
+/// Why a message was not queued. Nothing of it is sent; the caller may send it again later, or not at all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Refused {
-    /// There is no such sender in the tier, or it is this one.
-    #[error("sender {0} is not another one of this tier")]
+    /// The tier has no such sender, or it is this one.
+    #[error("sender {0} is not another sender of this tier")]
     Nobody(Rank),
-    /// [`MOST_WAITING`] or the channel's own bound is reached.
-    #[error("too much waits for sender {0} or for all of them")]
+    /// [`MOST_WAITING`] or the channel's own limit is reached.
+    #[error("the send queue for sender {0}, or for all senders together, is full")]
     Full(Rank),
 }
 
 told! { Refused {
-    Nobody => "mesh.nobody", "hold the lists of peers of all senders against each other";
-    Full => "mesh.full", "see whether that sender is away or its link too slow";
+    Nobody => "mesh.nobody", "compare the lists of peers of all senders";
+    Full => "mesh.full", "check whether that sender is down or its link too slow";
 } }
 
-/// Counts since the process began.
+/// Counters since the start of the process.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Counts {
     /// Datagrams sent.
     pub sent: u64,
     /// Their bytes.
     pub sent_bytes: u64,
-    /// Datagrams that were not sound, or of another time.
+    /// Datagrams that were invalid, or not of the current channel.
     pub dropped: u64,
-    /// Channels that broke at a bound, or whose sender was given up, with something queued.
+    /// Channels closed with messages queued: the queue was full, or the sender did not answer.
     pub broken: u64,
 }
 
@@ -59,12 +60,12 @@
     queued: bool,
 }
 
-/// What came of a datagram, with the sender that it came from.
+/// The result of receiving a datagram.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Arrived {
     /// Whole messages, in order.
     pub messages: Vec<Vec<u8>>,
-    /// That sender is a new process, or had given this one up: what was queued or under way may be lost.
+    /// The sender restarted, or had closed its channel: messages queued or in flight may be lost.
     pub anew: bool,
 }
 
@@ -77,15 +78,15 @@
     tier: u32,
     rng: fastrand::Rng,
     peers: BTreeMap<Rank, Peer>,
-    /// Senders whose channels were dropped with something queued; told once by [`Mesh::lost`].
+    /// Senders whose channels were closed with messages queued; reported once by [`Mesh::lost`].
     lost: Vec<Rank>,
-    /// What happened, for operators.
+    /// Counters for operators.
     pub counts: Counts,
 }
 
 impl Mesh {
-    /// No channels yet. `magic` is one of those in [`crate::channel`], `tier` tells tiers apart that are wrongly given
-    /// the same addresses.
+    /// A mesh without channels. `magic` is one of those in [`crate::channel`]; `tier` distinguishes tiers
+    /// that were configured with the same addresses by mistake.
     pub fn new(magic: u8, own: Rank, size: usize, tier: u32, seed: u64) -> Self {
         Self {
             magic,
@@ -104,17 +105,17 @@
         bytes.first() == Some(&self.magic)
     }
 
-    /// Whether that sender has answered, and is the process that it was.
+    /// Whether the channel to that sender is established.
     pub fn is_up(&self, to: Rank) -> bool {
         self.peers.get(&to).is_some_and(|peer| peer.channel.is_up())
     }
 
-    /// When that sender was last heard on its channel, if there is one.
+    /// When that sender was last heard on its channel, if one is established.
     pub fn heard(&self, from: Rank) -> Option<Micros> {
         self.peers.get(&from).filter(|peer| peer.channel.is_up()).map(|peer| peer.heard)
     }
 
-    /// Bytes that wait in all channels.
+    /// Number of bytes queued in all channels.
     pub fn waiting(&self) -> usize {
         self.peers.values().map(|peer| peer.channel.waiting()).sum()
     }
@@ -146,7 +147,7 @@
     /// Queues a message of at most [`crate::channel::MOST_BYTES`] bytes.
     ///
     /// # Errors
-    /// Says why it was not queued.
+    /// Returns why the message was not queued.
     pub fn send(&mut self, now: Micros, to: Rank, message: &[u8]) -> Result<(), Refused> {
         if self.waiting() + message.len() > MOST_WAITING {
             return Err(Refused::Full(to));
@@ -154,7 +155,7 @@
         let challenge = self.rng.u32(1..);
         let peer = self.peer(to, now).ok_or(Refused::Nobody(to))?;
         if !peer.queued {
-            // Silence counts from when there is something to answer.
+            // The time-out starts when there is something to answer.
             peer.heard = peer.heard.max(now);
         }
         peer.channel.greet(challenge);
@@ -166,7 +167,7 @@
         Ok(())
     }
 
-    /// A datagram of another sender has come, which [`Mesh::claims`].
+    /// Handles a datagram of another sender that [`Mesh::claims`].
     pub fn receive(&mut self, now: Micros, from: Rank, bytes: &[u8]) -> Arrived {
         let challenge = self.rng.u32(1..);
         let Some(peer) = self.peer(from, now) else {
@@ -184,17 +185,17 @@
         Arrived { messages, anew }
     }
 
-    /// Senders that were given up with something queued since the last call.
+    /// Senders whose channels were closed with messages queued since the last call.
     pub fn lost(&mut self) -> Vec<Rank> {
         std::mem::take(&mut self.lost)
     }
 
-    /// When it wants to be flushed next.
+    /// When the next flush is due.
     pub fn due(&self) -> Option<Micros> {
         self.peers.values().filter_map(|peer| peer.channel.due()).min()
     }
 
-    /// Sends what is due, and forgets channels that nobody uses or answers.
+    /// Sends what is due, and closes channels that are unused or not answered.
     pub fn flush(&mut self, now: Micros, out: &mut Out) {
         let counts = &mut self.counts;
         for (rank, peer) in &mut self.peers {
--- a/src/mesh/tests.rs
+++ b/src/mesh/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::channel::STATUS;
 
-/// Plays two sides for a time over a link that loses the datagrams it is told to.
+/// Runs two sides for a time over a link that drops the datagrams chosen by `lose`.
 fn play(sides: &mut [Mesh; 2], from: Micros, until: Micros, lose: impl Fn(usize) -> bool) -> Vec<Vec<u8>> {
     let (mut said, mut sent) = (Vec::new(), 0);
     for now in (from..until).step_by(1_000) {
@@ -52,7 +52,7 @@
     let queued = told.iter().filter(|told| told.is_ok()).count();
     assert!(queued > 0 && queued * message.len() <= MOST_WAITING, "{queued}");
     assert_eq!(told.last(), Some(&Err(Refused::Full(299))));
-    // Short ones: the channels are what is used up.
+    // Short messages: the number of channels is the limit.
     (1..300).for_each(|rank| {
         let _ = mesh.send(1, rank, b"short");
     });
--- a/src/takeover/lots.rs
+++ b/src/takeover/lots.rs
@@ -1,21 +1,23 @@
-//! Who owns the messages of a lot, and how that changes: the part of takeover that must never be wrong.
+//! Ownership of replica groups and its transfer: the safety-critical core of takeover.
 //!
-//! A lot is a set of messages that one sender, its owner at epoch 0, has taken on, and that two others, its covers,
-//! know of. Two quorums carry all of it:
+//! A replica group is a set of messages accepted by one sender, its owner at epoch 0, and known to two other
+//! senders, its backups. Safety rests on two quorums:
 //!
-//! - An owner begins a call that must not happen twice only when its *intent* is granted by one cover at the
+//! - An owner begins a call that must not happen twice only after one backup has granted its *intent* at the
 //!   owner's epoch.
-//! - A cover becomes the owner only when *both* covers have promised its higher epoch, and each then has all that
-//!   either knew.
+//! - A backup becomes the owner only after *both* backups have promised its higher epoch; each of them then
+//!   has everything that either knew.
 //!
-//! A cover that has promised an epoch grants nothing at a lower one. So whoever owns the lot next knows of each intent
-//! that was granted before, and none is granted afterwards. This is the quorum intersection of Viewstamped Replication
-//! (Oki and Liskov, 1988) and Paxos (Lamport, 1998), with ballots of a fixed membership; what is replicated is a set
-//! of facts that only grows, so that no order of operations has to be agreed on.
+//! A backup that has promised an epoch grants nothing at a lower one. The next owner of the group therefore
+//! knows of every intent that was granted before, and none is granted afterwards. This is the quorum
+//! intersection of Viewstamped Replication (Oki and Liskov, 1988) and Paxos (Lamport, 1998), with ballots
+//! over a fixed membership. The replicated data is a grow-only set of updates, so no order of operations has
+//! to be agreed on.
 //!
-//! No clock and no view is read here: that a peer's lease has lapsed is told from outside, may be told at any moment,
-//! and may be wrong. Operations come from a channel that keeps their order and repeats none; it may lose all that is
-//! under way when one side is a new process, which [`Lots::reset`] tells.
+//! This module reads neither a clock nor the membership view: the expiry of a peer's lease is reported from
+//! outside, at any moment, and possibly wrongly. Operations arrive over a channel that preserves their order
+//! and delivers none twice; when one side restarts, the channel may lose everything in flight, which
+//! [`Lots::reset`] reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,70 +25,71 @@
 
 use crate::interface::Micros;
 
-/// A sender, by its place in the tier's list.
+/// A sender, as its index in the tier's list.
 pub type Rank = u16;
-/// Who owns a lot: 0 is the sender that opened it, later ones belong to covers by turns.
+/// Ownership epoch of a group: 0 belongs to the sender that opened it, later ones alternate between the
+/// backups.
 pub type Epoch = u32;
-/// A message within its lot.
+/// Index of a message within its group.
 pub type Item = u32;
 
-/// Messages that a lot holds at most.
+/// Maximum number of messages in a group.
 pub const MOST_ITEMS: u32 = 128;
-/// Promises that are remembered at most; see [`Memory`].
+/// Maximum number of stored promises; see [`Memory`].
 pub const MOST_PROMISES: usize = 4_096;
 
-/// Names a lot; never used twice.
+/// Identifies a replica group; never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LotId {
-    /// The sender that opened it.
+    /// The sender that opened the group.
     pub owner: Rank,
-    /// Unique among that sender's lots, over all its processes.
+    /// Unique among that sender's groups, across all its processes.
     pub number: u64,
 }
 
-/// An end that is owed to the platform.
+/// A final outcome that the platform has yet to be notified of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum GivenUp {
-    /// Refused, with advice on when to return, in microseconds.
+    /// Refused; the value is the suggested time to wait before a retry, in microseconds.
     Deferred(Micros),
     /// Failed.
     Undeliverable,
 }
 
-/// Something about a message that stays true.
+/// A statement about a message that never becomes false again.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Fact {
-    /// What it is. The content means nothing here.
+    /// The message itself, opaque to this module.
     Record(Vec<u8>),
     /// This attempt may run from now on.
     Intent(u16),
     /// This attempt is known not to have run, and never will.
     NeverRan(u16),
-    /// It ends so, and the platform is to be told.
+    /// The message has this final outcome, and the platform must be notified.
     GivenUp(GivenUp),
-    /// Nothing more is owed.
+    /// The message is finished: nothing is owed any more.
     Over,
 }
 
-/// An attempt that somebody intended.
+/// An attempt whose intent was recorded.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Attempt {
-    /// When, by its owner's clock.
+    /// Time of the intent, by its owner's clock.
     pub at: Micros,
-    /// It is known not to have run.
+    /// The attempt is known not to have run.
     pub never_ran: bool,
 }
 
-/// All facts about a message: a join, so that neither order nor repetition matters.
+/// All updates about a message, merged. The merge is a join: neither order nor repetition matters.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Known {
-    /// What it is, if it was told.
+    /// The message itself, once received.
     pub record: Option<Vec<u8>>,
-    /// Its attempts.
+    /// Its attempts, by number.
     pub attempts: BTreeMap<u16, Attempt>,
-    /// Its end, while the platform may not know of it.
+    /// Its final outcome, while the platform may not have been notified.
     pub given_up: Option<GivenUp>,
-    /// Nothing more is owed.
+    /// The message is finished: nothing is owed any more.
     pub over: bool,
 }
 
@@ -121,105 +124,108 @@
         self.given_up = self.given_up.max(other.given_up);
     }
 
-    /// Whether an attempt may have run.
+    /// Whether any attempt may have run.
     pub fn may_have_run(&self) -> bool {
         self.attempts.values().any(|attempt| !attempt.never_ran)
     }
 }
 
-/// What one sender tells another.
-#[expect(missing_docs, reason = "the fields are told by their types and by the line above them")]
+/// A message of the protocol between senders.
+#[expect(missing_docs, reason = "the fields are explained by their types and by the variant's comment")]
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Op {
-    /// This lot is the writer's; the receiver is one of its covers.
+    /// The writer owns this group; the receiver is one of its backups.
     Open { lot: LotId, covers: [Rank; 2] },
-    /// The lot is covered by the writer, whose memory this is.
+    /// The writer now backs up the group; `memory` identifies its durable state.
     Opened { lot: LotId, memory: u64 },
-    /// The writer, its owner at this epoch, tells a fact, its `n`th, from 1.
+    /// The writer, the owner at this epoch, replicates an update: its `n`th, counted from 1.
     Tell { lot: LotId, epoch: Epoch, n: u32, item: Item, fact: Fact, at: Micros },
-    /// The writer, its first owner, has told all that it had to tell at that time of its clock.
+    /// The writer, the first owner, had sent all its updates at this time of its clock.
     Still { lot: LotId, at: Micros },
-    /// All facts up to the `upto`th are known here, at this epoch.
+    /// The writer has all updates up to the `upto`th, at this epoch.
     Granted { lot: LotId, epoch: Epoch, upto: u32 },
-    /// A higher epoch holds here, or the lot is not known: nothing is granted.
+    /// The writer has promised a higher epoch, or does not know the group: nothing is granted.
     Fenced { lot: LotId, epoch: Epoch },
-    /// The writer, a cover, hears the owner no more.
+    /// The writer, a backup, no longer hears the owner.
     Poll { lot: LotId },
-    /// What the writer, a cover, knows of a message.
+    /// What the writer, a backup, knows of a message.
     State { lot: LotId, item: Item, known: Known },
-    /// The writer wants to own the lot at this epoch, and has told all that it knows.
+    /// The writer wants to own the group at this epoch, and has sent everything it knows.
     Prepare { lot: LotId, epoch: Epoch, heard: Micros },
-    /// The writer grants nothing below this epoch from now on, and has told all that it knows.
+    /// The writer grants nothing below this epoch from now on, and has sent everything it knows.
     Promise { lot: LotId, epoch: Epoch, memory: u64, heard: Micros },
-    /// The writer owns the lot at this epoch, and with it these messages. What is not among them nobody but the
-    /// receiver knows of, or will.
+    /// The writer owns the group at this epoch, and with it these messages. Of any other message of the
+    /// group, nobody but the receiver knows or will know.
     Taken { lot: LotId, epoch: Epoch, items: Vec<Item> },
-    /// The writer owned the lot at this epoch when the receiver's memory was that. May it go on alone?
+    /// The writer owned the group at this epoch while the receiver's durable state had this id. May it
+    /// continue without backups?
     Ask { lot: LotId, epoch: Epoch, memory: u64 },
-    /// It may: the lot is over here, and nobody has owned it since or will.
+    /// It may: the writer has closed the group, and nobody has owned it since or will.
     Closed { lot: LotId, epoch: Epoch },
-    /// That can't be said here.
+    /// The writer cannot tell.
     Unknown { lot: LotId },
-    /// Nothing is owed in the lot any more.
+    /// Nothing is owed in the group any more.
     Drop { lot: LotId },
 }
 
-/// What the sender round it is to do or to know.
-#[expect(missing_docs, reason = "the fields are told by their types and by the line above them")]
+/// An event for the surrounding sender, to act on or to take note of.
+#[expect(missing_docs, reason = "the fields are explained by their types and by the variant's comment")]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Said {
-    /// All facts of an owned lot up to this one are granted.
+    /// All updates of an owned group up to this one are granted.
     Granted { lot: LotId, upto: u32 },
-    /// This sender owns the lot at this epoch, and with it these messages. `sides` are those whose grant it needs, with
-    /// their memories. Attempts of its first owner that no cover knows of began at `heard` of its clock or later.
+    /// This sender owns the group at this epoch, and with it these messages. `sides` are the backups whose
+    /// grant it needs, with the ids of their durable state. Attempts of the first owner that no backup knows
+    /// of began at `heard` of its clock or later.
     Adopt { lot: LotId, epoch: Epoch, sides: Vec<(Rank, u64)>, heard: Micros, items: Vec<(Item, Known)> },
-    /// Another owns these messages: nothing more is to be done for them. What else is in the lot is granted.
+    /// Another sender owns these messages: this one must do nothing more for them. The rest of the group is
+    /// granted.
     Lost { lot: LotId, items: BTreeSet<Item> },
-    /// A message of an owned lot is over, by what an earlier owner says.
+    /// A message of an owned group is finished, as reported by an earlier owner.
     Over(LotId, Item),
-    /// Nobody else can come to own what is left in the lot: it may be covered anew.
+    /// Nobody else can come to own what is left in the group: it may be replicated again.
     Alone(LotId),
 }
 
-/// What outlasts the process, written down before anything that rests on it is sent.
+/// State that outlives the process, persisted before any operation that depends on it is sent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Memory {
-    /// Drawn by chance whenever something may have been forgotten.
+    /// Drawn at random whenever promises may have been lost.
     pub id: u64,
-    /// The highest epoch above 0 that was promised, by lot.
+    /// The highest promised epoch above 0, by group.
     pub promises: BTreeMap<LotId, Epoch>,
 }
 
 impl Memory {
-    /// Bytes that it takes of the disk at most, old and new file together.
+    /// Maximum disk usage in bytes, old and new file together.
     pub const ROOM: u64 = 2 * 32 * MOST_PROMISES as u64;
 }
 
-/// How a cover stands to its lot.
+/// A backup's role in its group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Role {
-    /// The sender that opened it owns it.
+    /// The sender that opened the group owns it.
     Covering,
-    /// It has promised an epoch of its own, and waits for the other cover.
+    /// It has promised an epoch of its own, and waits for the other backup.
     Candidate,
-    /// It has promised the other cover's epoch, and has all that that one knew.
+    /// It has promised the other backup's epoch, and has everything that one knew.
     Promised,
-    /// It owns the lot.
+    /// It owns the group.
     Owner,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Cover {
     other: Rank,
-    /// Which of the two it is: their epochs are odd and even.
+    /// Which of the two backups it is: one uses odd epochs, the other even ones.
     second: bool,
     promised: Epoch,
     role: Role,
-    /// The other cover hears the owner no more.
+    /// The other backup no longer hears the owner.
     polled: bool,
-    /// The process that owned it is no more; another may ask about it.
+    /// The owning process has ended; its successor may ask about the group.
     forgot: bool,
-    /// The first owner's clock when it told the last thing that came here, or at the other cover.
+    /// The first owner's clock when it sent its latest operation that reached this backup or the other one.
     heard: Micros,
     items: BTreeMap<Item, Known>,
 }
@@ -235,43 +241,44 @@
 struct Owned {
     epoch: Epoch,
     sides: Vec<Side>,
-    /// Facts told.
+    /// Number of updates replicated.
     told: u32,
-    /// Nobody else can own it any more.
+    /// Nobody else can own the group any more.
     alone: bool,
-    /// Messages that are owed.
+    /// Messages that are still owed.
     open: BTreeSet<Item>,
-    /// No further message is put into it.
+    /// No further message is added to the group.
     sealed: bool,
 }
 
-/// All lots that a sender owns or covers.
+/// All replica groups that a sender owns or backs up.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Lots {
     own: Rank,
     memory: Memory,
     covers: BTreeMap<LotId, Cover>,
     owned: BTreeMap<LotId, Owned>,
-    /// Peers whose lease has lapsed.
+    /// Peers whose lease has expired.
     lapsed: BTreeSet<Rank>,
-    /// There is no room for further lots and records.
+    /// The capacity for further groups and records is exhausted.
     full: bool,
 }
 
-/// What came of a call, in order. `ops` go out only after `memory`, if it changed, is written down.
+/// The effects of a call, in order. `ops` may be sent only after [`Lots::memory`], if it changed, is
+/// persisted.
 #[derive(Debug, Default)]
 pub struct Out {
-    /// To the channel.
+    /// Operations to send over the channels.
     pub ops: Vec<(Rank, Op)>,
-    /// To the sender.
+    /// Events for the sender.
     pub said: Vec<Said>,
-    /// [`Lots::memory`] has changed.
+    /// [`Lots::memory`] has changed and must be persisted.
     pub remember: bool,
 }
 
 impl Out {
     fn op(&mut self, to: Rank, op: Op) {
-        // One grant stands for all before it.
+        // A grant is cumulative: it replaces the one before it.
         if let Op::Granted { lot, epoch, .. } = &op
             && let Some((last, Op::Granted { lot: l, epoch: e, .. })) = self.ops.last()
             && (*last, l, e) == (to, lot, epoch)
@@ -283,7 +290,7 @@
 }
 
 impl Lots {
-    /// With what an earlier process left.
+    /// A sender without groups, with the durable state of its earlier processes.
     pub fn new(own: Rank, memory: Memory) -> Self {
         Self {
             own,
@@ -295,12 +302,12 @@
         }
     }
 
-    /// What has to outlast the process.
+    /// The state that must outlive the process.
     pub fn memory(&self) -> &Memory {
         &self.memory
     }
 
-    /// Opens a lot. Messages can be put into it once it is [`Lots::ready`].
+    /// Opens a group. Messages can be added once it is [`Lots::ready`].
     pub fn open(&mut self, lot: LotId, covers: [Rank; 2], out: &mut Out) {
         let side = |rank| Side { rank, memory: None, fenced: false };
         let sides = covers.map(side).to_vec();
@@ -311,15 +318,16 @@
         }
     }
 
-    /// The covers' memories, once both cover the lot and while it can take a message.
+    /// The backups and the ids of their durable state, once both have joined and while the group accepts
+    /// messages.
     pub fn ready(&self, lot: LotId) -> Option<Vec<(Rank, u64)>> {
         let owned = self.owned.get(&lot).filter(|owned| !owned.sealed && !owned.alone)?;
         let sides = owned.sides.iter().map(|side| Some((side.rank, side.memory.filter(|_| !side.fenced)?)));
         sides.collect()
     }
 
-    /// A lot that an earlier process of this sender owned at that epoch, with those of its messages that are owed.
-    /// Nothing in it is granted until a cover says that nobody else has owned it since.
+    /// Restores a group that an earlier process of this sender owned at that epoch, with its messages that
+    /// are still owed. Nothing in it is granted until a backup confirms that nobody else has owned it since.
     pub fn resume(
         &mut self,
         lot: LotId,
@@ -331,7 +339,7 @@
         let side = |(rank, memory): &(Rank, u64)| Side {
             rank: *rank,
             memory: Some(*memory),
-            // It grants nothing to a process that it does not know.
+            // The backup grants nothing to a process that it does not know.
             fenced: true,
         };
         let alone = sides.is_empty();
@@ -340,8 +348,8 @@
         self.ask(lot, None, out);
     }
 
-    /// A cover of lots that this sender opened is gone: the other one could not come to own them. They are closed
-    /// there, so that their messages can be covered anew.
+    /// Closes the groups opened here that lost this backup, since the other one alone could not come to own
+    /// them. Once closed, their messages can be replicated again.
     pub fn retire(&mut self, gone: Rank, out: &mut Out) {
         let of = |owned: &Owned| {
             owned.epoch == 0 && !owned.alone && owned.sides.iter().any(|side| side.rank == gone)
@@ -355,7 +363,7 @@
         }
     }
 
-    /// Asks covers once more whether lots may go on alone, for those that can't otherwise.
+    /// Asks the backups again about groups that are fenced at all of them: may this sender continue alone?
     pub fn ask_again(&mut self, out: &mut Out) {
         let stuck = self.owned.iter().filter(|(_, o)| !o.alone && o.sides.iter().all(|side| side.fenced));
         for lot in stuck.map(|(lot, _)| *lot).collect::<Vec<_>>() {
@@ -372,7 +380,7 @@
         }
     }
 
-    /// No further message is put into an owned lot; it ends with its last one.
+    /// Stops adding messages to an owned group; it ends when its last message is finished.
     pub fn seal(&mut self, lot: LotId, out: &mut Out) {
         if let Some(owned) = self.owned.get_mut(&lot) {
             owned.sealed = true;
@@ -380,8 +388,9 @@
         }
     }
 
-    /// Tells the covers a fact of an owned lot. Its number: it is granted once [`Said::Granted`] comes up to it;
-    /// none if it is granted as it is, or if the lot is not owned.
+    /// Replicates an update of an owned group to its backups. Returns the update's number if it has to be
+    /// granted first, which [`Said::Granted`] reports; `None` if it needs no grant, or if the group is not
+    /// owned.
     pub fn tell(&mut self, (lot, item): (LotId, Item), fact: Fact, at: Micros, out: &mut Out) -> Option<u32> {
         let owned = self.owned.get_mut(&lot)?;
         match fact {
@@ -397,7 +406,7 @@
                 out.op(side.rank, Op::Tell { lot, epoch, n, item, fact: fact.clone(), at });
             }
         }
-        // What has become another's is granted nothing, even where nobody else can own the rest of the lot.
+        // A message that another sender took over is granted nothing, even if nobody else can own the rest.
         let lost = matches!(fact, Fact::Intent(_)) && !owned.open.contains(&item);
         let waits = (!owned.alone || lost).then_some(n);
         if let Some(cover) = self.covers.get_mut(&lot) {
@@ -409,7 +418,7 @@
         waits
     }
 
-    /// Tells the covers of the lots that this sender opened that nothing was told since.
+    /// Confirms to the backups of the groups opened here that no update is missing up to `at`.
     pub fn still(&mut self, at: Micros, out: &mut Out) {
         for (lot, owned) in self.owned.iter().filter(|(_, o)| o.epoch == 0 && !o.alone && !o.open.is_empty())
         {
@@ -426,12 +435,12 @@
         for side in &owned.sides {
             out.op(side.rank, Op::Drop { lot });
         }
-        // What it knew as a cover stays until it expires: whoever comes back and asks hears that it was taken.
+        // The backup's state stays until it expires, so that a former owner that asks learns of the takeover.
         self.owned.remove(&lot);
     }
 
-    /// A peer has not been heard for as long as its lease; whether that is new. It may be told at any time, and may
-    /// be wrong.
+    /// Records that a peer's lease has expired, and returns whether it was valid until now. May be called at
+    /// any time, and may be wrong.
     pub fn lapse(&mut self, peer: Rank, out: &mut Out) -> bool {
         let new = self.lapsed.insert(peer);
         if new {
@@ -440,7 +449,8 @@
         new
     }
 
-    /// It is a lease since [`Lots::reset`]: what the new process has not asked about by now it knows nothing of.
+    /// Takes over the groups that a peer's restart left without an owner. Called one lease after
+    /// [`Lots::reset`]: the new process knows nothing of the groups that it has not asked about by then.
     pub fn orphaned(&mut self, peer: Rank, out: &mut Out) {
         self.without(peer, |cover| cover.forgot, out);
     }
@@ -452,7 +462,8 @@
             match cover.role {
                 Role::Covering if lot.owner == peer && cover.polled => self.stand(lot, out),
                 Role::Covering if lot.owner == peer => out.op(cover.other, Op::Poll { lot }),
-                // It has all that the other knew, and what the other does needs its grant, which ends here.
+                // This backup has everything the other one knew, and the other one needs its grants, which
+                // end here.
                 Role::Promised if cover.other == peer => {
                     self.promise_own(lot, out);
                     self.adopt(lot, Vec::new(), out);
@@ -462,12 +473,12 @@
         }
     }
 
-    /// A peer was heard again.
+    /// Records that a peer was heard again.
     pub fn heard(&mut self, peer: Rank) {
         self.lapsed.remove(&peer);
     }
 
-    /// The next epoch of its own is promised. Writes nothing to anybody.
+    /// Promises this backup's own next epoch, and returns it. Sends nothing.
     fn promise_own(&mut self, lot: LotId, out: &mut Out) -> Epoch {
         let Some(cover) = self.covers.get_mut(&lot) else { return 0 };
         let next = cover.promised + 1;
@@ -480,14 +491,14 @@
     fn remember(&mut self, lot: LotId, epoch: Epoch, out: &mut Out) {
         self.memory.promises.insert(lot, epoch);
         if self.memory.promises.len() > MOST_PROMISES {
-            // Whoever asks about what is forgotten must hear that it can't be said.
+            // The new id makes questions about the evicted promise be answered with "unknown".
             self.memory.promises.pop_first();
             self.memory.id = self.memory.id.wrapping_add(1);
         }
         out.remember = true;
     }
 
-    /// Stands for ownership, or does so once more.
+    /// Starts a candidacy for ownership, or repeats it at a higher epoch.
     fn stand(&mut self, lot: LotId, out: &mut Out) {
         let epoch = self.promise_own(lot, out);
         let Some(cover) = self.covers.get_mut(&lot) else { return };
@@ -500,7 +511,7 @@
         out.op(to, Op::Prepare { lot, epoch, heard });
     }
 
-    /// The lot is this sender's own. `sides` are those whose grant it needs.
+    /// Makes this sender the group's owner. `sides` are the backups whose grant it needs.
     fn adopt(&mut self, lot: LotId, sides: Vec<Side>, out: &mut Out) {
         let Some(cover) = self.covers.get_mut(&lot) else { return };
         cover.role = Role::Owner;
@@ -517,12 +528,14 @@
             out.op(owner, taken.clone());
         }
         out.said.push(Said::Adopt { lot, epoch, sides: told, heard, items });
-        // The other cover is asked to close it, so that the messages can be covered anew by two that are there.
+        // The other backup is asked to close the group, so that its messages can be replicated again to two
+        // live backups.
         self.ask(lot, None, out);
         self.end_if_over(lot, out);
     }
 
-    /// A peer is a new process: what was under way between the two is lost, and it has forgotten its lots.
+    /// Handles a peer's restart: everything in flight between the two is lost, and the peer has no groups any
+    /// more.
     pub fn reset(&mut self, peer: Rank, out: &mut Out) {
         let owned: Vec<LotId> = self.owned.keys().copied().collect();
         for lot in owned {
@@ -532,7 +545,7 @@
             owned.sealed = true;
             self.ask(lot, Some(peer), out);
         }
-        // The other cover has forgotten the lot: nobody can come to own it any more.
+        // The other backup has lost the group: nobody can come to own it any more.
         let hopeless = |c: &Cover| c.other == peer && matches!(c.role, Role::Covering | Role::Candidate);
         self.covers.retain(|_, cover| !hopeless(cover));
         for (lot, cover) in &mut self.covers {
@@ -544,32 +557,34 @@
         }
     }
 
-    /// Forgets a lot that this sender covers: its messages' time is long up.
+    /// Drops a group that this sender backs up: the deadlines of its messages have long passed.
     pub fn expire(&mut self, lot: LotId) {
         if !self.owned.contains_key(&lot) {
             self.covers.remove(&lot);
         }
     }
 
-    /// Whether there is room for further lots and records: a cover says no, and drops nothing that it has.
+    /// Sets whether the capacity is exhausted: a full backup refuses further groups and records, but drops
+    /// none.
     pub fn set_full(&mut self, full: bool) {
         self.full = full;
     }
 
-    /// Bytes of all records here.
+    /// Total size of the stored records, in bytes.
     pub fn bytes(&self) -> usize {
         let known = self.covers.values().flat_map(|cover| cover.items.values());
         known.map(|known| known.record.as_ref().map_or(0, Vec::len)).sum()
     }
 
-    /// Lots that are covered here, and messages in them that are owed.
+    /// The groups that are backed up here, each with its number of owed messages.
     pub fn covering(&self) -> impl Iterator<Item = (LotId, usize)> + '_ {
         let owed = |cover: &Cover| cover.items.values().filter(|known| !known.over).count();
         let others = self.covers.iter().filter(|(lot, _)| !self.owned.contains_key(lot));
         others.map(move |(lot, cover)| (*lot, if cover.role == Role::Owner { 0 } else { owed(cover) }))
     }
 
-    /// Senders whose silence matters here: owners of lots that are covered, and the other covers of those.
+    /// Peers whose leases matter here: backups of owned groups, and owners and other backups of backed-up
+    /// groups.
     pub fn concerns(&self) -> BTreeSet<Rank> {
         let owned = self.owned.values().flat_map(|owned| owned.sides.iter().map(|side| side.rank));
         let covers = self.covers.iter().filter(|(_, cover)| cover.role != Role::Owner);
@@ -577,17 +592,17 @@
         owned.chain(covered).filter(|rank| *rank != self.own).collect()
     }
 
-    /// Whether nobody else can own an owned lot any more.
+    /// Whether this sender owns the group and nobody else can come to own it.
     pub fn alone(&self, lot: LotId) -> bool {
         self.owned.get(&lot).is_some_and(|owned| owned.alone)
     }
 
-    /// Whether the lot is this sender's.
+    /// Whether this sender owns the group, as far as it knows.
     pub fn owns(&self, lot: LotId) -> bool {
         self.owned.contains_key(&lot)
     }
 
-    /// An operation has come.
+    /// Handles an operation of another sender.
     pub fn receive(&mut self, from: Rank, op: Op, out: &mut Out) {
         match op {
             Op::Open { lot, covers } => self.opened(from, lot, covers, out),
@@ -689,7 +704,7 @@
         let second = covers[1] == self.own;
         let other = covers[usize::from(!second)];
         let sound = lot.owner == from && covers.contains(&self.own) && other != self.own && other != from;
-        // Whoever knows of a promise in it has been in it before.
+        // A stored promise shows that this backup has been in the group before.
         if !sound || self.full || self.covers.contains_key(&lot) || self.memory.promises.contains_key(&lot) {
             return;
         }
@@ -728,7 +743,7 @@
             return;
         }
         out.op(from, Op::Fenced { lot, epoch });
-        // Two facts stay true whoever owns the lot.
+        // These two updates hold no matter who owns the group.
         let knows = from == lot.owner || from == cover.other;
         if knows && matches!(fact, Fact::NeverRan(_) | Fact::Over) && cover.items.contains_key(&item) {
             let over = fact == Fact::Over;
@@ -763,7 +778,8 @@
             return;
         }
         let Some(cover) = self.covers.get(&lot) else {
-            // Forgotten but for promises: without a higher one nobody can have come to own it by this cover.
+            // Only promises are left of the group: without a higher one, nobody can have come to own it
+            // through this backup.
             let promised = self.memory.promises.get(&lot).copied().unwrap_or(0);
             let op = if promised == epoch { Op::Closed { lot, epoch } } else { Op::Unknown { lot } };
             out.op(from, op);
--- a/src/takeover/mod.rs
+++ b/src/takeover/mod.rs
@@ -1,9 +1,10 @@
-//! Work in hand survives the loss of its sender: each message that is covered has two other senders that know of it,
-//! and one of them takes it over when its owner is heard no more. [`lots`] decides who owns what and never looks at a
-//! clock; [`crate::channel`] carries what senders tell each other; here are leases, the choice of covers, and the bounds.
+//! Takeover: accepted messages survive the loss of their sender. Each replicated message is known to two
+//! other senders, its backups, and one of them takes it over once its owner's lease has expired. [`lots`]
+//! decides ownership without looking at a clock; [`crate::channel`] carries the operations between senders;
+//! this module has the leases, the choice of backups, and the limits.
 //!
-//! Sans I/O: time, chance and datagrams come from outside. What is to be sent may go only after what is to be
-//! remembered, if anything, is written down.
+//! Sans I/O: time, randomness and datagrams are passed in. Datagrams may be sent only after changed durable
+//! state is persisted.
 
 pub mod lots;
 
@@ -15,38 +16,40 @@
 use crate::interface::Micros;
 use lots::{Fact, Item, Known, LotId, Lots, MOST_ITEMS, Memory, Op, Out, Rank, Said};
 
-/// Bounds of the lease, milliseconds.
+/// Range of the lease, in milliseconds.
 pub const LEASES_MS: (u32, u32) = (200, 30_000);
-/// Bounds of a covered message's body, bytes.
+/// Range of the maximum body size of a replicated message, in bytes.
 pub const BODIES: (u32, u32) = (0, 65_536);
-/// Bounds of the memory for others' messages, MB.
+/// Range of the memory for other senders' messages, in MB.
 pub const ROOM_MB: (u32, u32) = (1, 64);
-/// A message that may live longer is not covered: covers keep nothing for longer than [`KEPT`].
+/// A message with more time left is not replicated: backups keep nothing for longer than [`KEPT`].
 pub const LONGEST: Micros = 60_000_000;
-/// After this time a cover forgets a lot that nobody came to own.
+/// Time after which a backup drops a group that nobody came to own.
 const KEPT: Micros = 2 * LONGEST;
-/// A lot takes new messages for so long; the next one is opened a little before.
+/// Time for which a group accepts new messages.
 const TAKES_FOR: Micros = 5_000_000;
+/// How long before the end of [`TAKES_FOR`] the next group is opened.
 const OPENED_BEFORE: Micros = 1_000_000;
-/// Lots that are covered here at most.
+/// Maximum number of groups backed up here.
 const MOST_COVERED: usize = 2_048;
-/// A sender that does not come to cover is left out for so long.
+/// Time for which a sender that failed to join a group as backup is not chosen again.
 const LEFT_OUT: Micros = 5_000_000;
 
-/// The section of the configuration.
+/// The `takeover` section of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// A cover that has heard nothing of an owner for so long may take its messages over, milliseconds.
+    /// A backup that has heard nothing from an owner for this long may take over its messages, in
+    /// milliseconds.
     #[serde(default = "lease")]
     pub lease_ms: u32,
-    /// Longer bodies are not covered, bytes.
+    /// Maximum body size of a replicated message, in bytes.
     #[serde(default = "body")]
     pub max_body: u32,
-    /// For messages of others, MB.
+    /// Memory limit for other senders' messages, in MB.
     #[serde(default = "room")]
     pub room_mb: u32,
-    /// Tells tiers apart that are wrongly given the same addresses.
+    /// The tier's name, which distinguishes tiers that were configured with the same addresses by mistake.
     #[serde(default)]
     pub tier: String,
 }
@@ -63,62 +66,62 @@
     8
 }
 
-/// How good a cover another sender would be.
+/// How suitable another sender is as a backup.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fit {
-    /// It is near, on another host.
+    /// On another host, in the same zone.
     Near,
-    /// It is on another host.
+    /// On another host.
     Far,
-    /// It is on this host, or held for gone.
+    /// On this host, or considered gone.
     No,
 }
 
-/// Where a message is covered. It goes into the journal, before anybody is told.
+/// Where a message is replicated. The journal has it before the backups do.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Tag {
-    /// Its lot.
+    /// The message's group.
     pub lot: LotId,
     /// The owner's epoch.
     pub epoch: lots::Epoch,
-    /// Which message of it.
+    /// The message's index in the group.
     pub item: Item,
-    /// Those whose grant is needed, and what tells whether they have forgotten.
+    /// The backups whose grant is needed, with the ids of their durable state, which change if they lose it.
     pub sides: Vec<(Rank, u64)>,
 }
 
-/// Why a message is not covered.
+/// Why a message is not replicated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Uncovered {
-    /// No two others cover this sender at present.
+    /// This sender has no two backups at present.
     NoCovers,
-    /// It is too long.
+    /// The body is too long.
     Body,
-    /// It may live too long.
+    /// The deadline is too far away.
     Time,
 }
 
-/// Counts since the process began.
+/// Counters since the start of the process.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Messages told to covers.
+    /// Messages replicated to backups.
     pub covered: u64,
-    /// Messages that were not, by reason.
+    /// Messages not replicated, by reason.
     pub uncovered: BTreeMap<Uncovered, u64>,
     /// Datagrams sent, and their bytes.
     pub sent: (u64, u64),
-    /// Datagrams that were not sound, or of another time.
+    /// Datagrams that were invalid, or not of the current channel.
     pub dropped: u64,
-    /// Leases that lapsed.
+    /// Leases that expired.
     pub lapsed: u64,
-    /// Lots of others that this sender came to own.
+    /// Groups of other senders that this one came to own.
     pub lots_taken: u64,
-    /// Messages of those.
+    /// Messages of those groups.
     pub adopted: u64,
-    /// Messages that another came to own.
+    /// Messages that another sender came to own.
     pub lost: u64,
-    /// Channels that broke at their bound.
+    /// Channels that were closed because their queue was full.
     pub broken: u64,
 }
 
@@ -126,9 +129,9 @@
 struct Peer {
     channel: Channel,
     heard: Micros,
-    /// When lots that the process before it left are taken for orphans.
+    /// When the groups that the peer's previous process left behind count as orphaned.
     orphans_at: Option<Micros>,
-    /// It did not come to cover; it is not asked until then.
+    /// The peer failed to join a group as backup, and is not chosen again until then.
     left_out: Micros,
 }
 
@@ -140,7 +143,7 @@
     next: Item,
 }
 
-/// The part of a sender that covers, and is covered.
+/// A sender's takeover component: replicates its own messages, and is a backup for those of others.
 #[derive(Debug)]
 pub struct Takeover {
     own: Rank,
@@ -151,11 +154,11 @@
     lots: Lots,
     peers: BTreeMap<Rank, Peer>,
     fits: Vec<Fit>,
-    /// Where new messages go.
+    /// The group that accepts new messages.
     current: Option<Current>,
-    /// Where they will go next: its covers are still coming.
+    /// The group that will accept them next: its backups are still joining.
     next: Option<Current>,
-    /// When lots that are covered here were first seen.
+    /// When each group that is backed up here was first seen.
     seen: BTreeMap<LotId, Micros>,
     leaving: bool,
     ticked: Micros,
@@ -163,12 +166,13 @@
     stilled: Micros,
     said: Vec<Said>,
     remember: bool,
-    /// What happened, for operators.
+    /// Counters for operators.
     pub counts: Counts,
 }
 
 impl Takeover {
-    /// A sender's part: its place among `size`, chance, and what an earlier process of it remembers.
+    /// The component of the sender with rank `own` among `size`, with the durable state of its earlier
+    /// processes.
     pub fn new(config: &Config, own: Rank, size: usize, seed: u64, memory: Memory, now: Micros) -> Self {
         Self {
             own,
@@ -192,32 +196,33 @@
         }
     }
 
-    /// The lease.
+    /// The duration of a lease.
     pub fn lease(&self) -> Micros {
         Micros::from(self.config.lease_ms) * 1_000
     }
 
-    /// What has to be written down before anything is sent, if it has changed since this was asked last.
+    /// The durable state, if it has changed since the last call; it must be persisted before anything is
+    /// sent.
     pub fn to_remember(&mut self) -> Option<&Memory> {
         std::mem::take(&mut self.remember).then(|| self.lots.memory())
     }
 
-    /// What has to outlast the process.
+    /// The state that must outlive the process.
     pub fn memory(&self) -> &Memory {
         self.lots.memory()
     }
 
-    /// What the sender is to do or to know.
+    /// Takes the pending events, for the sender to handle.
     pub fn said(&mut self) -> Vec<Said> {
         std::mem::take(&mut self.said)
     }
 
-    /// How good covers the others would be, by rank.
+    /// Sets how suitable the other senders are as backups, by rank.
     pub fn set_fits(&mut self, fits: Vec<Fit>) {
         self.fits = fits;
     }
 
-    /// No message is put into a lot any more, or they are again.
+    /// Stops replicating new messages while the sender leaves, or starts again.
     pub fn set_leaving(&mut self, now: Micros, leaving: bool) {
         self.leaving = leaving;
         if leaving {
@@ -237,7 +242,7 @@
         })
     }
 
-    /// Has the lots do something, and passes on what comes of it.
+    /// Calls `act` on the groups, and passes on the effects.
     fn with<T>(&mut self, now: Micros, act: impl FnOnce(&mut Lots, &mut Out) -> T) -> T {
         let mut out = Out::default();
         let done = act(&mut self.lots, &mut out);
@@ -248,7 +253,8 @@
             }
             out = Out::default();
             for peer in broken {
-                // What can't be passed on in order is not passed on at all: to the other side this is a new process.
+                // Operations that cannot be sent in order are not sent at all: the new channel makes this
+                // sender appear restarted to the peer.
                 self.counts.broken += 1;
                 let (number, tier) = (self.rng.u64(1..), self.tier);
                 self.peer(peer, now).channel = Channel::new(channel::TAKEOVER, number, tier);
@@ -257,7 +263,7 @@
         }
     }
 
-    /// Those whose channel can't take it.
+    /// Queues operations and events; returns the peers whose channel is full.
     fn pass_on(&mut self, now: Micros, out: Out) -> BTreeSet<Rank> {
         self.remember |= out.remember;
         for said in out.said {
@@ -284,10 +290,10 @@
         broken
     }
 
-    /// Puts a message into the present lot, if there is one. Nobody is told before [`Takeover::tell`].
+    /// Adds a message to the current group, if there is one. Nothing is sent before [`Takeover::tell`].
     ///
     /// # Errors
-    /// Tells why it can't be covered.
+    /// Returns why the message cannot be replicated.
     pub fn place(&mut self, body: usize, left: Micros) -> Result<Tag, Uncovered> {
         let placed = self.placed(body, left);
         match &placed {
@@ -297,7 +303,7 @@
         placed
     }
 
-    /// The same for a message that was covered before; it counts once.
+    /// Like [`Takeover::place`], for a message that was replicated before and is already counted.
     pub fn place_again(&mut self, body: usize, left: Micros) -> Option<Tag> {
         self.placed(body, left).ok()
     }
@@ -316,8 +322,8 @@
         Ok(Tag { lot: current.lot, epoch: 0, item, sides })
     }
 
-    /// The same for a message that was covered before, in a lot that nobody else can come to own: all that is known of
-    /// it is told, its record last, since nobody adopts a message without.
+    /// Replicates everything known of a message whose previous group nobody else can come to own. The record
+    /// is sent last, since nobody adopts a message without one.
     pub fn tell_all(&mut self, now: Micros, lot: LotId, item: Item, known: &Known) {
         for (attempt, intended) in &known.attempts {
             let never = intended.never_ran.then_some(Fact::NeverRan(*attempt));
@@ -332,22 +338,22 @@
         }
     }
 
-    /// Tells a fact of an owned message. Its number, if a grant is to be waited for; see [`Lots::tell`].
+    /// Replicates an update of an owned message. Returns its number if a grant is needed; see [`Lots::tell`].
     pub fn tell(&mut self, now: Micros, lot: LotId, item: Item, fact: Fact) -> Option<u32> {
         self.with(now, |lots, out| lots.tell((lot, item), fact, now, out))
     }
 
-    /// Whether this sender owns the lot, as far as it knows.
+    /// Whether this sender owns the group, as far as it knows.
     pub fn owns(&self, lot: LotId) -> bool {
         self.lots.owns(lot)
     }
 
-    /// Whether nobody else can come to own a lot of this sender's.
+    /// Whether this sender owns the group and nobody else can come to own it.
     pub fn alone(&self, lot: LotId) -> bool {
         self.lots.alone(lot)
     }
 
-    /// Lots that an earlier process of this sender owned.
+    /// Restores the groups that an earlier process of this sender owned, from its journal's tags.
     pub fn resume(&mut self, now: Micros, tags: impl Iterator<Item = Tag>) {
         let mut lots: BTreeMap<LotId, (Tag, BTreeSet<Item>)> = BTreeMap::new();
         for tag in tags {
@@ -359,7 +365,7 @@
         }
     }
 
-    /// A datagram of another sender has come.
+    /// Handles a datagram of another sender.
     pub fn receive(&mut self, now: Micros, from: Rank, bytes: &[u8]) {
         if from == self.own || usize::from(from) >= self.size {
             self.counts.dropped += 1;
@@ -390,24 +396,24 @@
         }
     }
 
-    /// When it wants to be ticked next.
+    /// When it next needs a tick or a flush.
     pub fn due(&self) -> Micros {
         let channels = self.peers.values().filter_map(|peer| peer.channel.due());
         channels.min().unwrap_or(Micros::MAX).min(self.ticks_at())
     }
 
-    /// When leases and covers are looked at next.
+    /// When leases and backups are checked next.
     pub fn ticks_at(&self) -> Micros {
         self.ticked + self.lease() / 10
     }
 
-    /// Time has passed: leases and covers are looked at, where that is due.
+    /// Checks leases and backups, if that is due.
     pub fn tick(&mut self, now: Micros) {
         if now < self.ticks_at() {
             return;
         }
         if now > self.ticked + self.lease() / 2 {
-            // This process itself did not run: that others are silent says nothing.
+            // This process itself was paused: the silence of others means nothing.
             self.peers.values_mut().for_each(|peer| peer.heard = now);
         }
         self.ticked = now;
@@ -461,7 +467,7 @@
         self.lots.set_full(full || covering.len() > MOST_COVERED);
     }
 
-    /// Keeps a lot open whose covers are there, and opens the next one in time.
+    /// Keeps a group open whose backups are reachable, and opens the next one in time.
     fn choose(&mut self, now: Micros) {
         let lease = self.lease();
         let well = |peers: &BTreeMap<Rank, Peer>, lots: &Lots, current: &Current| {
@@ -501,7 +507,7 @@
 
     fn open(&mut self, now: Micros) {
         let lot = LotId { owner: self.own, number: self.rng.u64(..) };
-        // Rendezvous hashing (Thaler and Ravishankar, 1998): lots spread over the tier, near ones first.
+        // Rendezvous hashing (Thaler and Ravishankar, 1998) spreads groups over the tier, near backups first.
         let score = |rank: Rank| {
             let mut key = lot.number.to_le_bytes().to_vec();
             key.extend(rank.to_le_bytes());
@@ -514,7 +520,7 @@
             .collect();
         all.sort_unstable();
         let Some(first) = all.first().copied() else { return };
-        // The second is far if there is one: a zone that is lost takes only one of them along.
+        // The second backup is far if possible, so that the loss of a zone takes only one of them.
         let far = all.iter().skip(1).find(|other| other.0).or(all.get(1)).copied();
         let Some(second) = far else { return };
         let covers = [first.2, second.2];
@@ -522,7 +528,8 @@
         self.with(now, |lots, out| lots.open(lot, covers, out));
     }
 
-    /// What is to be sent now; [`Takeover::to_remember`] comes before it.
+    /// Collects the datagrams to send now. [`Takeover::to_remember`] must be called, and its result
+    /// persisted, first.
     pub fn flush(&mut self, now: Micros, out: &mut Vec<(Rank, Vec<u8>)>) {
         for (rank, peer) in &mut self.peers {
             peer.channel.flush(now, &mut |bytes| {
@@ -533,13 +540,13 @@
         }
     }
 
-    /// Messages of others that are held here: lots, messages, bytes.
+    /// What is held here for other senders: groups, messages, bytes.
     pub fn holding(&self) -> (usize, usize, usize) {
         let lots: Vec<_> = self.lots.covering().collect();
         (lots.len(), lots.iter().map(|(_, owed)| owed).sum(), self.lots.bytes())
     }
 
-    /// The present covers, and how long ago each was heard.
+    /// The current backups, and how long ago each was heard.
     pub fn covers(&self, now: Micros) -> Vec<(Rank, Micros)> {
         let current = self.current.iter().flat_map(|current| current.covers);
         current.map(|rank| (rank, self.peers.get(&rank).map_or(0, |p| now.saturating_sub(p.heard)))).collect()
--- a/src/told.rs
+++ b/src/told.rs
@@ -1,22 +1,22 @@
-//! What every error of this program tells: a code that stays, what happened with which values (its text), and what
-//! an operator can do. The programs of the folders `ops` and `fleet` read this file too, and share nothing else.
+//! What every error of this program has: a stable code, a text with the values involved, and a remedy for the
+//! operator. The programs in the folders `ops` and `fleet` include this file too, and share nothing else.
 
 use std::fmt::Display;
 
-/// An error as operators get it: in an answer of the management address, in the log, on the command line.
+/// An error as operators see it: in an answer of the management address, in the log, on the command line.
 pub trait Told: Display {
-    /// The codes of all variants; `docs/operations.md` has each, and tests hold the page against them.
+    /// The codes of all variants. `docs/operations.md` lists each, and tests compare the page with them.
     const CODES: &'static [&'static str];
 
-    /// Names what happened, for programs. It never changes its meaning.
+    /// Identifies the error for programs. A code never changes its meaning.
     fn code(&self) -> &'static str;
 
     /// What an operator can do, in one line.
     fn remedy(&self) -> &'static str;
 }
 
-/// Gives an error type its [`Told`] from one table: a line for each variant, `..Variant;` for one that hands on
-/// another error's. A variant without a line does not compile.
+/// Implements [`Told`] for an error type from one table: a line for each variant, and `..Variant;` for one
+/// that forwards to the error it wraps. A variant without a line does not compile.
 #[macro_export]
 macro_rules! told {
     ($type:ty { $($variant:ident => $code:literal, $remedy:literal;)+ $(..$inner:ident;)* }) => {
@@ -40,7 +40,7 @@
     };
 }
 
-/// The codes in the table of a page: the first column of the rows behind the heading `Codes`.
+/// The codes in a page's table: the first column of the rows below the heading `Codes`.
 #[cfg(test)]
 pub fn listed(page: &str) -> Vec<&str> {
     let (_, table) = page.split_once("\n## Codes\n").unwrap_or_default();
--- a/tests/common/list_text.rs
+++ b/tests/common/list_text.rs
@@ -1,32 +1,32 @@
-//! A list of endpoints of any size as discovery writes it, made up as it is read.
+//! A list of endpoints of any size in discovery's format, generated while it is read.
 
 use std::io::{self, Read, Write};
 
 use myrtleyard::endpoints::listing::Listing;
 
-/// Bytes handed out at once, as by a connection.
+/// Bytes generated at a time, similar to reads from a connection.
 const PIECE: usize = 16 << 10;
 
-/// A list's size.
+/// The size of a list.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
-    /// Its endpoints.
+    /// Number of endpoints.
     pub endpoints: u32,
-    /// Its destinations, if there are as many endpoints.
+    /// Number of destinations, if there are at least as many endpoints.
     pub destinations: u32,
 }
 
-/// The largest list that a sender is made for.
+/// The largest list that a sender is designed for.
 pub const DESIGN: Size = Size { endpoints: 558_000, destinations: 310_000 };
 
 impl Size {
-    /// The name of the endpoint of that number. Each has another one.
+    /// The unique name of the endpoint with this number.
     pub fn name(self, number: u32) -> String {
-        // Names differ since the factor is odd.
+        // Names differ because the factor is odd.
         format!("s-{:08x}", number.wrapping_mul(2_654_435_761))
     }
 
-    /// The endpoint of that number.
+    /// The endpoint with this number.
     pub fn entry(self, number: u32) -> Listing {
         let [_, high, middle, low] = number.to_be_bytes();
         Listing {
@@ -42,7 +42,7 @@
     }
 }
 
-/// The JSON text of a list, written as it is read.
+/// The JSON text of a list, generated while it is read.
 #[derive(Debug)]
 pub struct Text {
     size: Size,
@@ -52,7 +52,7 @@
 }
 
 impl Text {
-    /// The text of a snapshot of that size.
+    /// The text of a snapshot of this size.
     pub fn new(size: Size) -> Self {
         let piece = br#"{"index":9,"snapshot":true,"endpoints":["#.to_vec();
         Self { size, next: 0, piece, taken: 0 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A sender's surroundings in small, for driving the module alone.
+//! A minimal environment for testing the policy module without the rest of a sender.
 #![allow(dead_code)]
 
 use myrtleyard::interface::*;
@@ -85,7 +85,7 @@
     }
 }
 
-/// An attempt that has no outcome yet.
+/// An attempt in progress.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Out {
     pub message: MessageId,
@@ -95,7 +95,7 @@
     pub until: Micros,
 }
 
-/// The module with its attempts, answers and reminders.
+/// The policy module with its attempts, answers and reminders.
 pub struct Sender {
     pub policy: Policy,
     pub now: Micros,
@@ -178,14 +178,14 @@
         }
     }
 
-    /// The oldest attempt that is out ends so.
+    /// Ends the oldest attempt in progress with this outcome.
     pub fn end(&mut self, outcome: Outcome) {
         let out = self.out.remove(0);
         let event = self.ended(out, outcome);
         self.tell(vec![event]);
     }
 
-    /// The newest attempt that is out ends so.
+    /// Ends the newest attempt in progress with this outcome.
     pub fn end_last(&mut self, outcome: Outcome) {
         if let Some(out) = self.out.pop() {
             let event = self.ended(out, outcome);
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Lets time pass: reminders come due, attempts time out at their time.
+    /// Lets time pass: reminders fire, and attempts time out.
     pub fn pass(&mut self, span: Micros) {
         let until = self.now + span;
         loop {
@@ -217,7 +217,7 @@
         self.now = until;
     }
 
-    /// Messages served one after the other, each in a tenth of a second, four a second.
+    /// Delivers messages one after the other, each within a tenth of a second, four per second.
     pub fn serve(&mut self, messages: usize) {
         for _ in 0..messages {
             self.accept(SAFE);
@@ -229,7 +229,7 @@
         }
     }
 
-    /// That many calls end so, each as soon as one is out.
+    /// Ends that many calls with this outcome, each as soon as it begins.
     pub fn suffer(&mut self, calls: usize, outcome: Outcome) {
         for _ in 0..calls {
             self.accept(SAFE);
--- a/tests/common/tier.rs
+++ b/tests/common/tier.rs
@@ -1,4 +1,5 @@
-//! A tier of members in seeded virtual time: a network that loses and is cut, and what they come to believe.
+//! A tier of members in seeded virtual time, with a lossy network that can be cut, and queries on their
+//! views.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,18 +14,18 @@
 pub struct Tier {
     pub now: Micros,
     pub members: Vec<Option<Membership>>,
-    /// Datagrams on their way, by when they arrive.
+    /// Datagrams in flight, by time of arrival.
     wire: BTreeMap<(Micros, u64), (Rank, Rank, Vec<u8>)>,
     pub sent: u64,
-    /// When each is due.
+    /// The next tick of each member.
     dues: BTreeSet<(Micros, usize)>,
     due: Vec<Micros>,
     pub loss: f64,
-    /// One-way delay, from and to.
+    /// Range of the one-way delay.
     pub delay: (Micros, Micros),
-    /// Who can't write to whom, at a time.
+    /// Whether the link from the first to the second member is cut at a time.
     pub cut: Box<dyn Fn(Rank, Rank, Micros) -> bool>,
-    /// Share of datagrams that come again later, after up to so long.
+    /// Share of datagrams that are duplicated, and the maximum extra delay of the duplicate.
     pub echo: (f64, Micros),
     pub rng: fastrand::Rng,
 }
@@ -61,15 +62,15 @@
         self.put(rank, Membership::new(&config(), place(rank, size), seed, self.now));
     }
 
-    /// Puts a member there, a stopped one that goes on for instance.
+    /// Installs a member, for instance a paused one that resumes.
     pub fn put(&mut self, rank: usize, member: Membership) {
         self.members[rank] = Some(member);
         self.touched(rank);
     }
 
-    /// It is gone at once, or stopped if it is kept.
+    /// Removes a member: a crash, or a pause if the caller keeps it.
     pub fn take(&mut self, rank: usize) -> Membership {
-        let member = self.members[rank].take().expect("it is there");
+        let member = self.members[rank].take().expect("the member runs");
         self.touched(rank);
         member
     }
@@ -110,14 +111,14 @@
             self.now = self.now.max(next);
             let mut out = vec![];
             if arrival == Some(next) {
-                let (_, (from, to, datagram)) = self.wire.pop_first().expect("it was seen");
+                let (_, (from, to, datagram)) = self.wire.pop_first().expect("a datagram is in flight");
                 if let Some(member) = &mut self.members[usize::from(to)] {
                     member.receive(self.now, from, &datagram, &mut out);
                     self.post(usize::from(to), out);
                 }
             } else if let Some((_, rank)) = tick {
                 let now = self.now;
-                self.members[rank].as_mut().expect("it has a time").tick(now, &mut out);
+                self.members[rank].as_mut().expect("the member runs").tick(now, &mut out);
                 self.post(rank, out);
                 self.touched(rank);
             }
@@ -125,13 +126,13 @@
         self.now = until;
     }
 
-    /// Whether all that run hold a member for this.
+    /// Whether a member has this state in the views of all other running members.
     pub fn all_see(&self, rank: usize, state: State) -> bool {
         let others = self.members.iter().enumerate().filter(|(at, _)| *at != rank);
         others.filter_map(|(_, m)| m.as_ref()).all(|m| m.state(rank as Rank) == Some(state))
     }
 
-    /// Whether everybody that runs is held for alive by everybody, in the same lives.
+    /// Whether every running member is alive in all views, with equal incarnations.
     pub fn whole(&self) -> bool {
         let runs = |rank: usize| self.members[rank].is_some();
         (0..self.members.len()).all(|rank| !runs(rank) || self.all_see(rank, State::Alive)) && self.equal()
@@ -142,7 +143,7 @@
         digests.len() <= 1
     }
 
-    /// Periods until it is so.
+    /// Number of periods until the condition holds, at most `most`.
     pub fn until(&mut self, most: u32, so: impl Fn(&Self) -> bool) -> Option<u32> {
         (0..=most).find(|_| {
             let is = so(self);
@@ -153,7 +154,7 @@
         })
     }
 
-    /// How many are held for dead that run, by others that run.
+    /// Number of false deaths, over the views of all running members.
     pub fn wronged(&self) -> usize {
         let views = self.members.iter().flatten();
         let dead = |m: &Membership| {
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The check of a configuration: all faults at once, nothing valid turned down, and never a panic.
+//! The validation of a configuration: all faults at once, nothing valid rejected, and no panic.
 
 use myrtleyard::check::{self, Fault, Takes};
 use proptest::prelude::*;
@@ -28,7 +28,7 @@
     faults.iter().map(|fault| fault.key.as_str()).collect()
 }
 
-/// The places of all values in a document.
+/// The JSON pointers of all values in a document.
 fn places(value: &Value, path: &str, into: &mut Vec<String>) {
     into.push(path.to_owned());
     match value {
@@ -114,9 +114,9 @@
     ];
     assert_eq!(told, expected);
     assert_eq!((changes[4].before.as_str(), changes[4].after.as_str()), ("6", "3"));
-    assert!(changes[2].under_way.contains("the class that they came with"));
+    assert!(changes[2].under_way.contains("the class they were accepted with"));
     assert_eq!(check::changes(&after, &after), []);
-    // A part may be left out, which turns it off; nothing else that is in force may.
+    // An optional component's section may be left out, which turns it off; no other key in force may.
     assert_eq!(check::lacking(&after, &document()), []);
     after["settings"]["limits"].as_object_mut().unwrap().remove("connect_timeout_us");
     assert_eq!(keys(&check::lacking(&after, &document())), ["settings.limits.connect_timeout_us"]);
@@ -125,8 +125,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
 
-    /// Whatever stands at any place, the check comes to an end; and what it lets pass, the decisions' own reader
-    /// reads. It is no check if it lets pass what can't be read.
+    /// The validation terminates for any value at any place, and whatever it accepts, the policy module's own
+    /// parser accepts too.
     #[test]
     fn what_passes_the_check_can_be_read(at in any::<prop::sample::Index>(), kind in 0..9usize, remove in any::<bool>()) {
         let mut candidate = document();
--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -1,5 +1,5 @@
-//! The module in a drain: what is held when a process is emptied within a time, and what becomes of
-//! endpoints that operators take out and put back.
+//! The policy module during a drain: what happens to messages in hand when a process is drained within a time
+//! limit, and to endpoints that operators take out and put back.
 
 mod common;
 
@@ -15,7 +15,7 @@
     Entry { listing, ..entry(n, 0) }
 }
 
-/// A sender that knows how fast its endpoint answers, so that it can tell what fits into a drain.
+/// A sender that has measured its endpoint's answer times, so that it can predict what fits into a drain.
 fn warm() -> Sender {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     s.serve(12);
@@ -34,9 +34,10 @@
     let before = s.sent.len();
     drain(&mut s, 2 * SECOND);
     let first = s.accept(ONCE);
-    assert_eq!(s.sent.len(), before + 1, "what still comes is sent");
+    assert_eq!(s.sent.len(), before + 1, "a new message is still sent");
     s.end(Outcome::Delivered);
-    // One that gets no answer ends as its class allows, by the drain's time and not by its own.
+    // Messages without an answer end as their class allows, at the drain's limit and not at their own
+    // deadline.
     s.accept(ONCE);
     s.accept(SAFE);
     s.accept(KEYED);
@@ -46,7 +47,7 @@
     assert_eq!(s.policy.held(), 0);
 }
 
-/// Never run and nowhere to go: there is nothing to wait for.
+/// A message that never ran and cannot be delivered within the drain must not wait for the drain's end.
 #[test]
 fn what_cannot_fit_and_never_ran_is_deferred_at_once_with_when_to_come_again() {
     for (within, wait, why) in [
@@ -64,11 +65,11 @@
         }
         s.tell(events);
         if why == "too little time for an answer" {
-            // All slots that one destination may have are taken: it waits its turn.
+            // All slots that one destination may have are taken: the message waits for a free one.
             fill(&mut s, 6);
         }
         let ids = [ONCE, SAFE, KEYED].map(|class| s.accept(class));
-        assert!(s.refused.is_empty(), "{why}: without a drain they are held");
+        assert!(s.refused.is_empty(), "{why}: messages are held while there is no drain");
         drain(&mut s, within);
         for id in ids {
             let again = s.refused.iter().find(|(refused, _)| *refused == id).map(|(_, again)| *again);
@@ -78,15 +79,15 @@
     }
 }
 
-/// The moment when it can't be done any more is when the client hears, not the end of the drain.
+/// The client must be answered when delivery becomes impossible, not only at the end of the drain.
 #[test]
 fn a_message_is_deferred_once_no_answer_could_come_in_time() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     fill(&mut s, 6);
     let held = s.accept(ONCE);
     drain(&mut s, 5 * SECOND);
-    assert!(s.refused.is_empty(), "a slot may come free");
-    // What is usual is not known: half an aim, two seconds, is.
+    assert!(s.refused.is_empty(), "a slot may still become free");
+    // The usual answer time is unknown; half the aim, two seconds, is assumed.
     s.pass(3 * SECOND + 10_000);
     assert_eq!(s.refused.iter().map(|r| r.0).collect::<Vec<_>>(), [held]);
 }
@@ -98,7 +99,7 @@
     s.tell(vec![Event::Service { wanted: false, until: None }]);
     let held = s.accept(SAFE);
     s.pass(3 * SECOND);
-    assert!(s.refused.is_empty(), "a drain without a time cuts nothing short");
+    assert!(s.refused.is_empty(), "a drain without a time limit refuses nothing early");
     drain(&mut s, SECOND);
     assert_eq!(s.refused.iter().map(|r| r.0).collect::<Vec<_>>(), [held]);
     s.tell(vec![Event::Service { wanted: true, until: None }]);
@@ -109,7 +110,7 @@
     assert!(!s.out.is_empty());
 }
 
-/// Guards the breaker: that its endpoints went and came says nothing of a destination's health.
+/// Guards the breaker: that endpoints left and returned says nothing about a destination's health.
 #[test]
 fn an_endpoint_that_returns_finds_its_breaker_as_it_was() {
     let mut s = warm();
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,5 +1,5 @@
-//! The view of the fleet in seeded virtual time: what a tier comes to believe under each fault, in how many periods.
-//! `examples/membership.rs` tells the figures over many seeds.
+//! The membership view in seeded virtual time: the states that a tier arrives at under each fault, and in how
+//! many periods. `examples/membership.rs` prints the figures over many seeds.
 
 #[path = "common/tier.rs"]
 mod tier;
@@ -11,7 +11,7 @@
 
 fn settled(size: usize, seed: u64) -> Tier {
     let mut tier = Tier::new(size, seed);
-    tier.until(30, Tier::whole).expect("all are known");
+    tier.until(30, Tier::whole).expect("the views do not converge");
     tier.pass(5 * PERIOD);
     tier
 }
@@ -22,19 +22,19 @@
         [(2, 1, 6, 0), (3, 2, 6, 8), (10, 3, 6, 8), (100, 4, 10, 10), (300, 5, 15, 12)]
     {
         let mut tier = Tier::new(size, seed);
-        tier.until(known, Tier::whole).unwrap_or_else(|| panic!("{size}: all are known"));
+        tier.until(known, Tier::whole).unwrap_or_else(|| panic!("{size}: the views do not converge"));
         tier.pass(3 * PERIOD);
         tier.take(1);
         if size == 2 {
-            // Whoever hears nobody may be the one that is cut off.
+            // A member that hears nobody may itself be the one that is cut off.
             tier.pass(50 * PERIOD);
             assert!(tier.all_see(1, State::Suspect) && tier.members[0].as_ref().unwrap().isolated(tier.now));
         } else {
             let after = tier.until(seen, |tier| tier.all_see(1, State::Dead) && tier.equal());
-            assert!(after.unwrap_or_else(|| panic!("{size}: the crash is seen")) > 3, "not on a beat or two");
+            assert!(after.unwrap_or_else(|| panic!("{size}: the crash is not seen")) > 3, "too early");
         }
         tier.start(1);
-        assert!(tier.until(12, Tier::whole).is_some(), "{size}: it is back");
+        assert!(tier.until(12, Tier::whole).is_some(), "{size}: the restart is not seen");
     }
 }
 
@@ -48,13 +48,13 @@
         (sent(&tier) - before) as f64 / size as f64 / 50.0
     };
     for size in [2, 10, 200] {
-        // Besides its beats a member may ask once a period, and answer what is asked.
+        // Besides its heartbeats, a member may ask once per period, and it answers asks.
         let cost = cost(size);
         assert!((9.9..SENDS as f64 + 2.0).contains(&cost), "{size}: {cost}");
     }
 }
 
-/// Guards the living: nobody that is there is ever held for dead, however much is lost.
+/// Guards against false deaths: no running member is ever considered dead under heavy datagram loss.
 #[test]
 fn losses_kill_nobody() {
     for (size, loss, seed) in [(5, 0.4, 1), (30, 0.05, 2), (30, 0.2, 3), (30, 0.4, 4), (100, 0.4, 5)] {
@@ -70,7 +70,7 @@
     }
 }
 
-/// Guards the tier against a link, or a member, that is not as the others are.
+/// Guards the tier's views against a single bad link or a single bad member.
 #[test]
 fn a_bad_link_or_a_bad_member_accuses_nobody_for_the_tier() {
     type Cut = Box<dyn Fn(Rank, Rank, Micros) -> bool>;
@@ -93,7 +93,7 @@
         }
         assert!(tier.equal(), "{name}");
     }
-    // One whose datagrams take up to three periods.
+    // A network whose datagrams take up to three periods, every third period.
     let mut tier = settled(30, 12);
     for period in 0..200 {
         tier.delay = if period % 3 == 0 { (500, 3 * PERIOD) } else { (500, 20_000) };
@@ -122,14 +122,14 @@
                 let seen = member.state(other).unwrap();
                 match side(other) == side(member.own()) {
                     true => assert_eq!(seen, State::Alive, "{name}"),
-                    // Who hears nobody holds nobody for dead.
+                    // A member that hears nobody declares nobody dead.
                     false => assert_eq!(seen, if alone { State::Suspect } else { State::Dead }, "{name}"),
                 }
             }
         }
         tier.cut = Box::new(|_, _, _| false);
         let healed = tier.until(10, Tier::whole);
-        assert!(healed.is_some(), "{name}: it heals");
+        assert!(healed.is_some(), "{name}: the split does not heal");
     }
 }
 
@@ -141,10 +141,10 @@
     tier.members[5].as_mut().unwrap().leave(now, &mut out);
     tier.post(5, out);
     tier.take(5);
-    assert!(tier.until(5, |tier| tier.all_see(5, State::Left)).is_some(), "they hear that it left");
+    assert!(tier.until(5, |tier| tier.all_see(5, State::Left)).is_some(), "the leave is not seen");
     for _ in 0..40 {
         tier.pass(PERIOD);
-        assert!(tier.all_see(5, State::Left), "it stays so");
+        assert!(tier.all_see(5, State::Left), "the state does not stay");
     }
     tier.start(5);
     assert!(tier.until(10, Tier::whole).is_some());
@@ -155,14 +155,14 @@
     let mut tier = settled(50, 13);
     (0..35).for_each(|rank| drop(tier.take(rank)));
     let gone = tier.until(40, |t| (0..35).all(|rank| t.all_see(rank, State::Dead)) && t.equal());
-    assert!(gone.is_some(), "they are seen gone");
+    assert!(gone.is_some(), "the deaths are not seen");
     assert!(tier.members[40].as_ref().unwrap().minority());
     assert_eq!(tier.wronged(), 0);
     (0..35).for_each(|rank| tier.start(rank));
-    assert!(tier.until(10, Tier::whole).is_some(), "they are seen back");
+    assert!(tier.until(10, Tier::whole).is_some(), "the restarts are not seen");
 }
 
-/// Guards both sides: it was the stopped process that was not there, and it accuses nobody when it goes on.
+/// A paused process must attribute the silence to its own pause: it suspects nobody when it resumes.
 #[test]
 fn who_was_stopped_finds_itself_to_blame() {
     let mut tier = settled(10, 14);
@@ -183,7 +183,7 @@
     assert!(stops == 1 && last.is_some_and(|at| at >= now));
 }
 
-/// Guards those who lean on the view: a member that comes and goes changes it a bounded number of times.
+/// Guards the users of the view: a member that comes and goes changes it only a bounded number of times.
 #[test]
 fn a_member_that_comes_and_goes_does_not_flap_in_the_view() {
     let changes = |away: u64, back: u64, cycles: u64| {
@@ -198,7 +198,7 @@
         tier.members[0].as_ref().unwrap().version - before
     };
     assert_eq!(changes(1, 1, 100), 0, "every second period");
-    // Seven periods away: dead the first time, and waited for longer then.
+    // Seven periods away: dead the first time, and from then on with a longer timeout.
     let seen = changes(7, 7, 30);
     assert!((1..=12).contains(&seen), "{seen} changes in 30 cycles");
 }
@@ -214,7 +214,7 @@
         assert!(tier.all_see(3, State::Alive));
     }
     let seen = tier.members[0].as_ref().unwrap().history().filter(|change| change.member == 3);
-    assert!(seen.filter(|change| change.from == change.to).count() >= 4, "each is told as a change");
+    assert!(seen.filter(|change| change.from == change.to).count() >= 4, "each restart is a change in the history");
 }
 
 fn forged(from: Rank, tier: u32, size: u16, records: &[(Rank, Record)]) -> Vec<u8> {
@@ -224,8 +224,8 @@
     datagram.finished()
 }
 
-/// Guards the tier against what can't be, is not meant for it, or is meant badly: it neither ends a member, nor makes
-/// it grow, nor leaves it worse off for long.
+/// Guards against invalid, misdirected and hostile datagrams: they neither crash a member, nor make its
+/// memory or its answers grow, nor damage its view for long.
 #[test]
 fn hostile_datagrams_neither_kill_nor_end_a_member() {
     let mut tier = settled(10, 17);
@@ -266,10 +266,10 @@
     assert_eq!(member.members().len(), 10);
     assert!(out.len() < 100, "{} answers to 40,000 datagrams", out.len());
     tier.post(0, out);
-    assert!(tier.until(20, Tier::whole).is_some(), "nobody is worse off for long");
+    assert!(tier.until(20, Tier::whole).is_some(), "the views do not recover");
 }
 
-/// Guards a tier whose list is rolled out: members of the old and the new list see each other there.
+/// Guards the rollout of a longer list: members with the old and with the new list see each other alive.
 #[test]
 fn members_whose_lists_differ_in_length_hear_each_other() {
     let now = START;
@@ -309,7 +309,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// What holds of a member is a join: neither order nor repetition of what is heard matters.
+    /// Merging records is a join: neither the order nor the repetition of datagrams matters.
     #[test]
     fn order_and_repetition_do_not_matter(
         said in prop::collection::vec((1u16..4, 1u32..4, 0u32..5), 1..24),
@@ -318,7 +318,7 @@
         let heard = |said: &[(u16, u32, u32)]| {
             let mut member = Membership::new(&config(), place(0, 5), 1, START);
             for (rank, incarnation, beat) in said {
-                // A member says one thing in one beat.
+                // A member creates only one record per heartbeat.
                 let silent = (incarnation * 31 + beat * 7 + u32::from(*rank)) as u8;
                 let (incarnation, beat) = (*incarnation, *beat);
                 let record = Record { incarnation, beat, left: beat == 4, silent, zone: 0 };
@@ -333,7 +333,7 @@
         prop_assert_eq!(heard(&said), heard(&shuffled));
     }
 
-    /// Whatever comes, reading it ends, and what is read is within its bounds.
+    /// Decoding any bytes terminates, and the result is within its bounds.
     #[test]
     fn any_bytes_are_read_or_turned_down(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         if let Some(read) = Datagram::read(&bytes) {
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -1,5 +1,6 @@
-//! The view's protocol, checked exhaustively within bounds by a model checker: the very core that ships, three and four
-//! members, every way of cutting links, every crash, restart and stop, in each of a few spells; then a calm.
+//! The membership protocol, checked exhaustively within bounds by a model checker: the production code with
+//! three and four members, and every combination of cut links, every crash, restart and pause in each of a
+//! few intervals, followed by an interval without faults.
 
 #[path = "common/tier.rs"]
 mod tier;
@@ -12,9 +13,9 @@
 use stateright::{Checker, Model, Property};
 use tier::{PERIOD, START, config, place};
 
-/// A spell is long enough that observers accuse within it.
+/// Periods in a fault interval: enough for observers to suspect a silent member.
 const SPELL: u64 = 7;
-/// Periods of calm after which everybody must be seen as they are.
+/// Periods without faults after which every view must be correct.
 const CALM: u64 = 12;
 
 #[derive(Clone)]
@@ -23,7 +24,7 @@
     stopped: bool,
 }
 
-/// All members, and how many spells there were. Two are the same if all that is in them is.
+/// All members, and the number of fault intervals so far. Two states are equal if their full contents are.
 #[derive(Clone)]
 struct Tier {
     now: Micros,
@@ -62,19 +63,19 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Act {
-    /// These links are cut, bit by bit, for a spell.
+    /// The links in this bitmap are cut for an interval.
     Cut(u32),
-    /// It is gone, with all that it knew.
+    /// A member crashes and loses its state.
     Crash(usize),
-    /// It is there anew, and knows nothing.
+    /// A member starts without state.
     Start(usize),
-    /// It does nothing for a spell.
+    /// A member is paused for an interval.
     Stop(usize),
-    /// Nothing is wrong from now on.
+    /// No faults from now on.
     Calm,
 }
 
-/// Who is there.
+/// The running members.
 fn there(tier: &Tier) -> Vec<(usize, Membership)> {
     let there = tier.processes.iter().enumerate();
     there.filter_map(|(rank, p)| Some((rank, p.as_ref()?.member.clone()))).collect()
@@ -83,9 +84,9 @@
 struct Checked {
     size: usize,
     spells: usize,
-    /// A planted fault: nothing is sent to those that are held for dead.
+    /// A deliberate fault: nothing is sent to members considered dead.
     mute_to_dead: bool,
-    /// Cuts that are tried: all, or those with up to so many links.
+    /// Maximum number of links cut at a time.
     most_links: u32,
 }
 
@@ -99,7 +100,7 @@
         Some(Process { member, stopped: false })
     }
 
-    /// Lets time pass: each member that is there ticks, and what it sends arrives at once unless its link is cut.
+    /// Lets time pass: each running member ticks, and its datagrams arrive at once unless their link is cut.
     fn pass(&self, tier: &mut Tier, periods: u64, cut: u32) {
         let link = |a: usize, b: usize| a * (self.size - 1) + if b > a { b - 1 } else { b };
         for _ in 0..periods * SENDS as u64 {
@@ -109,7 +110,7 @@
                 if let Some(process) = tier.processes[rank].as_mut().filter(|p| !p.stopped) {
                     process.member.tick(tier.now, &mut out);
                 }
-                // Answers are sent on until none is left; they are not answered in turn.
+                // Answers are delivered until none is left; an answer is not answered itself.
                 let mut under_way: Vec<(usize, Rank, Vec<u8>)> =
                     out.into_iter().map(|(to, bytes)| (rank, to, bytes)).collect();
                 while let Some((from, to, bytes)) = under_way.pop() {
@@ -170,7 +171,7 @@
             }
             Act::Start(rank) => {
                 tier.processes[rank] = self.process(rank, tier.now);
-                // Long enough to be heard, too short to be known to all for sure.
+                // Long enough to be heard, too short to be known to all members with certainty.
                 self.pass(&mut tier, 1, 0);
             }
             Act::Stop(rank) => {
@@ -192,19 +193,19 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("who is there is alive to all in the end", |_, tier: &Tier| {
+            Property::always("running members are eventually alive in all views", |_, tier: &Tier| {
                 let there = there(tier);
                 let alive =
                     |member: &Membership, rank: usize| member.state(rank as Rank) == Some(State::Alive);
                 !tier.calm || there.iter().all(|(_, m)| there.iter().all(|(rank, _)| alive(m, *rank)))
             }),
-            Property::always("views are equal in the end", |_, tier: &Tier| {
+            Property::always("views are eventually equal", |_, tier: &Tier| {
                 let digests: Vec<u32> = there(tier).iter().map(|(_, member)| member.digest()).collect();
-                // Whoever is alone hears nobody, and holds nobody for dead.
+                // A member that is alone hears nobody, and declares nobody dead.
                 !tier.calm || digests.len() < 2 || digests.windows(2).all(|two| two[0] == two[1])
             }),
             Property::always(
-                "nobody accuses itself, and nobody is gone without a reason",
+                "every member is alive in its own view",
                 |_, tier: &Tier| {
                     let own = |p: &Process| p.member.state(p.member.own()) == Some(State::Alive);
                     tier.processes.iter().flatten().all(own)
@@ -219,7 +220,7 @@
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let checker = model.checker().threads(threads).spawn_bfs().join();
     let states = checker.unique_state_count();
-    println!("{size} members, {spells} spells: {states} states");
+    println!("{size} members, {spells} fault intervals: {states} states");
     checker.assert_properties();
     states
 }
@@ -240,5 +241,5 @@
 fn a_planted_fault_is_found() {
     let model = Checked { mute_to_dead: true, ..Checked::new(4, 1) };
     let checker = model.checker().spawn_bfs().join();
-    assert!(checker.discovery("who is there is alive to all in the end").is_some());
+    assert!(checker.discovery("running members are eventually alive in all views").is_some());
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Changed settings at a sender with messages in hand: nothing of the old ones is in force under the new, and nothing of
-//! one tenant, zone or kind under another.
+//! Changed settings at a sender with messages in hand: no old setting stays in force under the new ones, and
+//! the state of one tenant, zone or kind is not applied to another.
 
 mod common;
 
@@ -27,7 +27,8 @@
     }
 }
 
-/// Tenants change places with messages held: each is still judged by its own tenant's rate and share.
+/// Two tenants swap positions while messages are held: each message must still count for its own tenant's
+/// rate and share.
 #[test]
 fn a_tenants_traffic_is_charged_to_no_other_that_has_its_place() {
     let mut sender = Sender::new(shared(vec![tenant("loud", 0.01), tenant("quiet", 100.0)]), &[]);
@@ -41,7 +42,8 @@
     assert_eq!(order, [quiet, loud[0], loud[1]]);
 }
 
-/// The place of a tenant that is gone goes to another, which has sent nothing; what is held is nobody's.
+/// A removed tenant's position goes to a new tenant, which has sent nothing: the messages still held must not
+/// count for the new one.
 #[test]
 fn a_tenant_that_is_gone_leaves_nothing_to_who_has_its_place() {
     let mut sender = Sender::new(shared(vec![tenant("loud", 0.01), tenant("quiet", 100.0)]), &[]);
@@ -60,16 +62,16 @@
     }
     let order: Vec<_> = sender.sent.iter().map(|out| out.message).collect();
     assert_eq!(order.len(), 6);
-    assert_eq!(order.last(), Some(&new), "it alone is beyond its share, which is next to nothing");
+    assert_eq!(order.last(), Some(&new), "only the new tenant exceeds its share, which is nearly zero");
     assert!(order[..5].contains(&quiet));
 }
 
-/// A class that nothing is taken for any more decides no breaker's time.
+/// A class that accepts no more messages must not influence a breaker's timing.
 #[test]
 fn a_retired_class_decides_no_time() {
     let trial = |settings: Settings| {
         let mut sender = Sender::new(settings.clone(), &[entry(1, 0)]);
-        // The class at the end is an earlier one; it is held for nothing.
+        // The last class is a retired one, without messages in hand.
         sender.adopt(settings);
         for _ in 0..5 {
             sender.accept(SAFE);
@@ -92,7 +94,7 @@
     assert_eq!(trial(with), plain);
 }
 
-/// A kind whose calls carry more than before, or fewer, does so from the next call on.
+/// A listed endpoint whose kind and zone change is used with the new ones from the next call on.
 #[test]
 fn a_listed_endpoint_takes_on_its_changed_kind_and_zone() {
     let mut sender = Sender::new(settings(), &[entry(1, 0)]);
@@ -102,10 +104,10 @@
     sender.tell(vec![Event::Changes(vec![listed(1, 1, 2), listed(2, 1, 0)])]);
     assert_eq!(sender.policy.route_of(endpoint(1)), Some((DEST, Some(endpoint(1)))));
     sender.accept(SAFE);
-    assert_eq!(sender.sent[0].endpoint, endpoint(2), "the other's zone has a toll now");
+    assert_eq!(sender.sent[0].endpoint, endpoint(2), "the first endpoint's zone has a toll now");
 }
 
-/// A wait that was told outlasts a change that parts or joins routes.
+/// A requested wait (Retry-After) must outlast a change that splits or joins routes.
 #[test]
 fn a_wait_binds_whatever_becomes_of_the_route() {
     for (before, after) in [(0, 1), (1, 0)] {
@@ -121,7 +123,8 @@
     }
 }
 
-/// Two zones that the settings do not name are not taken for one: a key known in the one may be new in the other.
+/// Two endpoints in zones that the settings do not name must not count as one zone: a key known in the one
+/// may be new in the other.
 #[test]
 fn zones_that_are_not_named_are_not_one() {
     let mut own = settings();
@@ -135,7 +138,8 @@
     assert_eq!(sender.sent.iter().filter(|out| out.endpoint == endpoint(2)).count(), 0);
 }
 
-/// What a weight or a report told of a limit is no figure of settings that read them otherwise.
+/// A limit derived from a weight or a load report must be dropped when the settings interpret these
+/// differently.
 #[test]
 fn a_limit_that_was_told_in_another_form_is_forgotten() {
     let nominal = Settings { weights: Weights::Nominal, ..settings() };
@@ -146,7 +150,7 @@
     assert_eq!(sender.policy.outlook(DEST, 0).routes[0].limit, 0.0);
 }
 
-/// What an older version tells at a handover lacks what has come since.
+/// At a handover, an older version's settings lack the fields that were added since.
 #[test]
 fn settings_of_an_older_version_are_read() {
     let mut told = serde_json::to_value(shared(vec![tenant("a", 1.0)])).unwrap();
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -1,5 +1,5 @@
-//! The ownership of lots, checked exhaustively within bounds by a model checker: the very core that ships, with every
-//! order of deliveries, lapses, crashes, stops and returns that the bounds allow.
+//! The ownership of replica groups, checked exhaustively within bounds by a model checker: the production
+//! code, with every order of deliveries, lease expiries, crashes, pauses and restarts that the bounds allow.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
@@ -10,33 +10,33 @@
 const LOT: LotId = LotId { owner: 0, number: 7 };
 const SENDERS: usize = 3;
 
-/// What a sender has in hand, as its journal has it.
+/// A message that a sender has in hand, as its journal has it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Held {
     epoch: Epoch,
     sides: Vec<(Rank, u64)>,
     /// An attempt may have run: no other may begin.
     begun: bool,
-    /// The intent that is not granted yet.
+    /// The number of the intent that is not granted yet.
     waits: Option<u32>,
-    /// Nothing keeps the call back but the sender's own pace.
+    /// The call may begin; only the sender's own scheduling delays it.
     free: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Sender {
-    /// None while it is down.
+    /// `None` while the process is down.
     lots: Option<Lots>,
     memory: Memory,
     held: BTreeMap<Item, Held>,
-    /// It has never lost what it knew.
+    /// It has never lost its state.
     whole: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Passed {
     Op(Op),
-    /// What follows is a new process's.
+    /// The writer restarted: everything after this is from its new process.
     Anew,
 }
 
@@ -44,13 +44,13 @@
 struct World {
     senders: Vec<Sender>,
     links: BTreeMap<(Rank, Rank), VecDeque<Passed>>,
-    /// Who has not heard yet that the other is a new process: what it sends there is lost.
+    /// Pairs of which the first does not know yet that the second restarted: what it sends there is lost.
     unaware: BTreeSet<(Rank, Rank)>,
     calls: BTreeMap<Item, u8>,
     over: BTreeSet<Item>,
-    /// A cover has told the first owner that it has them.
+    /// Messages that a backup has acknowledged to the first owner.
     covered: BTreeSet<Item>,
-    /// The first owner has asked its covers to close the lot.
+    /// The first owner has asked its backups to close the group.
     closing: bool,
     lapses: usize,
     crashes: usize,
@@ -67,30 +67,30 @@
     Deliver(Rank, Rank),
     Lapse(Rank, Rank),
     Orphaned(Rank, Rank),
-    /// The first owner closes its lot, since this cover is gone.
+    /// The first owner closes its group, since this backup is gone.
     Retire(Rank),
-    /// A sender wants to call: it tells its intent.
+    /// A sender replicates its intent to call.
     Intend(Rank, Item),
-    /// It does, however long after it was allowed to.
+    /// It calls, however long after it was allowed to.
     Call(Rank, Item),
-    /// The call is answered, and the message over.
+    /// The call is answered, and the message finished.
     End(Rank, Item),
-    /// Without its folder, or with it.
+    /// A process crashes; its folder is kept (`true`) or lost (`false`).
     Crash(Rank, bool),
     Start(Rank),
 }
 
-/// What is planted, to see whether it is found.
+/// A deliberate fault in the protocol, which the checker must find.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
-    /// An owner calls as soon as its intent is on its way.
+    /// An owner calls as soon as its intent is sent, without waiting for the grant.
     NoWait,
-    /// A promise comes without what the promising cover knows.
+    /// A backup promises without sending what it knows.
     NoState,
-    /// A promise is forgotten over a restart, and nobody is told.
+    /// A promise is lost over a restart, and the id of the durable state does not change.
     NoMemory,
-    /// A cover that has promised grants the old owner's intents still.
+    /// A backup that has promised still grants the old owner's intents.
     NoFence,
 }
 
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Has a sender do something, and carries out what comes of it.
+    /// Calls `act` on a sender's groups, and applies the effects.
     fn act(&mut self, rank: Rank, fault: Fault, act: impl FnOnce(&mut Lots, &mut Out)) {
         let mut out = Out::default();
         let sender = &mut self.senders[usize::from(rank)];
@@ -121,7 +121,7 @@
             let sender = &mut self.senders[usize::from(rank)];
             match said {
                 Said::Granted { upto, .. } => {
-                    // The records are the first facts that its first owner tells.
+                    // The records are the first updates that the first owner replicates.
                     if rank == 0 && !self.closing && sender.lots.as_ref().is_some_and(|lots| !lots.alone(LOT))
                     {
                         self.covered.extend(0..upto.min(2));
@@ -174,8 +174,8 @@
         }
     }
 
-    /// From here on nothing fails: all that is under way arrives, leases lapse on those that are down, and whoever may
-    /// call does.
+    /// Runs without further failures: everything in flight arrives, leases on processes that are down expire,
+    /// and every sender that may call does.
     fn calm(&mut self, fault: Fault) {
         for _ in 0..12 {
             while let Some((from, to)) = self.links.iter().find(|l| !l.1.is_empty()).map(|l| *l.0) {
@@ -238,7 +238,7 @@
             }
             Act::Retire(on) => {
                 self.lapses += 1;
-                // What is closed is covered anew in another lot.
+                // Messages of a closed group are replicated again in another group.
                 self.covered.clear();
                 self.closing = true;
                 self.act(0, fault, |lots, out| lots.retire(on, out));
@@ -288,12 +288,13 @@
                 for other in (0..SENDERS as Rank).filter(|other| *other != rank) {
                     self.links.remove(&(other, rank));
                     self.unaware.insert((other, rank));
-                    // It hears of the others' processes before it says anything.
+                    // It learns of the others' processes before it sends anything.
                     self.unaware.remove(&(rank, other));
                     self.links.entry((rank, other)).or_default().push_back(Passed::Anew);
                 }
                 if rank == 0 {
-                    // It asks whether it may go on alone, which ends the cover until it is covered anew.
+                    // It asks to continue alone, which ends the replication until the messages are replicated
+                    // again.
                     self.covered.clear();
                 }
                 if let Some(first) = held.values().next() {
@@ -385,13 +386,15 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never twice", |_, world: &World| world.calls.values().all(|calls| *calls <= 1)),
-            Property::always("somebody owes it, or it is over", |model: &Checked, world: &World| {
+            Property::always("no message is called for twice", |_, world: &World| {
+                world.calls.values().all(|calls| *calls <= 1)
+            }),
+            Property::always("no message loses its owner", |model: &Checked, world: &World| {
                 let mut calm = world.clone();
                 calm.calm(model.fault);
                 (0..model.items).all(|item| {
                     let held = |sender: &Sender| sender.lots.is_some() && sender.held.contains_key(&item);
-                    // Both covers never lost anything, or whoever has it in its journal is back.
+                    // Neither backup ever lost its state, or a sender that has it in its journal is up.
                     let covered = world.covered.contains(&item);
                     let covers = covered && calm.senders[1].whole && calm.senders[2].whole;
                     let lives = covers || calm.senders.iter().any(held);
@@ -414,7 +417,7 @@
     (checker.unique_state_count(), found)
 }
 
-/// Items, lapses and crashes at most.
+/// Checks the model for each bound on items, lease expiries and crashes.
 fn sound(bounds: &[(u32, usize, usize)]) {
     for (items, lapses, crashes) in bounds.iter().copied() {
         let (states, found) = explore(Checked { items, lapses, crashes, fault: Fault::None });
@@ -423,20 +426,21 @@
     }
 }
 
-/// Guards "never twice" and "somebody owes it" over all that can happen within the bounds.
+/// Checks that no message is called for twice and that none loses its owner, over everything within the
+/// bounds.
 #[test]
 fn no_message_has_two_owners_that_call_and_none_is_without() {
     sound(&[(1, 2, 0), (1, 1, 1), (2, 1, 0)]);
 }
 
-/// The same within wider bounds: `cargo test --release --test takeover -- --ignored`, about a minute.
+/// The same within wider bounds, about a minute: `cargo test --release --test takeover -- --ignored`.
 #[test]
 #[ignore = "takes minutes in a debug build"]
 fn nor_within_wider_bounds() {
     sound(&[(1, 3, 0), (1, 2, 1), (1, 1, 2), (2, 2, 0)]);
 }
 
-/// The checker is no good if it finds nothing: each of these planted faults is.
+/// Guards against a checker that finds nothing: it must find each of these deliberate faults.
 #[test]
 fn planted_faults_are_found() {
     for (fault, lapses, crashes) in [(Fault::NoWait, 2, 0), (Fault::NoState, 2, 0), (Fault::NoFence, 2, 0)] {
@@ -444,7 +448,7 @@
     }
 }
 
-/// It takes two crashes to show.
+/// The fault shows only after two crashes.
 #[test]
 #[ignore = "takes minutes in a debug build"]
 fn a_forgotten_promise_is_found() {
@@ -454,5 +458,5 @@
 fn found(fault: Fault, lapses: usize, crashes: usize) {
     let (states, found) = explore(Checked { items: 1, lapses, crashes, fault });
     println!("{fault:?}: {found:?} in {states} states");
-    assert!(found.contains(&"never twice"), "{fault:?}: {found:?} in {states} states");
+    assert!(found.contains(&"no message is called for twice"), "{fault:?}: {found:?} in {states} states");
 }
--- a/tests/takeover_tier.rs
+++ b/tests/takeover_tier.rs
@@ -1,6 +1,6 @@
-//! Whole senders' parts of takeover in virtual time: leases, covers and channels over links that lose, delay and repeat
-//! datagrams, with crashes, stops and cuts by chance. The rest of a sender is a few lines: it takes messages on, calls
-//! for them when it may, and goes on with what its journal has.
+//! The takeover components of a tier in virtual time: leases, backups and channels over links that lose,
+//! delay and duplicate datagrams, with random crashes, pauses and cut links. The rest of a sender is reduced
+//! to a few lines: it accepts messages, calls for them when it may, and resumes from its journal.
 
 use std::collections::BTreeMap;
 
@@ -16,13 +16,13 @@
 struct Held {
     id: u32,
     tag: Tag,
-    /// Which of its owner's facts told of it.
+    /// The number of the owner's update with its record.
     told: u32,
-    /// When it is called for: it waits for its destination until then.
+    /// When it may be called for: until then it waits for its destination.
     at: Micros,
     waits: Option<u32>,
     free: bool,
-    /// Its call is out until then.
+    /// When its call ends.
     out: Option<Micros>,
 }
 
@@ -31,7 +31,7 @@
     memory: Memory,
     journal: BTreeMap<(LotId, Item), Held>,
     stopped: Micros,
-    /// Lots whose messages may be covered anew.
+    /// Groups whose messages may be replicated again.
     bare: Vec<LotId>,
     down: Option<Micros>,
 }
@@ -46,7 +46,7 @@
     next: u32,
     calls: BTreeMap<u32, u32>,
     ended: BTreeMap<u32, Micros>,
-    /// Whose covers have told that they know of them.
+    /// Messages that a backup has acknowledged, with their owner.
     covered: BTreeMap<u32, Rank>,
     adopted: u64,
     anew: u64,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// A message is taken on, and covered if it can be.
+    /// Accepts a message, and replicates it; without backups, none is accepted.
     fn take(&mut self, rank: usize) {
         let now = self.now;
         let at = now + self.rng.u64(0..3 * SECOND);
@@ -118,7 +118,8 @@
         self.senders[rank].journal.insert(place, held);
     }
 
-    /// What a sender does of its own: call for what is due, and end what was called for.
+    /// A sender's own work: handles events, replicates messages again, calls for due messages, finishes
+    /// called ones.
     fn work(&mut self, rank: usize) {
         let now = self.now;
         let Some(mut part) = self.senders[rank].part.take() else { return };
@@ -258,7 +259,8 @@
     }
 }
 
-/// Guards "never twice" over whatever chance brings: crashes with and without folder, stops, one-way cuts, loss.
+/// Checks that no message is called for twice under random crashes with and without loss of the folder,
+/// pauses, one-way and two-way cuts, and datagram loss.
 #[test]
 fn nothing_is_called_for_twice() {
     let (mut adopted, mut calls, mut anew) = (0, 0, 0);
@@ -292,12 +294,12 @@
         anew += tier.anew;
         calls += tier.calls.len();
     }
-    println!("{calls} messages called for, {adopted} taken over, {anew} covered anew");
+    println!("{calls} messages called for, {adopted} taken over, {anew} replicated again");
     assert!(adopted > 300 && anew > 300 && calls > 3_000, "{calls} called for, {adopted} taken over");
 }
 
-/// Guards "somebody owes it": of one that is gone for good, all that its covers told it that they had comes to its end,
-/// and soon; so it does with loss.
+/// Guards against orphaned messages: every message that backups had acknowledged to a sender that is lost for
+/// good ends within a few seconds, with and without datagram loss.
 #[test]
 fn what_was_covered_is_taken_over() {
     for seed in 100..112 {
@@ -317,7 +319,7 @@
     }
 }
 
-/// Guards the cost of being idle, and that a tier of two covers nothing.
+/// Guards the idle cost: the number of datagrams each sender sends per second.
 #[test]
 fn an_idle_tier_says_little() {
     let mut tier = Tier::new(5, 0.0);
@@ -326,5 +328,5 @@
     tier.run(20 * SECOND, 0.0);
     let each = (tier.datagrams - before) as f64 / 20.0 / SIZE as f64;
     assert!(each < 60.0, "{each} datagrams a second each");
-    println!("{each} datagrams a second each, idle");
+    println!("{each} datagrams a second each while idle");
 }
