--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -1,5 +1,6 @@
-//! Calls to endpoints: connections kept and reused, single messages, batches and probes. A request is
-//! written once and never again by itself; how it fared is told by whether its last byte can have left.
+//! HTTP calls to endpoints: connection reuse, single messages, batches and probes. A request is written once
+//! and never repeated by this module. Whether its last byte can have left decides how a failed call is
+//! reported.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -31,32 +32,33 @@
 use super::figures::Figures;
 use super::{AttemptOver, Inbound};
 
-/// An answer of more bytes than this is not read to its end.
+/// Response bodies longer than this are not read, in bytes.
 const ANSWER_LIMIT: usize = 1 << 20;
-/// How long the meaningless rest of an answer may take before its connection is given up.
+/// Time for reading a response body without meaning, so that the connection can be reused; after that the
+/// connection is closed.
 const REST_OF_ANSWER: Duration = Duration::from_secs(1);
 
-/// So many bytes of an answer are kept to tell its first line; a longer line is not taken for one.
+/// Number of response bytes kept for recognizing the status line; a longer line is not recognized.
 const FIRST_LINE_LIMIT: usize = 64;
 
-/// What went over a connection, as far as it tells how a call fared.
+/// Bytes seen on a connection, as far as they matter for the outcome of a call.
 #[derive(Default)]
 struct Traffic {
     written: Cell<u64>,
-    /// How the answer to the last request begins.
+    /// The first bytes of the response to the last request.
     answer: RefCell<Vec<u8>>,
-    /// Messages to be counted once they are written whole.
+    /// Messages to be counted once their request is written completely.
     due: RefCell<Option<Due>>,
-    /// The call that the connection is used for.
+    /// The call that uses the connection.
     load: RefCell<Weak<Load>>,
-    /// The next read asks the socket itself whether it is as idle as it should be.
+    /// The next read peeks at the socket to see whether the idle connection is still clean.
     asks: Cell<bool>,
 }
 
 /// Messages of a request that is being written.
 struct Due {
     messages: usize,
-    /// What had been written before it.
+    /// Bytes written on the connection before it.
     before: u64,
     /// The length of its body.
     length: u64,
@@ -64,8 +66,8 @@
 }
 
 impl Traffic {
-    /// All that was buffered is written. A head of at least a byte goes before the body, and both are buffered
-    /// together.
+    /// To be called when all buffered bytes are written. A request is complete once more than its body's
+    /// length was written: the head has at least one byte and goes first, and both are buffered together.
     fn flushed(&self) {
         let whole = |due: &mut Due| self.written.get() > due.before + due.length;
         if let Some(due) = self.due.borrow_mut().take_if(whole) {
@@ -76,8 +78,8 @@
         }
     }
 
-    /// Whether the first line of the answer says 200, whatever can be read of the rest. A line that breaks off is
-    /// none yet.
+    /// Whether the status line of the response says 200, even if the rest can't be read. A truncated line
+    /// does not count.
     fn says_delivered(&self) -> bool {
         let answer = self.answer.borrow();
         answer.contains(&b'\n')
@@ -87,22 +89,24 @@
     }
 }
 
-/// A stream that notes what goes over it.
+/// A stream that records its traffic.
 struct Counted {
     stream: TcpStream,
     traffic: Rc<Traffic>,
 }
 
 impl Counted {
-    /// Whether an idle connection was closed, broke, or has bytes that no request asked for; as a read tells it.
-    /// The runtime hears of that when it next looks at its sockets, which may be after a request was written:
-    /// that would end as a reset, or take those bytes for its answer.
+    /// Returns the read result of an idle connection that was closed or reset, or that has received bytes
+    /// without a request; `None` if it is clean. The runtime learns of these only when it next polls its
+    /// sockets, which may be after a request was written: the request would then fail as a reset, or take
+    /// those bytes for its response.
     fn spoilt(&self) -> Option<io::Result<()>> {
-        // Shares the socket, which does not block. With no descriptor left what the runtime knows has to do.
+        // The duplicate shares the non-blocking socket. Without a free descriptor, the runtime's knowledge
+        // has to do.
         let socket = std::net::TcpStream::from(self.stream.as_fd().try_clone_to_owned().ok()?);
         match socket.peek(&mut [0]) {
             Ok(0) => Some(Ok(())),
-            Ok(_) => Some(Err(io::Error::other("bytes that no request asked for"))),
+            Ok(_) => Some(Err(io::Error::other("unexpected bytes on an idle connection"))),
             Err(why) if why.kind() == io::ErrorKind::WouldBlock => None,
             Err(why) => Some(Err(why)),
         }
@@ -129,7 +133,7 @@
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         let load = self.traffic.load.borrow().upgrade();
         if load.as_ref().is_some_and(|load| load.stale()) {
-            return Poll::Ready(Err(io::Error::other("a message is over")));
+            return Poll::Ready(Err(io::Error::other("a message in the request was given up or is too late")));
         }
         let poll = Pin::new(&mut self.stream).poll_write(cx, buf);
         if let Poll::Ready(Ok(n)) = &poll {
@@ -155,8 +159,8 @@
 
 type Wire = Pin<Box<Connection<TokioIo<Counted>, Full<Bytes>>>>;
 
-/// A connection for one request at a time. It is driven only along with a request, so that dropping it
-/// closes its socket there and then.
+/// A connection for one request at a time. It is polled only together with a request, so that dropping it
+/// closes its socket immediately.
 pub struct Conn {
     sender: SendRequest<Full<Bytes>>,
     driver: Option<Wire>,
@@ -177,7 +181,7 @@
         Ok(Self { sender, driver: Some(Box::pin(driver)), traffic })
     }
 
-    /// Runs a future that needs this connection's bytes to move.
+    /// Polls a future together with the connection, on whose I/O it depends.
     async fn drive<F: Future>(driver: &mut Option<Wire>, future: F) -> F::Output {
         let mut future = pin!(future);
         poll_fn(|cx| {
@@ -192,14 +196,15 @@
         .await
     }
 
-    /// Whether a further request may be written on a connection that stood idle: up to now the other side has
-    /// neither closed it nor written anything.
+    /// Whether another request may be written on a connection that was idle: the peer has neither closed it
+    /// nor sent anything up to now, by a check of the socket itself.
     pub async fn still_usable(&mut self) -> bool {
         self.traffic.asks.set(true);
         self.usable().await
     }
 
-    /// Whether a further request may be written: the other side has not closed, as far as is known.
+    /// Whether another request may be written: the peer has not closed the connection, as far as the runtime
+    /// knows.
     pub async fn usable(&mut self) -> bool {
         let driver = &mut self.driver;
         let open =
@@ -207,7 +212,7 @@
         open.await && self.sender.is_ready()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
     /// Fails when the connection breaks.
@@ -217,7 +222,7 @@
         Self::drive(&mut self.driver, sent).await.map_err(|_| ())
     }
 
-    /// Reads the next bytes of an answer; there are none at its end.
+    /// Reads the next bytes of a response body; `None` at its end.
     ///
     /// # Errors
     /// Fails when it breaks off.
@@ -227,14 +232,14 @@
                 Some(frame) => frame.map_err(|_| ())?,
                 None => return Ok(None),
             };
-            // Trailers mean nothing.
+            // Trailers are ignored.
             if let Ok(bytes) = frame.into_data() {
                 return Ok(Some(bytes));
             }
         }
     }
 
-    /// Reads the rest of an answer.
+    /// Reads the rest of a response body.
     ///
     /// # Errors
     /// Fails when it breaks off or is too long.
@@ -244,14 +249,14 @@
     }
 }
 
-/// Where an endpoint is dialled.
+/// The connection target of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Line {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Its address.
     pub address: SocketAddr,
-    /// What a wait that it tells is about.
+    /// The route that its Retry-After applies to.
     pub route: RouteId,
 }
 
@@ -268,22 +273,24 @@
     pub key: Option<String>,
     /// Its body.
     pub body: Bytes,
-    /// It is not written later, nor waited for after that unless others travel along that are.
+    /// The message is not written after this time, nor is its outcome waited for, unless other messages in
+    /// the call have longer.
     pub until: Instant,
-    /// Nor is it written later than this, though an answer may be: a repeat must come before its key is forgotten.
+    /// Nor is it written after this time, though a response may still come later: a repeat must reach the
+    /// endpoint before the endpoint forgets its key.
     pub write_by: Instant,
 }
 
-/// Limits that calls keep to.
+/// Limits on calls and connections.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// A connection not made within this time has failed.
+    /// Connect timeout.
     pub connect: Micros,
-    /// Endpoints close connections that stood idle so long.
+    /// Endpoints close connections that were idle for this long.
     pub idle: Micros,
-    /// Connections to endpoints at most, idle ones counted.
+    /// Maximum number of connections to endpoints, including idle ones.
     pub connections: usize,
-    /// Names of a load report's fields.
+    /// Names of the fields of a load report.
     pub report: Vec<String>,
 }
 
@@ -292,25 +299,26 @@
     since: Instant,
 }
 
-/// What travels as one call. Each of its messages may come to be over until the request's last byte is written:
-/// before its first the others go without it, after that they come back with it, and none of them has run.
+/// The messages that share one call. Each of them may be given up until the request's last byte is written:
+/// before the first byte, the others are sent without it; after that, the whole call is aborted. In both
+/// cases nothing that was given up has run.
 struct Load {
     endpoint: EndpointId,
-    /// Ends the call so, with all that travel along; works once.
+    /// Ends the call, and all its messages, with this outcome; works once.
     off: Cell<Option<oneshot::Sender<Outcome>>>,
-    /// A byte of the request may have left.
+    /// At least one byte of the request was handed to the socket.
     begun: Cell<bool>,
-    /// The request was handed to the socket up to its last byte.
+    /// The complete request was handed to the socket.
     whole: Cell<bool>,
-    /// Attempts that were over before that: they never run.
+    /// Attempts given up before that: they never run.
     left_out: RefCell<BTreeSet<(MessageId, u16)>>,
-    /// The request that was composed has one of them.
+    /// The composed request contains such an attempt.
     outdated: Cell<bool>,
-    /// Until when the request that was composed may be written, if a message in it is a repeat that must come in time.
+    /// The time by which the composed request must be written, if it contains a repeat that is bound to one.
     write_by: Cell<Option<Instant>>,
-    /// Messages in the request that was composed.
+    /// Number of messages in the composed request.
     messages: Cell<usize>,
-    /// The connection that the request goes over.
+    /// The traffic of the connection that carries the request.
     traffic: RefCell<Option<Rc<Traffic>>>,
 }
 
@@ -337,14 +345,15 @@
         }
     }
 
-    /// Whether the request must not be written as it is, or any further.
+    /// Whether the request must not be written as composed, or not any further.
     fn stale(&self) -> bool {
         let late = || self.begun.get() && self.write_by.get().is_some_and(|by| by <= Instant::now());
         !self.whole.get() && (self.outdated.get() || late())
     }
 
-    /// False once its last byte is written. What was begun ends there, with its connection: what the socket still
-    /// passes on lacks the end, so that nothing of it runs.
+    /// Excludes an attempt from the request. Returns false once the last byte is written. A partly written
+    /// request is aborted together with its connection: the endpoint never receives its end, so nothing of it
+    /// runs.
     fn leave_out(&self, attempt: (MessageId, u16)) -> bool {
         if self.whole.get() {
             return false;
@@ -357,21 +366,21 @@
         true
     }
 
-    /// How one of its messages fared whose call ended so.
+    /// The outcome of one message, given the outcome of its call.
     fn end_of(&self, part: &Part, outcome: Outcome) -> Outcome {
         let left_out = self.left_out.borrow().contains(&(part.message, part.attempt));
-        // That no connection was made is to be known, whoever is still there to wait for it.
+        // A failed connect is reported in any case, even if nobody waits for the message any more.
         if left_out && outcome != Outcome::ConnectFailed { Outcome::Moot { no_slot: false } } else { outcome }
     }
 
-    /// How a call ended whose answer did not come or can't be read: for a single message a first line with
-    /// 200 is true by itself.
+    /// The outcome of a call whose response is incomplete: for a single message, a status line with 200 is
+    /// enough for a delivery.
     fn unread(&self, outcome: Outcome) -> Outcome {
         let told = self.traffic.borrow().as_ref().is_some_and(|traffic| traffic.says_delivered());
         if told && self.messages.get() == 1 { Outcome::Delivered } else { outcome }
     }
 
-    /// What is written, decided when it can be.
+    /// Composes the request, at the time when it can be written; `None` if no message is left.
     fn compose(&self, line: Line, parts: &[Part], until: Instant) -> Option<Composed> {
         let now = Instant::now();
         let late = parts.iter().filter(|part| part.until.min(part.write_by) <= now);
@@ -409,12 +418,12 @@
             }
         };
         let (length, messages) = (body.len(), parts.len());
-        // Ids and keys came as header values, so that they can go as such.
+        // Ids and keys were received as header values, so they are valid ones.
         Some(Composed { request: request.body(Full::new(body)).ok()?, length, messages })
     }
 }
 
-/// A request, its body's length, and the messages in it.
+/// A request, the length of its body, and the number of messages in it.
 struct Composed {
     request: Request<Full<Bytes>>,
     length: usize,
@@ -426,15 +435,16 @@
     figures: Rc<Figures>,
     inbound: UnboundedSender<Inbound>,
     idle: RefCell<HashMap<Line, Vec<Idle>>>,
-    /// Connections that are in use.
+    /// Number of connections in use.
     busy: Cell<usize>,
-    /// Waits that were told. A connection may come up long after its call was decided on.
+    /// Requested waits by route, until when. They are checked again before writing, since a connection may
+    /// come up long after its call was decided.
     waits: RefCell<HashMap<RouteId, Instant>>,
-    /// For each attempt that is out, what it travels with.
+    /// The call of each attempt in flight.
     out: RefCell<BTreeMap<(MessageId, u16), Rc<Load>>>,
 }
 
-/// All calls that are out and the connections that stand idle.
+/// All calls in flight and all idle connections.
 #[derive(Clone)]
 pub struct Calls(Rc<Shared>);
 
@@ -453,7 +463,7 @@
 }
 
 impl Calls {
-    /// No calls yet. Idle connections are looked after by a task of their own.
+    /// Creates an empty set of calls, and a task that closes idle connections in time.
     pub fn new(limits: Limits, figures: Rc<Figures>, inbound: UnboundedSender<Inbound>) -> Self {
         let limits = RefCell::new(limits);
         let (idle, busy, out) = (RefCell::default(), Cell::new(0), RefCell::default());
@@ -474,23 +484,24 @@
         calls
     }
 
-    /// Keeps to these from now on.
+    /// Puts new limits in force.
     pub fn adopt(&self, limits: Limits) {
         self.0.limits.replace(limits);
     }
 
-    /// A wait was told: nothing more is written there before it is over, whatever was decided before.
+    /// Notes a requested wait: nothing is written on the route before it is over, whatever was decided
+    /// earlier.
     pub fn hold(&self, route: RouteId, wait: Micros) {
         self.0.hold(route, wait);
     }
 
-    /// Attempts that are out.
+    /// Number of attempts in flight.
     pub fn out(&self) -> usize {
         self.0.out.borrow().len()
     }
 
-    /// Starts a call with one message or several; its end comes as [`Inbound::CallOver`]. Until its last byte is
-    /// written any of the messages may be given up, and never runs then.
+    /// Starts a call with one or more messages; its end is reported as [`Inbound::CallOver`]. Until its last
+    /// byte is written, each message may be given up and then never runs.
     pub fn start(&self, line: Line, parts: Vec<Part>) {
         let shared = self.0.clone();
         let (load, called_off) = Load::new(line.endpoint);
@@ -501,7 +512,7 @@
         let until = parts.iter().map(|part| part.until).max().unwrap_or(begun);
         tokio::task::spawn_local(async move {
             let rest = tokio::select! {
-                // What is called off must not come to be written first.
+                // A cancelled call must not get written first.
                 biased;
                 Ok(outcome) = called_off => {
                     shared.report_end(&load, &parts, begun, outcome);
@@ -530,29 +541,30 @@
         });
     }
 
-    /// Calls an attempt off by closing its connection, with all that travel along.
+    /// Cancels an attempt by closing its connection, together with all messages in the same call.
     pub fn cancel(&self, message: MessageId, attempt: u16) {
         if let Some(load) = self.0.out.borrow().get(&(message, attempt)) {
             load.end(Outcome::Cancelled);
         }
     }
 
-    /// A message is over here: from now on nothing more of it is written, whatever travels along. Returns the
-    /// attempts that were out and never run.
+    /// Gives a message up: nothing more of it is written, whatever else is in its calls. Returns the attempts
+    /// that were in flight and never run.
     pub fn give_up(&self, message: MessageId) -> Vec<u16> {
         let out = self.0.out.borrow();
         let attempts = out.range((message, 0)..=(message, u16::MAX));
         attempts.filter(|(id, load)| load.leave_out(**id)).map(|(id, _)| id.1).collect()
     }
 
-    /// Ends the calls that are not written whole yet, of all endpoints that are not to be called any more.
+    /// Ends the calls that are not completely written yet, for all endpoints that must not be called any
+    /// more.
     pub fn withdraw(&self, over: impl Fn(EndpointId) -> bool) {
         let out = self.0.out.borrow();
         let unwritten = out.values().filter(|load| !load.whole.get() && over(load.endpoint));
         unwritten.for_each(|load| load.end(Outcome::Moot { no_slot: false }));
     }
 
-    /// Probes an endpoint; the result comes as [`Event::Probed`].
+    /// Probes an endpoint; the result is reported as [`Event::Probed`].
     pub fn probe(&self, line: Line) {
         let shared = self.0.clone();
         tokio::task::spawn_local(async move {
@@ -617,7 +629,7 @@
 /// A connection in use.
 struct Busy(Conn, InUse);
 
-/// An answer to a call, read as far as it has a meaning.
+/// The response to a call, read as far as it matters.
 struct Answered {
     ends: Vec<(Outcome, bool)>,
     report: Vec<f32>,
@@ -638,7 +650,7 @@
     }
 
     fn fresh(&self, idle: &Idle) -> bool {
-        // Guards against writing to a connection that the endpoint closes at that moment.
+        // A margin, so that nothing is written to a connection that the endpoint is just closing.
         idle.since.elapsed().as_micros() < u128::from(self.limits.borrow().idle / 5 * 4)
     }
 
@@ -649,7 +661,7 @@
         Some(conns.pop()?.conn)
     }
 
-    /// Makes room for one more connection by closing the one that has been idle the longest.
+    /// At the connection limit, closes the connection that has been idle the longest.
     fn make_room(&self) {
         let mut idle = self.idle.borrow_mut();
         let count: usize = idle.values().map(Vec::len).sum();
@@ -681,7 +693,7 @@
         }
     }
 
-    /// One request, composed once it can be written, and the head of its answer.
+    /// Sends one request, which is composed when it can be written, and returns the head of its response.
     async fn exchange(
         self: &Rc<Self>,
         line: Line,
@@ -692,7 +704,8 @@
         let mut may_reuse = true;
         loop {
             let (mut conn, reused) = self.connect(line, until, may_reuse).await?;
-            // Nothing is waited for from here to the first byte; should that not go at once, `load` guards it.
+            // There is no await from here to the first write; if that write is delayed, `load` prevents an
+            // outdated one.
             let composed = if self.held(line.route) { None } else { compose() };
             let Some(Composed { request, length, messages }) = composed else {
                 self.keep(line, conn).await;
@@ -707,13 +720,14 @@
             load.traffic.replace(Some(traffic.clone()));
             match conn.0.send(request).await {
                 Ok(answer) => return Ok((conn, answer)),
-                // The other side had closed it, or a message was over, and nothing was written: a new one is no
-                // second copy. At most so many as there are messages are over.
+                // The peer had closed the connection, or a message was given up, and nothing was written:
+                // trying again sends no second copy. A given-up message causes one retry at most, so their
+                // number is bounded.
                 Err(()) if (reused || load.stale()) && traffic.written.get() == before => {
                     may_reuse &= !reused;
                     load.traffic.replace(None);
                 }
-                // What was cut before its last byte never runs.
+                // A request truncated before its last byte never runs.
                 Err(()) if !load.whole.get() => return Err(Outcome::ConnectFailed),
                 Err(()) => return Err(Outcome::Reset),
             }
@@ -732,7 +746,7 @@
         let (head, body) = answer.into_parts();
         let (report, wait) = (self.report(&head.headers), told_wait(&head.headers));
         if let Some(wait) = wait {
-            // It binds from here, whatever becomes of the rest of the answer.
+            // The wait binds from here on, even if the rest of the response is lost.
             let _ = self.inbound.send(Inbound::Event(Event::Wait { endpoint: line.endpoint, wait }));
             self.hold(line.route, wait);
         }
@@ -746,14 +760,15 @@
                 Some("later") => (Outcome::Full(wait), false),
                 Some("gone") => (Outcome::Moot { no_slot: false }, true),
                 Some("exhausted") => (Outcome::Moot { no_slot: false }, false),
-                // What is not told, or can't be read, may have run.
+                // A message that is missing from the response, or has an unknown state, may have run.
                 _ => (Outcome::Error, false),
             };
             let ends = parts.iter().map(end).collect();
             return Ok(Answered { ends, report, rest: Some((conn, None)) });
         }
         let messages = load.messages.get();
-        // An answer that came before its request was written whole: the rest must not follow its end.
+        // If the response came before the request was written completely, the connection is closed, so that
+        // the rest is not sent.
         let rest = load.whole.get().then_some((conn, Some(body)));
         let gone = head.status == StatusCode::GONE && messages == 1;
         let end = (outcome(head.status, &head.headers, messages), gone);
@@ -773,7 +788,7 @@
             let (message, attempt) = (part.message, part.attempt);
             self.out.borrow_mut().remove(&(message, attempt));
             let left_out = load.left_out.borrow().contains(&(message, attempt));
-            // An endpoint knows nothing of what was not written: that one is still owed its end.
+            // The endpoint knows nothing of a message that was not written, which is therefore still owed.
             let gone = *gone && !left_out;
             let (outcome, report) = (load.end_of(part, *outcome), answered.report.clone());
             over.push(AttemptOver { message, attempt, endpoint, outcome, gone, took, report });
@@ -781,7 +796,7 @@
         let _ = self.inbound.send(Inbound::CallOver(over));
     }
 
-    /// Reads what is left of an answer, so that its connection can be used again.
+    /// Reads the rest of a response, so that its connection can be reused.
     async fn finish(self: &Rc<Self>, line: Line, mut conn: Busy, body: Option<Incoming>) {
         if let Some(body) = body
             && !matches!(timeout(REST_OF_ANSWER, conn.0.body(body)).await, Ok(Ok(_)))
@@ -820,19 +835,20 @@
     }
 }
 
-/// The seconds that an answer tells to stay away, if that can be read.
+/// The Retry-After of a response in seconds, if it can be parsed.
 fn retry_after(headers: &HeaderMap) -> Option<f64> {
     headers.get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()
 }
 
-/// The wait that an answer tells, in seconds with decimals; strange ones are none.
+/// The wait requested by a response, in seconds with decimals; invalid values are ignored.
 fn told_wait(headers: &HeaderMap) -> Option<Micros> {
-    // No destination means a wait of more than an hour.
+    // No destination needs a wait of more than an hour.
     let seconds = retry_after(headers)?;
     (seconds > 0.0).then(|| (seconds.min(3600.0) * 1e6).ceil() as Micros)
 }
 
-/// How a call with so many messages ended. What the protocol does not have there was not to be read: it may have run.
+/// The outcome of a call with this number of messages. A status outside the protocol counts as an error: the
+/// call may have run.
 fn outcome(status: StatusCode, headers: &HeaderMap, messages: usize) -> Outcome {
     match status.as_u16() {
         200 => Outcome::Delivered,
@@ -842,7 +858,8 @@
             Outcome::Moot { no_slot: true }
         }
         503 => Outcome::Full(told_wait(headers)),
-        // Not sent, or a batch that was not taken whole: it never ran. Of a batch each message's end tells that.
+        // The message was not processed, or the batch was rejected as a whole: it never ran. Of 410 and 504,
+        // batches report per message instead.
         410 | 504 if messages <= 1 => Outcome::Moot { no_slot: false },
         400 | 413 if messages > 1 => Outcome::Moot { no_slot: false },
         _ => Outcome::Error,
--- a/src/net/calls/tests.rs
+++ b/src/net/calls/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of calls over loopback sockets, with the orders of what crosses forced.
+//! Tests of calls over loopback sockets. The order of events that race in practice is forced.
 
 use myrtleyard::interface::DestinationId;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -36,7 +36,7 @@
         Ok(Self { calls, events, listener, line })
     }
 
-    /// How the messages of the next call that ends fared.
+    /// The outcomes of the messages of the next call that ends.
     async fn ends(&mut self) -> Vec<(u32, Outcome)> {
         match timeout(PATIENCE, self.events.recv()).await {
             Ok(Some(Inbound::CallOver(ends))) => ends.iter().map(|e| (e.message.0, e.outcome)).collect(),
@@ -45,39 +45,40 @@
     }
 }
 
-/// What comes over a connection until that many bytes of a body have.
+/// Reads from a connection up to the end of a request's body.
 async fn read(stream: &mut TcpStream) -> io::Result<String> {
     let mut text = String::new();
     while !text.ends_with("body") && !text.ends_with("}]") {
         let mut bytes = [0; 512];
         let n = stream.read(&mut bytes).await?;
-        assert!(n > 0, "it ends after {text}");
+        assert!(n > 0, "connection closed after {text}");
         text += &String::from_utf8_lossy(&bytes[..n]);
     }
     Ok(text)
 }
 
-/// Guards the promise that nothing is sent on after its end was told, on a new connection and on a kept one.
+/// Nothing may be sent after the client was told a message's outcome, on a new connection or on a reused one.
+/// A message given up before the first byte of its request must be left out of it.
 #[tokio::test]
 async fn what_is_given_up_before_its_first_byte_is_not_written() -> io::Result<()> {
     let run = async {
         let mut world = World::new().await?;
-        // Nobody is left: the connection comes up, and is kept.
+        // No message is left: the connection is made, and kept.
         world.calls.start(world.line, vec![part(1), part(2)]);
         assert_eq!(world.calls.give_up(MessageId(1)), [0]);
         assert_eq!(world.calls.give_up(MessageId(2)), [0]);
         assert_eq!(world.ends().await, [(1, NEVER), (2, NEVER)]);
         let (mut stream, _) = world.listener.accept().await?;
-        // The others go.
+        // The other messages are sent.
         world.calls.start(world.line, vec![part(3), part(4), part(5)]);
         assert_eq!(world.calls.give_up(MessageId(4)), [0]);
         let text = read(&mut stream).await?;
         assert!(text.contains("m3") && text.contains("m5") && !text.contains("m4"), "{text}");
-        assert_eq!(world.calls.give_up(MessageId(5)), [0; 0], "it may run");
+        assert_eq!(world.calls.give_up(MessageId(5)), [0; 0], "the message may run");
         stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 26\r\n\r\n").await?;
         stream.write_all(br#"[{"id":"m3","state":"ok"}]"#).await?;
         assert_eq!(world.ends().await, [(3, Outcome::Delivered), (4, NEVER), (5, Outcome::Error)]);
-        // One alone goes as such.
+        // A single remaining message is sent as a single one, not as a batch.
         world.calls.start(world.line, vec![part(6), part(7)]);
         assert_eq!(world.calls.give_up(MessageId(6)), [0]);
         let text = read(&mut stream).await?;
@@ -89,7 +90,8 @@
     LocalSet::new().run_until(run).await
 }
 
-/// Guards the same against a process that stands still: each message's time binds, whatever travels along.
+/// The same if the process was suspended in between: each message's own time limit applies, whatever else is
+/// in the call.
 #[tokio::test]
 async fn a_message_whose_time_is_up_is_not_written() -> io::Result<()> {
     let run = async {
@@ -106,7 +108,8 @@
     LocalSet::new().run_until(run).await
 }
 
-/// Guards the moment between composing a request and its first byte, should that not go at once.
+/// A message given up after its request was composed and before the first byte is written must not be sent.
+/// This is possible if the first write is delayed.
 #[tokio::test]
 async fn no_byte_leaves_of_a_request_that_is_outdated() -> io::Result<()> {
     let run = async {
@@ -120,7 +123,7 @@
         let request = composed.map(|c| c.request).ok_or(io::ErrorKind::Other)?;
         assert!(conn.send(request).await.is_err());
         assert_eq!((conn.traffic.written.get(), load.begun.get()), (0, false));
-        // What is left goes.
+        // The remaining message is sent.
         let mut conn = Conn::open(world.line.address).await.map_err(io::Error::other)?;
         conn.traffic.load.replace(Rc::downgrade(&load));
         let composed = load.compose(world.line, &parts, parts[0].until);
@@ -141,7 +144,8 @@
     LocalSet::new().run_until(run).await
 }
 
-/// Guards a wait that is told in the head of a batch's answer: it binds at once, also if the rest never comes.
+/// A Retry-After in the head of a batch's response applies at once, even if the body never arrives
+/// completely.
 #[tokio::test]
 async fn a_wait_told_before_an_answer_breaks_off_binds() -> io::Result<()> {
     let run = async {
@@ -153,7 +157,7 @@
         let told = timeout(PATIENCE, world.events.recv()).await?;
         let wait = Event::Wait { endpoint: world.line.endpoint, wait: 60_000_000 };
         assert!(matches!(&told, Some(Inbound::Event(event)) if *event == wait), "{told:?}");
-        // Before the call is over, too.
+        // It applies even before the call is over.
         world.calls.start(world.line, vec![part(3)]);
         assert_eq!(world.ends().await, [(3, NEVER)]);
         drop(stream);
@@ -163,8 +167,8 @@
     LocalSet::new().run_until(run).await
 }
 
-/// What the other side does to an idle connection in the very moment before it is to be used again: the runtime
-/// has not looked at its sockets since. The call goes over a new one.
+/// Runs `spoil` on the server's end of an idle connection immediately before its reuse, when the runtime has
+/// not polled its sockets since. The next call must use a new connection.
 async fn spoilt_while_idle(spoil: impl FnOnce(std::net::TcpStream) -> io::Result<()>) -> io::Result<()> {
     let mut world = World::new().await?;
     world.calls.start(world.line, vec![part(1)]);
@@ -179,12 +183,12 @@
         if idle { Poll::Ready(()) } else { Poll::Pending }
     });
     timeout(PATIENCE, shelved).await?;
-    // No waiting from here until the call has been begun.
+    // No await from here until the call has been started.
     spoil(stream.into_std()?)?;
     world.calls.start(world.line, vec![part(2)]);
     let (next, _) = timeout(PATIENCE, async {
         tokio::select! {
-            end = world.events.recv() => panic!("it went over the spoilt one: {end:?}"),
+            end = world.events.recv() => panic!("the call used the spoilt connection: {end:?}"),
             next = world.listener.accept() => next,
         }
     })
@@ -196,7 +200,8 @@
     Ok(())
 }
 
-/// Guards what may not be repeated against a reset that could have been known of: closed just before its reuse.
+/// A message that may not be repeated must not be lost to a reset that could have been foreseen: the peer
+/// closed the connection just before its reuse.
 #[tokio::test]
 async fn a_connection_closed_while_idle_is_not_written_to() -> io::Result<()> {
     let spoil = |stream| {
@@ -206,25 +211,25 @@
     LocalSet::new().run_until(spoilt_while_idle(spoil)).await
 }
 
-/// Guards a call against an answer that was written before it: those bytes are no answer to it.
+/// Bytes that arrived on an idle connection before a request was written must not be taken for its response.
 #[tokio::test]
 async fn bytes_on_an_idle_connection_answer_no_call() -> io::Result<()> {
     let left = std::cell::RefCell::new(None);
     let spoil = |mut stream: std::net::TcpStream| {
         io::Write::write_all(&mut stream, ANSWER)?;
-        // Stays open.
+        // The connection stays open.
         left.replace(Some(stream));
         Ok(())
     };
     LocalSet::new().run_until(spoilt_while_idle(spoil)).await
 }
 
-/// A message of more bytes than the buffers between two sockets hold.
+/// A message larger than the buffers between two sockets.
 fn large(message: u32) -> Part {
     Part { body: Bytes::from(vec![b'x'; 32 << 20]), ..part(message) }
 }
 
-/// Reads on until the connection ends; whether the body came whole.
+/// Reads until the connection ends. Returns whether the complete body was received.
 async fn came_whole(stream: &mut TcpStream) -> bool {
     let (mut bytes, mut size) = (vec![0; 1 << 16], 0);
     while let Ok(n @ 1..) = stream.read(&mut bytes).await {
@@ -233,7 +238,8 @@
     size >= 32 << 20
 }
 
-/// Guards the promise that nothing is sent on after its end was told, once its first bytes are written.
+/// The same once the first bytes of a request are written: a message given up then must never arrive
+/// completely, so that it does not run.
 #[tokio::test]
 async fn what_is_given_up_half_written_never_runs() -> io::Result<()> {
     let run = async {
@@ -244,7 +250,8 @@
         assert_eq!(world.calls.give_up(MessageId(1)), [0]);
         assert_eq!(world.ends().await, [(1, NEVER)]);
         assert!(!came_whole(&mut stream).await);
-        // As does what an endpoint that goes away, or a process that hands over, is still written.
+        // The same holds for requests that are being written when an endpoint leaves or the process hands
+        // over.
         world.calls.start(world.line, vec![large(4)]);
         let (mut stream, _) = world.listener.accept().await?;
         stream.read_exact(&mut [0]).await?;
@@ -256,7 +263,8 @@
     LocalSet::new().run_until(run).await
 }
 
-/// Guards what may not be repeated: a request that was not written whole in its time can still go elsewhere.
+/// A message that may not be repeated can go elsewhere if its request was not completely written by the
+/// timeout: the attempt must be reported as never run.
 #[tokio::test]
 async fn a_request_half_written_when_its_time_is_up_never_ran() -> io::Result<()> {
     let run = async {
@@ -273,7 +281,7 @@
     LocalSet::new().run_until(run).await
 }
 
-/// Guards a message that was turned away before it was written whole: its rest does not follow.
+/// If the response comes before the request is completely written, the rest of the request must not be sent.
 #[tokio::test]
 async fn an_early_answer_ends_the_writing() -> io::Result<()> {
     let run = async {
@@ -281,7 +289,7 @@
         world.calls.start(world.line, vec![large(1)]);
         let (mut stream, _) = world.listener.accept().await?;
         stream.read_exact(&mut [0]).await?;
-        // The rest of the answer does not come.
+        // The body of the response does not arrive.
         stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 9\r\n\r\n").await?;
         assert_eq!(world.ends().await, [(1, Outcome::Full(None))]);
         assert!(!came_whole(&mut stream).await);
@@ -290,8 +298,8 @@
     LocalSet::new().run_until(run).await
 }
 
-/// Guards what did not travel along against an answer to what did: an endpoint that says 410 to the one message that
-/// was written knows nothing of the others, which are still owed their ends.
+/// A response applies only to the messages that were sent: an endpoint that answers 410 to the one message
+/// that was written knows nothing of the others, which are still owed.
 #[tokio::test]
 async fn an_answer_ends_no_message_that_was_left_out() -> io::Result<()> {
     let run = async {
@@ -310,8 +318,8 @@
     LocalSet::new().run_until(run).await
 }
 
-/// Guards the idempotency window against a connection that comes up late: what may be answered until later is not
-/// written any more.
+/// If a connection is made late, a repeat whose idempotency window is over must not be written, even if its
+/// response would still be in time.
 #[tokio::test]
 async fn a_repeat_whose_window_is_over_is_not_written() -> io::Result<()> {
     let run = async {
@@ -328,7 +336,7 @@
     LocalSet::new().run_until(run).await
 }
 
-/// Guards against half a first line, taken for a whole one: only a line that came to its end is told.
+/// A truncated status line must not be taken for a complete one, which might have said something else.
 #[tokio::test]
 async fn half_a_first_line_delivers_nothing() -> io::Result<()> {
     let run = async {
@@ -350,8 +358,8 @@
     LocalSet::new().run_until(run).await
 }
 
-/// Guards what may not run twice: a batch is told by each message's end, and any other whole answer but those that the
-/// protocol names may hide one that ran.
+/// A message must not run twice: a batch reports each message's outcome in its body, and any other response
+/// outside the protocol may hide a message that ran.
 #[tokio::test]
 async fn a_batch_is_not_over_by_an_answer_that_no_batch_has() -> io::Result<()> {
     let run = async {
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -1,5 +1,6 @@
-//! The driver round the module: what happened becomes events, and what the module decides is carried out. Events are
-//! collected into a turn ([`turn`]), turn after turn for as long as the process runs ([`service`]).
+//! The event loop around the decision module: inputs become events, and the module's actions are carried out.
+//! The events of one iteration are collected into a batch ([`turn`]), iteration after iteration for as long
+//! as the process runs ([`service`]).
 
 mod covered;
 mod draining;
@@ -43,29 +44,29 @@
 
 use super::{AttemptOver, Clock, Inbound, STOP_WITHIN, Standing};
 
-/// From SIGTERM until clients have learnt to go elsewhere.
+/// Time from SIGTERM until all clients use other senders.
 const STILL_CALLED: Micros = 1_000_000;
-/// Advice to clients while the journal has no room.
+/// Retry-After for clients while the journal has no capacity left.
 const NO_ROOM_AGAIN: Micros = 1_000_000;
 
-/// A drain of this process that is under way.
+/// A drain of this process that is in progress.
 #[derive(Debug, Clone, Copy)]
 struct Drain {
     since: Micros,
     by: Option<Micros>,
 }
 
-/// A message handed in within this turn.
+/// A message submitted within this iteration; it is not in the journal yet.
 struct Fresh {
     taken: Taken,
-    /// Those who wait for the answer: more than one where a client said it once more.
+    /// The clients that wait for the answer: more than one if a client submitted the message again.
     answers: Vec<oneshot::Sender<Answer>>,
 }
 
 impl Fresh {
     fn answer(self, answer: Answer) {
         for waiting in self.answers {
-            // Who does not wait any more has said so.
+            // The receiver is gone if the client disconnected, which is reported as `Inbound::Withdrawn`.
             let _ = waiting.send(answer.clone());
         }
     }
@@ -76,7 +77,7 @@
     /// Shared with the intake.
     names: Rc<RefCell<Names>>,
     settings: Settings,
-    /// Connections to endpoints at most.
+    /// Maximum number of connections to endpoints.
     connections: usize,
     policy: Policy,
     journal: Journal,
@@ -85,42 +86,42 @@
     peers: Option<Peers>,
     notices: UnboundedSender<Notice>,
     wanted: Rc<platform::Wanted>,
-    /// One service answers all senders' watches of the list.
+    /// One service answers the list watches of all senders, rather than an agent on each machine.
     shared: bool,
     inbound: UnboundedSender<Inbound>,
     standing: watch::Sender<Standing>,
     stop_at: Option<Micros>,
-    /// Since it was taken out of service.
+    /// Set while operators have taken the process out of service.
     drain: Option<Drain>,
-    /// Those that the configuration turns on.
+    /// The optional components that the configuration enables.
     parts: Parts,
-    /// What waits on other senders.
+    /// State of the messages replicated to other senders.
     covered: Covered,
     intake: Rc<Intake>,
-    /// Those of resident destinations.
+    /// Endpoints of resident destinations.
     endpoints: HashMap<EndpointId, Known>,
-    /// Which destinations the module knows, and the whole list where that is long.
+    /// Which destinations the decision module knows, and the complete list if it is long.
     working: Working,
-    /// The id of each name, and how many ids were given out.
+    /// Endpoint ids by name, and the number of ids assigned so far.
     ids: HashMap<String, EndpointId>,
     given: u64,
     /// The list's version.
     index: u64,
     timers: BTreeSet<(Micros, u64)>,
     next_message: u32,
-    /// Numbers of the messages that are held, by their `Req-Id`.
+    /// Message numbers by `Req-Id`, for all messages in hand.
     held: HashMap<String, u32>,
-    /// Attempts begun for each message that is held.
+    /// Number of attempts started for each message in hand.
     attempts: HashMap<u32, u16>,
-    /// Handed in since the last turn, or in it.
+    /// Messages submitted since the last iteration, or in the current one.
     fresh: BTreeMap<u32, Fresh>,
-    /// Records that could not be written yet; they promise nothing to anybody.
+    /// Records that are not in the journal yet; nothing may rely on them.
     unwritten: Vec<Record>,
-    /// Notices whose records are not written yet.
+    /// Notices whose records are not in the journal yet.
     unsaid: Vec<(u32, GivenUp, String)>,
-    /// The process that this one took over from, while it is there.
+    /// The process that this one took over from, while it still runs.
     predecessor: Option<UnboundedSender<Order>>,
-    /// The process that asks to take over from this one.
+    /// A new process that asks to take over from this one.
     successor: Option<UnixStream>,
 }
 
@@ -134,7 +135,7 @@
 }
 
 impl Driver {
-    /// Has the optional parts do something, and sends what they say.
+    /// Runs `act` on the optional components and sends the datagrams that it produces.
     fn with_parts<T>(&mut self, act: impl FnOnce(&mut Parts, &mut parts::Out) -> T) -> T {
         let mut out = parts::Out::new();
         let done = act(&mut self.parts, &mut out);
@@ -144,10 +145,11 @@
         done
     }
 
-    /// The list as last known, and what an earlier process left in the journal.
+    /// Starts from the last known list and from what an earlier process left in the journal.
     fn start(&mut self, known: List) -> Vec<Event> {
         let now = self.clock.now();
-        // It may be old: what is not in it may be in discovery's, so that it ends no mark.
+        // The list may be outdated: an endpoint missing from it may still be in discovery's, so no drain mark
+        // is removed.
         let mut said = Vec::new();
         let whole = match known {
             List::Entries(body) => List::Entries(ListBody { snapshot: true, ..body }),
@@ -169,7 +171,7 @@
                 }
                 (None, Some(class)) => {
                     let (id, destination) = (&live.taken.id, live.taken.destination);
-                    tracing::debug!(id, destination, attempts = live.attempts.len(), "taken up again");
+                    tracing::debug!(id, destination, attempts = live.attempts.len(), "message resumed from the journal");
                     let class = self.as_taken(class, &live.taken, &mut said);
                     self.resumed(number, class, &live, now, &mut said);
                     continue;
@@ -185,7 +187,7 @@
         said
     }
 
-    /// An old message ends so, and the platform is told.
+    /// Ends a message of an earlier process and queues the notice to the platform.
     fn end_old(&mut self, number: u32, how: GivenUp, taken: Taken) {
         self.index_ended(number, end_of(how));
         self.figures.ended(&taken.class, how.into());
@@ -193,9 +195,10 @@
         self.unsaid.push((number, how, taken.id));
     }
 
-    /// The class that an old message goes by: the one of its name, but that it may be repeated no more than when it
-    /// was taken on; what an older version wrote down does not tell, and may not be repeated. Such a class is for
-    /// these messages alone.
+    /// Returns the class for a message of an earlier process: the current class of that name, with the
+    /// stricter of its effect now and its effect when the message was accepted. An older version's journal
+    /// does not record the effect; such a message may not be repeated. If the effects differ, a class is
+    /// added that only these messages use.
     fn as_taken(&mut self, class: usize, taken: &Taken, said: &mut Vec<Event>) -> usize {
         let Some(now) = self.settings.classes.get(class) else { return class };
         let effect = now.effect.stricter(taken.effect.unwrap_or(Effect::Once));
@@ -217,7 +220,7 @@
         place
     }
 
-    /// Goes on where the process before left off, as far as the settings are the same.
+    /// Continues from the state of the previous process, as far as the settings are the same.
     fn take_over(
         &mut self,
         predecessor: Predecessor,
@@ -233,7 +236,7 @@
         self.working = knowledge.working;
         let dropped = self.working.drop_other_form();
         if dropped > 0 {
-            tracing::warn!(dropped, "what another version had learned of destinations can't be read");
+            tracing::warn!(dropped, "the saved routes of evicted destinations were written by another version and are discarded");
         }
         self.limits_told_by(&knowledge.settings, &settings);
         self.go_by(settings.clone(), names, &knowledge.names);
@@ -242,7 +245,7 @@
         self.index = knowledge.index;
         self.timers = knowledge.timers;
         if self.working.beyond {
-            // Its table does not cross.
+            // The table of the complete list is not part of the handover.
             self.wanted.whole.notify_one();
         } else {
             self.outgrow();
@@ -251,7 +254,7 @@
         self.next_message = knowledge.next_message;
         self.held = knowledge.held;
         self.attempts = knowledge.attempts;
-        // What the platform was told, but not written down to have been, it is told again.
+        // Notices are sent again if the journal has no record that the platform received them.
         let owed = self.journal.live().iter();
         let owed = owed.filter_map(|(number, live)| Some((*number, live.given_up?, live.taken.id.clone())));
         self.unsaid.extend(owed.collect::<Vec<_>>());
@@ -261,7 +264,7 @@
         let out = self.policy.out().map(reset).collect();
         let (orders, followed) = predecessor.link.follow(inbound, out);
         self.predecessor = Some(orders);
-        // The part that keeps the marks may have been turned on or off between the two, and zones and kinds changed.
+        // The new process may have draining switched on or off, or other zones and kinds.
         let relisted = self.relisted(|_| true);
         let mut first = vec![Event::Settings(Box::new(settings)), relisted];
         if self.working.beyond {
@@ -270,8 +273,8 @@
         (first, followed)
     }
 
-    /// These settings and names are in force from now on. Zones and kinds stand in the list by their positions: each
-    /// endpoint keeps its own by name.
+    /// Puts these settings and names in force. The list refers to zones and kinds by position: each endpoint
+    /// keeps its own by name.
     fn go_by(&mut self, settings: Settings, names: Names, before: &Names) {
         self.calls.adopt(limits(&settings, &names, self.connections));
         self.figures.name(&names);
@@ -288,17 +291,17 @@
         self.settings = settings;
     }
 
-    /// How limits are told may have changed between these settings.
+    /// Discards learned limits if the two settings differ in how limits are reported.
     fn limits_told_by(&mut self, before: &Settings, now: &Settings) {
         if (before.weights, before.report) != (now.weights, now.report) {
             self.working.limits_told_otherwise();
         }
     }
 
-    /// Tells the next process all that is known here, but for the last byte.
+    /// Sends the complete state to the next process, except for the last byte.
     async fn offer(&self, stream: UnixStream) -> std::io::Result<handover::Offered> {
         let drained = self.parts.draining.as_ref().map(|draining| draining.names()).unwrap_or_default();
-        // The names stay as they are: this task alone changes them.
+        // Nobody changes the names during the transfer: only this task does.
         let names = self.names.borrow().clone();
         let knowing = handover::Knowing {
             now: self.clock.now(),
@@ -308,7 +311,7 @@
             endpoints: &self.endpoints,
             ids: &self.ids,
             given: self.given,
-            // Whoever goes on without the whole of a long list is to be told it.
+            // Index 0 makes the next process fetch a long list in full, since its table is not transferred.
             index: if self.working.beyond { 0 } else { self.index },
             timers: &self.timers,
             next_message: self.next_message,
@@ -320,7 +323,7 @@
         handover::offer(stream, &knowing).await
     }
 
-    /// Leaves the rest to the next process, and stays for what is still under way.
+    /// Hands all other work to the next process, and stays only for calls and client requests in progress.
     async fn hand_over(
         mut self,
         told: handover::Offered,
@@ -329,10 +332,11 @@
         events: UnboundedReceiver<Inbound>,
     ) {
         self.standing.send_replace(Standing::HandedOver);
-        tracing::info!(owed = self.journal.live().len(), "a new process takes over");
+        tracing::info!(owed = self.journal.live().len(), "handing over to a new process");
         self.figures.handed_over();
         self.calls.close_all_idle();
-        // From here on the next process decides, and can't have a call that waits given up in time.
+        // From here on the next process decides, and it could not cancel a call that waits for a connection
+        // here in time.
         self.calls.withdraw(|_| true);
         if let Some(peers) = self.peers.take() {
             peers.close().await;
@@ -347,13 +351,14 @@
         relay.run(told, claim, events).await;
     }
 
-    /// Turns what a task says into events for the module.
+    /// Translates a message from a task into events for the decision module.
     fn fold(&mut self, inbound: Inbound, said: &mut Vec<Event>) {
         match inbound {
             Inbound::HandedIn(message) => self.handed_in(message, said),
             Inbound::Withdrawn(id) => {
-                // What is taken on already was answered so to somebody: it stays owed, whoever names its id
-                // and goes away. So does what somebody else still waits to hear of.
+                // An accepted message stays owed, since some client was told so, even if another client that
+                // used the same id disconnects. The same holds while another client still waits for the
+                // answer.
                 if let Some(number) = self.held.get(&id).copied()
                     && let Some(fresh) = self.fresh.get_mut(&number)
                 {
@@ -367,7 +372,8 @@
             }
             Inbound::CallOver(ends) => ends.into_iter().for_each(|end| said.push(self.ended(end))),
             Inbound::Event(event) => {
-                // It may have been told to the process before.
+                // The previous process may have received the response, so that `calls` does not know of the
+                // wait yet.
                 if let Event::Wait { endpoint, wait } = &event
                     && let Some(route) = self.policy.route_of(*endpoint)
                 {
@@ -396,7 +402,7 @@
                 }
             }
             Inbound::Successor(stream) => self.successor = Some(stream),
-            // Nothing is ordered from the process that owns the folder.
+            // The process that owns the state folder receives no orders.
             Inbound::Ordered(_) => {}
             Inbound::Reloaded(Ok(config)) => {
                 let now = self.clock.now();
@@ -406,7 +412,7 @@
                 self.with_parts(|parts, out| parts.adopt(&config, now, out));
                 let own = (config.settings, config.names);
                 let before = self.names.borrow().clone();
-                // What came within this turn is not in the module yet.
+                // Messages of this iteration are not in the decision module yet.
                 let comes = |class| {
                     said.iter().any(|event| {
                         matches!(event, Event::Accepted(m) if m.class == class)
@@ -433,12 +439,12 @@
                 tracing::warn!(
                     code = e.code(),
                     remedy = e.remedy(),
-                    "the configuration is not reloaded: {e}"
+                    "configuration reload failed, the current one stays in force: {e}"
                 );
             }
             Inbound::Service(wanted, done) => {
                 self.service(wanted, None, said);
-                // Who asked may have gone.
+                // The caller may have disconnected.
                 let _ = done.send(*self.standing.borrow());
             }
             Inbound::Control(ask, reply) => {
@@ -450,10 +456,11 @@
                 let at = self.clock.now() + STOP_WITHIN;
                 self.stop_at = Some(at);
                 self.standing.send_replace(Standing::Stopping);
-                tracing::info!(owed = self.journal.live().len(), "asked to end");
+                tracing::info!(owed = self.journal.live().len(), "shutdown requested");
                 let now = self.clock.now();
                 self.with_parts(|parts, out| parts.serving(now, false, out));
-                // The module judges them by the time that is left, so that it has to know of them.
+                // The module judges all messages by the time left, so it must know the ones of earlier
+                // processes, too.
                 said.extend(self.resume_all());
                 said.push(Event::Stopping(at));
             }
@@ -463,18 +470,19 @@
     fn handed_in(&mut self, message: HandedIn, said: &mut Vec<Event>) {
         let HandedIn { taken, answer, .. } = message;
         if let Some(number) = self.held.get(&taken.id) {
-            // The client did not hear that it is taken on, and says it once more.
+            // The client did not receive the answer and submits the message again.
             match self.fresh.get_mut(number) {
                 Some(fresh) => fresh.answers.push(answer),
                 None => {
-                    // What was granted since the last turn may have a number that is not in the folder yet.
+                    // The log number of a message granted since the last iteration may not be on disk yet.
                     self.index_kept();
                     drop(answer.send(self.taken_answer(&taken)));
                 }
             }
             return;
         }
-        // Settings may have changed since its head was read, here or at the process before: those in force decide.
+        // Settings may have changed since the request head was read, here or in the previous process: the
+        // current ones decide.
         let class = self.names.borrow().class(&taken.class);
         let Some(class) = class.filter(|_| self.names.borrow().owns(taken.owner.as_deref())) else {
             self.figures.ended(&taken.class, End::Deferred);
@@ -502,7 +510,7 @@
         let live = self.journal.live().get(&number);
         let owed = live.filter(|live| live.given_up.is_none());
         let owed = owed.map(|live| (live.taken.id.clone(), live.taken.class.clone()));
-        // Over already, or given up: what comes now changes nothing.
+        // If the message is over or given up already, this result changes nothing.
         let mut terminal = true;
         if let Some((id, class)) = owed.filter(|owed| self.held.get(&owed.0) == Some(&number)) {
             terminal = end.gone || end.outcome == Outcome::Delivered;
@@ -513,7 +521,7 @@
                 self.tell_of(number, Fact::NeverRan(end.attempt));
             }
             if terminal {
-                // That an endpoint knows it to be over does not tell how it ended.
+                // The endpoint knows that the message is over, but not with which outcome.
                 let delivered = end.outcome == Outcome::Delivered;
                 self.index_ended(number, if delivered { State::Delivered } else { State::Unknown });
             }
@@ -523,7 +531,7 @@
                 Record::Ended { message: number, attempt: end.attempt, never_ran }
             });
             let took_ms = end.took / 1000;
-            tracing::debug!(id, attempt = end.attempt, outcome = ?end.outcome, took_ms, "a call is over");
+            tracing::debug!(id, attempt = end.attempt, outcome = ?end.outcome, took_ms, "attempt ended");
             if end.outcome == Outcome::Delivered {
                 self.figures.ended(&class, End::Answered);
             }
@@ -568,7 +576,7 @@
         let _ = self.notices.send(Notice { message: MessageId(number), id, how });
     }
 
-    /// The id of an endpoint's name; a name that no list has named yet gets one too.
+    /// Returns the id for an endpoint's name, and assigns one if the name is new, even if no list has it.
     fn id_of(&mut self, name: &str) -> EndpointId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -598,7 +606,7 @@
                 entries.push(Entry { endpoint, destination, zone, kind, weight: 0.0, listing });
             };
             if let Some(group) = before.map(|known| known.group) {
-                // Guards against a name that moves to another destination: it is another endpoint there.
+                // A name that moves to another destination is a different endpoint there.
                 entry(endpoint, group, Listing::Gone);
                 self.endpoints.remove(&endpoint);
                 self.ids.remove(&listing.name);
@@ -627,13 +635,13 @@
         if list.snapshot { Event::List(entries) } else { Event::Changes(entries) }
     }
 
-    /// Whether a process that was asked to end has nothing left to do that the next one can't.
+    /// Whether this process was asked to end and has nothing left that the next process can't do.
     fn may_end(&self, clients: usize) -> bool {
         let Some(at) = self.stop_at else { return false };
         let now = self.clock.now();
         let idle = self.journal.live().is_empty() && clients == 0;
         let called = now < at - STOP_WITHIN + STILL_CALLED;
-        // A client whose request is still read would lose it with the process.
+        // A client whose request is still being read would lose it with the process.
         (idle && !called && self.unwritten.is_empty()) || (now >= at && self.calls.out() == 0 && clients == 0)
     }
 }
--- a/src/net/driver/covered.rs
+++ b/src/net/driver/covered.rs
@@ -1,6 +1,7 @@
-//! Covers at the running sender: which message is told to others and when, which calls and notices wait for their
-//! grant, and what comes of messages that others lose or take. `myrtleyard::takeover` decides who owns what; the
-//! module decides what becomes of an adopted message, as it does for one that the journal gives back.
+//! Replication in the running sender: which messages are replicated to backups and when, which calls and
+//! notices wait for a grant, and what happens to messages that other senders lose or take over.
+//! `myrtleyard::takeover` decides who owns what; the decision module decides what happens to an adopted
+//! message, as it does for one restored from the journal.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,19 +18,20 @@
 use super::turn::PlannedCall;
 use super::{Driver, End, NO_ROOM_AGAIN};
 
-/// Messages that are adopted in a turn at most: a turn stays short, and what the sender's own clients bring gets in
-/// between.
+/// Maximum number of messages adopted in one iteration. It keeps iterations short, so that messages from this
+/// sender's own clients are handled in between.
 const ADOPTED_AT_ONCE: usize = 16;
-/// A call waits so long for its grant at most, or a lease if that is shorter; then the module hears that it was not
-/// made. It stays well inside the time in which sends to an endpoint that drains must have ceased.
+/// Maximum time that a call waits for its grant, or one lease if that is shorter; then the module is told
+/// that the call was not made. It is well below the time in which calls to a draining endpoint must have
+/// ceased.
 const WAITS_FOR: Micros = 500_000;
 
-/// What covers are told of a message.
+/// The record of a message that its backups store.
 #[derive(Serialize, Deserialize)]
 struct Told {
     taken: Taken,
     owner: Option<String>,
-    /// When it was taken on.
+    /// When it was accepted.
     since: Micros,
 }
 
@@ -41,7 +43,7 @@
     call: PlannedCall,
 }
 
-/// A notice that waits for its grant, or for the message's time to be up.
+/// A notice that waits for its grant, or for the message's deadline.
 struct HeldNotice {
     lot: LotId,
     upto: u32,
@@ -55,58 +57,59 @@
 struct Adoption {
     told: Told,
     tag: Tag,
-    /// Attempts of its first owner that are not known began then or later.
+    /// Attempts of its first owner that the backups do not know of started at this time or later.
     heard: Micros,
     known: Known,
 }
 
-/// What waits on other senders, all of it within the messages that are held, and those of lots that were taken.
+/// State of replicated messages. It is bounded by the messages in hand and by those of replica groups that
+/// were taken over.
 #[derive(Default)]
 pub(super) struct Covered {
     numbers: BTreeMap<(LotId, Item), u32>,
     calls: Vec<HeldCall>,
     notices: Vec<HeldNotice>,
-    /// By deadline, the latest first.
+    /// Sorted by deadline, the latest first.
     adoptions: Vec<Adoption>,
     beyond_reach: u64,
-    /// Messages that may be covered anew.
+    /// Messages without usable backups, which may be replicated again.
     bare: BTreeSet<u32>,
     anew: u64,
 }
 
 impl Covered {
-    /// When it has to be looked at next.
+    /// When this state must be checked next.
     pub(super) fn due(&self) -> Option<Micros> {
         let calls = self.calls.iter().map(|held| held.since + WAITS_FOR);
         let notices = self.notices.iter().map(|held| held.until);
-        // What could not be adopted at once is tried again in the next turn.
+        // An adoption that failed is retried in the next iteration.
         let adoptions = self.adoptions.first().map(|_| 0);
         calls.chain(notices).chain(adoptions).min()
     }
 }
 
 impl Told {
-    /// Of a message that was taken on then.
+    /// The record of a message accepted at `since`.
     fn of(taken: &Taken, since: Micros) -> Self {
         Self { taken: taken.clone(), owner: taken.owner.clone(), since }
     }
 }
 
 impl Driver {
-    /// Where a message that is taken on gets its covers, if it does.
+    /// Assigns an accepted message to a replica group, if it can be replicated.
     pub(super) fn place(&mut self, taken: &Taken, now: Micros) -> Option<Tag> {
         let covering = self.parts.covering.as_mut()?;
         covering.core.place(taken.body.len(), taken.deadline.saturating_sub(now)).ok()
     }
 
-    /// Tells the covers of a message that the journal has.
+    /// Replicates a message that is in the journal to its backups.
     pub(super) fn cover(&mut self, number: u32, now: Micros) {
         let Some(Live { taken, covered: Some((tag, since)), .. }) = self.journal.live().get(&number) else {
             return;
         };
         let Ok(record) = postcard::to_allocvec(&Told::of(taken, *since)) else { return };
         let (tag, id) = (tag.clone(), taken.id.clone());
-        tracing::debug!(id, lot = tag.lot.number, covers = ?tag.sides, "covered");
+        tracing::debug!(id, lot = tag.lot.number, covers = ?tag.sides, "message replicated");
         self.covered.numbers.insert((tag.lot, tag.item), number);
         self.tell(&tag, Fact::Record(record), now);
     }
@@ -115,7 +118,7 @@
         self.parts.covering.as_mut()?.core.tell(now, tag.lot, tag.item, fact)
     }
 
-    /// Tells the covers something of a message that they know of.
+    /// Sends the backups an update of a replicated message.
     pub(super) fn tell_of(&mut self, number: u32, fact: Fact) {
         let live = self.journal.live().get(&number);
         if let Some((tag, _)) = live.and_then(|live| live.covered.clone()) {
@@ -132,22 +135,22 @@
         self.covered.bare.remove(&number);
         let over = |held: &mut HeldCall| held.call.message.0 == number;
         let over: Vec<HeldCall> = self.covered.calls.extract_if(.., over).collect();
-        // The module counts them as out until it hears of them.
+        // The module counts them as in flight until it is told otherwise.
         over.into_iter().for_each(|held| self.not_made(held.call));
         self.covered.notices.retain(|held| held.message != number);
     }
 
-    /// When others may have called for it for the first time, where they may repeat it.
+    /// The earliest time at which other senders may have attempted the message, if they may repeat it.
     pub(super) fn others_first(&mut self, live: &Live, class: usize) -> Option<(Micros, EndpointId)> {
         let since = live.covered.as_ref()?.1;
         let keyed = matches!(self.settings.classes.get(class)?.effect, Effect::Keyed { .. });
         keyed.then(|| (self.clock.now().saturating_sub(since), self.id_of("")))
     }
 
-    /// Whether an attempt may begin only with a grant: at any time if it must not happen twice, and otherwise when
-    /// another's first attempt might be forgotten where it went.
+    /// Whether an attempt may start only with a grant: always if it must not happen twice; for a keyed
+    /// message once the endpoint may have forgotten another sender's first attempt.
     fn needs_grant(&self, message: MessageId, live: &Live, since: Micros, now: Micros) -> bool {
-        // It may have been taken on under other settings, which it keeps.
+        // A message keeps the class that it was accepted with, whatever the settings are now.
         let class = self.policy.class_of(message).or_else(|| self.names.borrow().class(&live.taken.class));
         match class.and_then(|class| self.settings.classes.get(class)).map(|class| class.effect) {
             Some(Effect::Repeatable) => false,
@@ -159,7 +162,8 @@
         }
     }
 
-    /// Tells the intents of a turn's calls, and keeps back those that wait for their grant.
+    /// Replicates the intents of an iteration's calls, and holds back the calls that must wait for their
+    /// grant.
     pub(super) fn keep_back(&mut self, calls: Vec<PlannedCall>, now: Micros) -> Vec<PlannedCall> {
         if self.parts.covering.is_none() {
             return calls;
@@ -178,7 +182,7 @@
                 Some(upto) if needs => {
                     self.covered.calls.push(HeldCall { lot: tag.lot, upto, since: now, call });
                 }
-                // It is about to hear that another owns it.
+                // Another sender owns it, which is about to be reported here.
                 None if needs && !owned => self.not_made(call),
                 _ => free.push(call),
             }
@@ -186,14 +190,14 @@
         free
     }
 
-    /// No call that waits is made by this process; the next one hears so.
+    /// Cancels all calls that wait for a grant; the next process is told so.
     pub(super) fn give_waiting_up(&mut self) {
         for held in std::mem::take(&mut self.covered.calls) {
             self.not_made(held.call);
         }
     }
 
-    /// The same at the end of the process: the journal has it that they never ran.
+    /// The same at the end of the process: the journal records that these attempts never ran.
     pub(super) fn leave_waiting(&mut self) {
         let calls = std::mem::take(&mut self.covered.calls).into_iter();
         let never = calls.map(|held| {
@@ -201,12 +205,13 @@
             Record::Ended { message: message.0, attempt, never_ran: true }
         });
         if let Err(e) = self.journal.append(&never.collect::<Vec<_>>()) {
-            tracing::error!("the journal can't be written: {e}");
+            tracing::error!("writing the journal failed: {e}");
         }
     }
 
-    /// Tells the platform of an end, once those who know of the message know of that too. What is not granted by
-    /// the time that the message has is told all the same, as what it then is for sure: undeliverable by anybody.
+    /// Notifies the platform of an outcome, once the backups know of it, too. A notice that is not granted by
+    /// the message's deadline is sent all the same, with the outcome that is certain by then: nobody can
+    /// deliver the message any more.
     pub(super) fn end_told(&mut self, number: u32, how: GivenUp, id: String) {
         let live = self.journal.live().get(&number);
         let until = live.map_or(0, |live| live.taken.deadline);
@@ -216,7 +221,7 @@
             upto.map(|upto| (tag.lot, upto))
         });
         match upto {
-            // As below: it is too late to wait.
+            // It is too late to wait; `covered` does the same when a held notice is due.
             Some(_) if self.clock.now() >= until => self.notify(number, GivenUp::Undeliverable, id),
             Some((lot, upto)) => {
                 self.covered.notices.push(HeldNotice { lot, upto, until, message: number, how, id });
@@ -225,7 +230,8 @@
         }
     }
 
-    /// Lots that an earlier process owned: it is asked whether this one may go on.
+    /// Resumes the replica groups of an earlier process: asks the backups whether this process may go on with
+    /// them.
     pub(super) fn resume_covered(&mut self) {
         let live = self.journal.live().iter();
         let tags: Vec<(u32, Tag)> =
@@ -239,7 +245,7 @@
         self.covered.numbers.extend(numbers);
     }
 
-    /// Carries out what has come of other senders' datagrams and of time.
+    /// Carries out what followed from other senders' datagrams and from elapsed time.
     pub(super) fn covered(&mut self, said: &mut Vec<Event>) {
         let Some(covering) = self.parts.covering.as_mut() else { return };
         for come in covering.core.said() {
@@ -251,13 +257,13 @@
                         lot = lot.number,
                         epoch,
                         messages = items.len(),
-                        "a lot is taken over"
+                        "replica group taken over"
                     );
                     for (item, known) in items {
                         let record = known.record.as_deref().unwrap_or_default();
                         let tag = Tag { lot, epoch, item, sides: sides.clone() };
                         let Ok(told) = postcard::from_bytes::<Told>(record) else {
-                            tracing::error!(lot = lot.number, item, "what is taken over can't be read");
+                            tracing::error!(lot = lot.number, item, "the replicated record of a message can't be decoded; the message is dropped");
                             self.tell(&tag, Fact::Over, self.clock.now());
                             continue;
                         };
@@ -292,7 +298,8 @@
         late.into_iter().for_each(|held| self.not_made(held.call));
         let due = |held: &mut HeldNotice| now >= held.until;
         let due: Vec<HeldNotice> = self.covered.notices.extract_if(.., due).collect();
-        // Somebody else may have called, or be calling: that it never ran can't be said any more.
+        // Another sender may have attempted it or may be attempting it now, so it can't be claimed any more
+        // that it never ran.
         due.into_iter().for_each(|held| self.notify(held.message, GivenUp::Undeliverable, held.id));
         for _ in 0..ADOPTED_AT_ONCE {
             let Some(number) = self.covered.bare.pop_first() else { break };
@@ -310,7 +317,8 @@
         }
     }
 
-    /// Covers a message in a new lot whose old one nobody else can come to own. False if that can't be now.
+    /// Moves a message whose replica group no other sender can come to own into a new group. Returns false if
+    /// that is not possible now.
     fn cover_anew(&mut self, number: u32, now: Micros) -> bool {
         let Some(live) = self.journal.live().get(&number).cloned() else { return true };
         let Some((old, since)) = live.covered.clone() else { return true };
@@ -322,7 +330,7 @@
         let Some(tag) = covering.core.place_again(live.taken.body.len(), left) else { return false };
         let Ok(record) = postcard::to_allocvec(&Told::of(&live.taken, since)) else { return true };
         if let Err(e) = self.journal.append(&[Record::Covered(number, tag.clone(), since)]) {
-            tracing::error!("the journal can't be written: {e}");
+            tracing::error!("writing the journal failed: {e}");
             return false;
         }
         let attempt = |a: &journal::Attempt| (a.number, Attempt { at: a.at, never_ran: a.never_ran });
@@ -333,7 +341,7 @@
             over: false,
         };
         let id = &live.taken.id;
-        tracing::debug!(id, lot = tag.lot.number, covers = ?tag.sides, "covered anew");
+        tracing::debug!(id, lot = tag.lot.number, covers = ?tag.sides, "message replicated again, in a new group");
         if let Some(covering) = self.parts.covering.as_mut() {
             covering.core.tell_all(now, tag.lot, tag.item, &known);
         }
@@ -364,26 +372,26 @@
         told.into_iter().for_each(|held| self.notify(held.message, held.how, held.id));
     }
 
-    /// A message that this sender had is another's, or is over.
+    /// Gives up a message that another sender owns now, or that is over.
     fn elsewhere(&mut self, place: (LotId, Item), said: &mut Vec<Event>) {
         let Some(number) = self.covered.numbers.remove(&place) else { return };
         self.drop_waiting(number);
         let Some(live) = self.journal.live().get(&number) else { return };
         let id = live.taken.id.clone();
-        tracing::debug!(id, lot = place.0.number, "another sender has it now");
+        tracing::debug!(id, lot = place.0.number, "message is owned by another sender now, or over");
         said.push(Event::Left(MessageId(number)));
         self.unwritten.push(Record::Over(number));
         self.forget(number, &id);
     }
 
-    /// Takes a message on that another sender had. Given back if it can't be written down.
+    /// Adopts a message of another sender. Returns it as the error if the journal can't be written.
     fn adopt(&mut self, from: Adoption, now: Micros, said: &mut Vec<Event>) -> Result<(), Box<Adoption>> {
         let Adoption { told, tag, heard, known } = &from;
         let class = self.names.borrow().class(&told.taken.class);
         let effect = class.and_then(|class| Some(self.settings.classes.get(class)?.effect));
         let taken = Taken { owner: told.owner.clone(), effect, ..told.taken.clone() };
         if self.held.contains_key(&taken.id) {
-            // It came here by another way, and has its end from that.
+            // This sender has the message already by another way, which provides its outcome.
             let tag = tag.clone();
             self.tell(&tag, Fact::Over, now);
             return Ok(());
@@ -405,14 +413,14 @@
         let once = class.is_some_and(|class| self.settings.classes[class].effect == Effect::Once);
         let how = match known.given_up {
             None if reach => None,
-            // Nobody else calls for it any more, and nobody has.
+            // No other sender attempts it any more, and none has.
             None if once && !known.may_have_run() => Some(GivenUp::Deferred(NO_ROOM_AGAIN)),
             None => Some(GivenUp::Undeliverable),
             some => some,
         };
         records.extend(how.map(|how| Record::GivenUp(number, how)));
         if let Err(e) = self.journal.append(&records) {
-            tracing::error!("the journal can't be written: {e}");
+            tracing::error!("writing the journal failed: {e}");
             return Err(Box::new(from));
         }
         self.next_message = number.wrapping_add(1);
@@ -424,7 +432,7 @@
         self.index_adopted(&taken, told.since, tag.epoch, how);
         let attempts = known.attempts.last_key_value().map_or(0, |(last, _)| last + 1);
         let (from, destination) = (tag.lot.owner, taken.destination);
-        tracing::debug!(id, from, destination, attempts, ?how, "taken over");
+        tracing::debug!(id, from, destination, attempts, ?how, "message adopted");
         if let Some(how) = how {
             self.covered.beyond_reach += u64::from(!reach);
             self.figures.ended(&taken.class, End::from(how));
@@ -436,7 +444,7 @@
         Ok(())
     }
 
-    /// Tells the module of a message that it did not take on itself.
+    /// Passes a message to the module that the module did not accept itself.
     pub(super) fn resumed(
         &mut self,
         number: u32,
@@ -459,7 +467,7 @@
         said.push(Event::Resumed { message, attempts: attempts.into(), may_have_run });
     }
 
-    /// How covers stand, for operators.
+    /// The report on replication, for operators.
     pub(super) fn takeover_report(&self) -> Reply {
         let Some(covering) = &self.parts.covering else {
             return Reply::no(&NoCall::TakeoverOff);
--- a/src/net/driver/draining.rs
+++ b/src/net/driver/draining.rs
@@ -1,5 +1,6 @@
-//! Draining at the running sender: operators' calls become marks and a standing, and reports of how far it is.
-//! `myrtleyard::drain` decides what may be marked; the module decides what becomes of the messages.
+//! Draining in the running sender: turns operators' calls into drain marks and a service state, and reports
+//! on progress. `myrtleyard::drain` decides what may be marked; the decision module decides what happens to
+//! the messages.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -21,7 +22,7 @@
     Reply::no(&NoCall::DrainingOff)
 }
 
-/// Entries of a list, as marks are held against them.
+/// The entries of a list, as the marks are checked against them.
 fn borrowed(list: &[(String, u32, bool)]) -> Vec<Listed<'_>> {
     list.iter()
         .map(|(name, destination, active)| Listed { name, destination: *destination, active: *active })
@@ -29,8 +30,9 @@
 }
 
 impl Driver {
-    /// Operators want clients here or elsewhere; whether this process can still be asked that. A drain that is
-    /// under way gets the new time; without one it goes on for as long as its messages have.
+    /// Takes this process out of service or puts it back. Returns false if the process is in another state
+    /// already, such as stopping. A drain in progress gets the new deadline; without one it lasts as long as
+    /// its messages.
     pub(super) fn service(&mut self, wanted: bool, within: Option<Micros>, said: &mut Vec<Event>) -> bool {
         let before = *self.standing.borrow();
         let asked = if wanted { Standing::InService } else { Standing::OutOfService };
@@ -45,14 +47,14 @@
                 tracing::info!(
                     serving = wanted,
                     within_ms = within.map(|within| within / 1000),
-                    "operators have called"
+                    "service state changed by operators"
                 );
                 self.with_parts(|parts, out| parts.serving(now, wanted, out));
             }
             let since = self.drain.map_or(now, |drain| drain.since);
             self.drain = (!wanted).then_some(Drain { since, by: until });
             if until.is_some() {
-                // Those that wait for their turn have no more time than the others.
+                // The deadline also holds for messages of earlier processes that wait for their turn.
                 said.extend(self.resume_all());
             }
             said.push(Event::Service { wanted, until });
@@ -60,7 +62,7 @@
         true
     }
 
-    /// What operators ask for beyond readiness and figures.
+    /// Answers management calls other than readiness and counters.
     pub(super) fn control(&mut self, ask: Ask, said: &mut Vec<Event>) -> Reply {
         match ask {
             Ask::Drain => Reply::yes(&self.drain_report()),
@@ -74,7 +76,7 @@
             Ask::Plans => self.plans_report(),
             Ask::OutOfService(within) => match self.service(false, within, said) {
                 true => Reply::yes(&self.drain_report()),
-                // A process that is on its way out does not come back.
+                // A process that is shutting down can't return to service.
                 false => Reply::no(&NoCall::Leaving(self.standing.borrow().said().trim())),
             },
             Ask::DrainEndpoints(Endpoints { names, force }) => {
@@ -105,7 +107,8 @@
         }
     }
 
-    /// These are the marks from now on. They are written down first: what an operator was told holds.
+    /// Replaces the marks. They are stored before the operator is answered, so that the answer holds after a
+    /// restart.
     fn mark(&mut self, marks: Marks, said: &mut Vec<Event>) -> Reply {
         let Some(before) = self.marks() else { return not_on() };
         let differs = |name: &str| before.on(name).is_some() != marks.on(name).is_some();
@@ -125,7 +128,7 @@
         self.parts.draining.as_ref().map(Draining::marks)
     }
 
-    /// The view of the fleet, with those who are not of it counted.
+    /// The membership view, with the number of datagrams from addresses outside the tier.
     fn members(&self) -> Reply {
         let Some(view) = &self.parts.view else {
             return Reply::no(&NoCall::MembershipOff);
@@ -135,7 +138,7 @@
         Reply::yes(&report)
     }
 
-    /// The list as discovery has it; of a long one the destinations that these endpoints are listed for.
+    /// The list as discovery has it; of a long list only the destinations of these endpoints.
     fn list_about<'a>(&self, names: impl Iterator<Item = &'a str>) -> Vec<(String, u32, bool)> {
         if let Some(table) = &self.working.table {
             let destinations = names.filter_map(|name| Some(self.listing_of(name)?.0));
@@ -147,7 +150,7 @@
         listed.map(|known| (known.name.clone(), known.group, known.active())).collect()
     }
 
-    /// Entries of the list, told to the module once more as they are with the marks.
+    /// The selected entries of the list, to be passed to the module again with the marks applied.
     pub(super) fn relisted(&self, which: impl Fn(&str) -> bool) -> Event {
         let known = self.endpoints.iter().filter(|(_, known)| known.listed && which(&known.name));
         let entry = |(endpoint, known): (&EndpointId, &Known)| {
@@ -163,7 +166,7 @@
         Event::Changes(known.filter_map(entry).collect())
     }
 
-    /// Calls that are out, by endpoint.
+    /// Number of messages in flight, by endpoint.
     fn out_by_endpoint(&self) -> HashMap<EndpointId, usize> {
         let mut out = HashMap::new();
         for (_, _, endpoint) in self.policy.out() {
@@ -189,7 +192,7 @@
         let serving = *self.standing.borrow() == Standing::InService;
         let live = self.journal.live();
         let left = Left {
-            // What came within this turn is not in the journal yet.
+            // Messages of this iteration are not in the journal yet.
             owed: live.len() + self.fresh.len(),
             calls_out: self.calls.out(),
             clients: self.intake.open(),
@@ -219,14 +222,14 @@
                    "destination": known.group, "active": known.active(), "drained_by_operator": marked,
                    "messages_out": out.get(id).copied().unwrap_or(0)})
         });
-        // A long list would not fit into an answer.
+        // A long list would not fit into a response.
         let whole = !self.working.beyond;
         json!({"index": self.index, "draining": self.marks().is_some(), "whole": whole, "endpoints": report.collect::<Vec<_>>()})
     }
 
-    /// Marks on endpoints that have gone from discovery's list end.
+    /// Removes the marks of endpoints that are no longer in discovery's list.
     pub(super) fn forget_marks(&mut self) {
-        // A long list that was not told to this process yet may have them.
+        // They may be in a long list that this process has not received yet.
         if self.working.beyond && self.working.table.is_none() {
             return;
         }
--- a/src/net/driver/estimating.rs
+++ b/src/net/driver/estimating.rs
@@ -1,4 +1,4 @@
-//! What something will cost, for operators: a query of the status index, or a planned run of messages.
+//! Cost estimates for operators: of a query of the status index, or of a planned run of messages.
 
 use hyper::StatusCode;
 use myrtleyard::estimate::estimator::{self, NoEstimate};
@@ -17,18 +17,16 @@
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 enum Asked {
-    /// A query.
     Query(Query),
-    /// A run.
     Run(Run),
 }
 
 /// Why there is no estimate.
 #[derive(Debug, thiserror::Error)]
 pub enum Why {
-    #[error("nothing is estimated here: the configuration has no section \"status\"")]
+    #[error("estimates are not available: the configuration has no section \"status\"")]
     Off,
-    #[error("the body can't be read: {0}")]
+    #[error("the request body is not valid JSON of the expected form: {0}")]
     Body(#[from] serde_json::Error),
     #[error("the query can't be estimated: {0}")]
     Query(#[from] NoEstimate),
@@ -39,7 +37,7 @@
 }
 
 told! { Why {
-    Off => "estimate.off", "put the sections \"membership\" and \"status\" into the configuration and start it anew";
+    Off => "estimate.off", "add the sections \"membership\" and \"status\" to the configuration, and start a new process";
     Body => "estimate.body", "send {\"query\": {...}} or {\"run\": {...}} with the fields of docs/estimate.md";
     Tenant => "estimate.tenant", "name one of settings.realms";
     ..Query;
@@ -57,7 +55,7 @@
 }
 
 impl Driver {
-    /// What something will cost; nothing is run or charged.
+    /// Estimates a cost; nothing is run or charged.
     pub(super) fn estimate(&self, body: &[u8]) -> Reply {
         match self.estimated(body) {
             Ok(reply) => reply,
@@ -65,7 +63,7 @@
         }
     }
 
-    /// What estimates are made from.
+    /// The report on the data that estimates are based on.
     pub(super) fn estimate_report(&self) -> Reply {
         match &self.parts.estimating {
             Some(part) => Reply::yes(&part.report(self.clock.now())),
@@ -96,7 +94,7 @@
         }
     }
 
-    /// Messages that a call carries at most, for each active endpoint of a destination.
+    /// The maximum number of messages in one call, for each active endpoint of a destination.
     fn active_bundles(&self, to: u32) -> Vec<usize> {
         if let Some(table) = &self.working.table {
             let active = table.of(to).into_iter().filter(|listing| listing.status == "active");
@@ -108,7 +106,7 @@
         listed.filter(|known| known.active()).map(|known| known.bundle).collect()
     }
 
-    /// What the module knows of a destination, with what the list has of it.
+    /// The module's route state of a destination, completed with the endpoints in the list.
     fn outlook(&self, to: DestinationId, tenant: Option<usize>) -> Outlook {
         let active = self.active_bundles(to.0);
         let bundle = active.iter().copied().max().unwrap_or(1);
--- a/src/net/driver/indexed.rs
+++ b/src/net/driver/indexed.rs
@@ -1,4 +1,4 @@
-//! The status index at the running sender: what it is told, and who asks it.
+//! The status index in the running sender: updates to it and queries of it.
 
 use std::collections::BTreeMap;
 
@@ -15,12 +15,12 @@
 use super::{Driver, Fresh};
 
 fn not_on() -> Reply {
-    let why = "there is no status index: the configuration has no section \"status\"";
+    let why = "the status index is off: the configuration has no section \"status\"";
     Reply::typed(StatusCode::NOT_FOUND, "status-off", why, "add the section, and start a new process")
 }
 
 impl Driver {
-    /// What the journal has in hand is known to the index from the start.
+    /// Brings the index in line with the messages in the journal at startup.
     pub(super) fn resume_indexed(&mut self) {
         let now = self.clock.now();
         if let Some(indexing) = &mut self.parts.indexing {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// These are taken on: it stands in the folder before anybody is told.
+    /// Adds accepted messages to the index and stores it before the clients are answered.
     pub(super) fn index_taken(&mut self, fresh: &BTreeMap<u32, Fresh>, now: Micros) {
         let Some(indexing) = &mut self.parts.indexing else { return };
         for fresh in fresh.values() {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// What the index has is in the folder: a number of it is about to be told.
+    /// Stores the index, before a log number of it is given to a client.
     pub(super) fn index_kept(&mut self) {
         let now = self.clock.now();
         if let Some(indexing) = &mut self.parts.indexing {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// A message that another sender took on then is this one's.
+    /// Adds a message adopted from another sender, which accepted it at `since`.
     pub(super) fn index_adopted(&mut self, taken: &Taken, since: Micros, epoch: u32, how: Option<GivenUp>) {
         let now = self.clock.now();
         let Some(indexing) = &mut self.parts.indexing else { return };
@@ -57,7 +57,7 @@
         }
     }
 
-    /// A message that the journal still has has come to an end.
+    /// Records the outcome of a message that is still in the journal.
     pub(super) fn index_ended(&mut self, number: u32, end: State) {
         let now = self.clock.now();
         if let (Some(indexing), Some(live)) = (&mut self.parts.indexing, self.journal.live().get(&number)) {
@@ -65,25 +65,27 @@
         }
     }
 
-    /// What a client hears whose message is taken on: with a token where its tenant's plan has sessions.
+    /// The answer to the client whose message was accepted: with a session token if its tenant's plan has
+    /// sessions.
     pub(super) fn taken_answer(&self, taken: &Taken) -> Answer {
         let token = self.parts.reading.as_ref().zip(self.parts.indexing.as_ref());
         let token = token.and_then(|(reading, indexing)| reading.token(taken, indexing));
         token.map_or(Answer::Taken, Answer::TakenAt)
     }
 
-    /// Plans and reads, for operators.
+    /// The report on plans and reads, for operators.
     pub(super) fn plans_report(&self) -> Reply {
         match self.parts.reading.as_ref().filter(|reading| reading.is_on()) {
             Some(reading) => Reply::yes(&reading.report(self.clock.now())),
             None => {
-                let why = "there are no plans: the configuration has no section \"plans\"";
+                let why = "plans are off: the configuration has no section \"plans\"";
                 Reply::typed(StatusCode::NOT_FOUND, "plans-off", why, "add the section beside \"status\"")
             }
         }
     }
 
-    /// Asks the tier; whoever asked hears within that time. Where there are plans, the tenant's decides.
+    /// Queries the status index of the tier; the caller is answered within `within`. If plans are configured,
+    /// the tenant's plan applies.
     pub(super) fn ask_status(&mut self, call: StatusCall, within: Micros, reply: oneshot::Sender<Reply>) {
         let now = self.clock.now();
         let facts = self.parts.view.as_ref().map(|view| view.facts(now));
@@ -99,12 +101,12 @@
                     part.asked(number, basis);
                 }
             }
-            // Who does not wait any more has gone.
+            // The caller may have disconnected.
             (None, ..) => drop(reply.send(not_on())),
         }
     }
 
-    /// How the index stands, for operators.
+    /// The report on the index, for operators.
     pub(super) fn status_report(&self) -> Reply {
         match &self.parts.indexing {
             Some(indexing) => Reply::yes(&indexing.report(self.clock.now())),
--- a/src/net/driver/residing.rs
+++ b/src/net/driver/residing.rs
@@ -1,6 +1,7 @@
-//! Which part of a long list the module is told of. A destination enters with its first message, before the module
-//! hears of that, and leaves when nothing rests on it; lists and changes reach the module as far as residents are
-//! concerned. Up to [`ALL_RESIDENT`] destinations all are told, as they come.
+//! The working set of a long list: which destinations the decision module knows. A destination is loaded with
+//! its first message, before the module sees that message, and evicted when nothing depends on it any more.
+//! Lists and changes are passed to the module only as far as they concern resident destinations. Up to
+//! [`ALL_RESIDENT`] destinations, all are resident and every change is passed on as it comes.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -16,19 +17,20 @@
 use super::super::working::{ALL_RESIDENT, Named, WHOLE_AGAIN};
 use super::Driver;
 
-/// Destinations leave no more often than this, so that most turns do not look at the endpoints of all residents.
+/// Evictions are at least this far apart, so that most iterations do not scan the endpoints of all resident
+/// destinations.
 const LEAVE_EVERY: Micros = 100_000;
 
-/// Status of an entry that is taken away.
+/// Status of an entry that is removed from the list.
 const LEFT: &str = "left";
 
-/// Whether these come to more destinations than may all be resident.
+/// Whether these are more distinct destinations than may all be resident.
 fn too_many(destinations: impl IntoIterator<Item = u32>) -> bool {
     let mut seen = HashSet::new();
     destinations.into_iter().any(|destination| seen.insert(destination) && seen.len() > ALL_RESIDENT)
 }
 
-/// The last entry of each name, in the order of the list.
+/// Keeps the last entry of each name, in the order of the list.
 fn last_of_each_name(entries: Vec<Listing>) -> Vec<Listing> {
     let last: HashMap<String, usize> =
         entries.iter().enumerate().map(|(at, listing)| (listing.name.clone(), at)).collect();
@@ -37,7 +39,7 @@
 }
 
 impl Driver {
-    /// Discovery told a list or changes of it.
+    /// Processes a complete list or changes of it from discovery.
     pub(super) fn take_list(&mut self, list: List, said: &mut Vec<Event>) {
         let was_beyond = self.working.beyond;
         let event = match list {
@@ -69,7 +71,7 @@
         self.list_all(body)
     }
 
-    /// All destinations of this list are resident from now on.
+    /// Makes all destinations of this list resident.
     fn list_all(&mut self, body: ListBody) -> Event {
         let event = self.listed(body);
         self.restore(&event);
@@ -78,7 +80,8 @@
         event
     }
 
-    /// A list of more destinations than may be resident: the module hears of those that are.
+    /// Stores a list of more destinations than may all be resident; the module is passed the resident ones
+    /// only.
     fn swap_table(&mut self, index: u64, table: Box<Table>) -> Event {
         self.go_beyond();
         let residents = self.working.all();
@@ -87,7 +90,7 @@
         self.listed(ListBody { index, snapshot: true, endpoints })
     }
 
-    /// Destinations of messages in hand that came while the list was short, or there was none, enter.
+    /// Loads the destinations of messages in hand that arrived while the list was short or missing.
     pub(super) fn enter_for_held(&mut self, said: &mut Vec<Event>) {
         let live = self.journal.live().values().filter(|live| live.given_up.is_none());
         let held = live.map(|live| live.taken.destination);
@@ -98,7 +101,7 @@
         }
     }
 
-    /// Those who were resident as all were may leave from now on.
+    /// Switches to a long list: destinations that were resident because all were may be evicted from now on.
     fn go_beyond(&mut self) {
         if !std::mem::replace(&mut self.working.beyond, true) {
             let now = self.clock.now();
@@ -108,7 +111,7 @@
         }
     }
 
-    /// Changes may have come to more destinations than may all be resident.
+    /// Switches to a long list if changes have added more destinations than may all be resident.
     pub(super) fn outgrow(&mut self) {
         self.count_destinations();
         if !self.working.beyond && self.working.listed > ALL_RESIDENT {
@@ -123,12 +126,13 @@
         self.working.listed = listed.map(|known| known.group).collect::<HashSet<u32>>().len();
     }
 
-    /// Changes of a long list: the table has all of them, the module those of residents.
+    /// Applies changes of a long list: all of them to the table, those of resident destinations to the
+    /// module.
     fn change_table(&mut self, body: ListBody) -> Event {
         let mut told = Vec::new();
         let mut failed = None;
         for listing in last_of_each_name(body.endpoints) {
-            // A change that the table has no room for still reaches the residents.
+            // A change that exceeds the table's capacity still takes effect for resident destinations.
             if let Some(table) = &mut self.working.table
                 && let Err(why) = table.change(listing.clone(), Bounds::default().endpoints)
             {
@@ -139,13 +143,13 @@
             if self.working.has(listing.group) {
                 told.push(listing);
             } else if let Some(group) = before {
-                // It has gone to a destination that is not resident: here it is no more.
+                // It moved to a destination that is not resident: for the module it is gone.
                 told.push(Listing { group, status: LEFT.to_owned(), ..listing });
             }
         }
         if let Some(why) = &failed {
             let (code, remedy) = (why.code(), why.remedy());
-            tracing::error!(code, remedy, "a change of the list is not taken: {why}");
+            tracing::error!(code, remedy, "a change of the list of endpoints can't be applied: {why}");
         }
         let worn = self.working.table.as_ref().is_some_and(|table| table.worn());
         if worn || failed.is_some() {
@@ -154,7 +158,8 @@
         self.listed(ListBody { index: body.index, snapshot: false, endpoints: told })
     }
 
-    /// Asks for the whole list, if the table is worn or has failed to take a change, and that was not done of late.
+    /// Fetches the complete list if the table has accumulated many changes or failed to apply one, unless
+    /// that was done recently.
     fn ask_for_whole(&mut self, now: Micros) {
         if self.working.whole_due && now >= self.working.asked_at + WHOLE_AGAIN {
             self.working.whole_due = false;
@@ -163,7 +168,7 @@
         }
     }
 
-    /// A message for the destination is about to be told to the module, which has to know it first.
+    /// Loads the destination, if need be, before a message for it is passed to the module.
     pub(super) fn enter(&mut self, destination: u32, said: &mut Vec<Event>) {
         let now = self.clock.now();
         if !self.working.beyond || !self.working.touch(destination, now) {
@@ -173,7 +178,7 @@
         let event = self.listed(ListBody { index: self.index, snapshot: false, endpoints });
         self.enter_routes(destination, &event);
         said.push(event);
-        // In a start it may be cold; others' words hide nothing of a long list.
+        // During startup it may be cold. Hints from other senders hide no endpoints of a long list.
         if let Some(starting) = &self.parts.starting
             && starting.core.borrow().phase().0 != Phase::Steady
         {
@@ -186,7 +191,7 @@
         }
     }
 
-    /// Destinations of these entries that were away are as they were when they left.
+    /// Restores the saved routes of destinations in these entries that were evicted.
     fn restore(&mut self, event: &Event) {
         let (Event::List(entries) | Event::Changes(entries)) = event else { return };
         let away = entries.iter().map(|entry| entry.destination.0).filter(|to| self.working.away(*to));
@@ -195,7 +200,8 @@
         }
     }
 
-    /// The module's routes to a destination, before it hears of its endpoints: as they were when it left.
+    /// Restores the module's routes to a destination, as saved at its eviction, before its endpoints are
+    /// passed on.
     fn enter_routes(&mut self, destination: u32, event: &Event) {
         let (Event::List(entries) | Event::Changes(entries)) = event else { return };
         let to = DestinationId(destination);
@@ -206,7 +212,8 @@
         let mut kept: BTreeMap<RouteId, Route> = BTreeMap::new();
         for (name, route) in self.working.take(destination) {
             let Some(id) = self.route_named(to, name) else { continue };
-            // A wait binds in any case; the state of routes that are apart now, or are not any more, means nothing.
+            // A requested wait binds in any case. Other state is meaningless if routes were per endpoint and
+            // no longer are, or the other way round.
             if routes.is_empty() || routes.iter().any(|(_, apart)| apart.is_some() == id.1.is_some()) {
                 routes.insert(id);
             }
@@ -215,8 +222,8 @@
         self.policy.enter(routes, kept);
     }
 
-    /// The route of that endpoint's name; none if the name is another destination's by now. What the list does not
-    /// have at the moment may come back.
+    /// Returns the route for an endpoint's name, or none if the name belongs to another destination by now.
+    /// An endpoint that is missing from the list may come back, so it gets an entry.
     fn route_named(&mut self, to: DestinationId, name: Option<String>) -> Option<RouteId> {
         let Some(name) = name else { return Some((to, None)) };
         let endpoint = self.id_of(&name);
@@ -234,7 +241,7 @@
         (known.group == group).then_some((to, Some(endpoint)))
     }
 
-    /// Those who were idle for long, and on whom nothing rests, leave.
+    /// Evicts destinations that were idle for long and that nothing depends on.
     pub(super) fn leave(&mut self) {
         if self.working.table.is_none() {
             return;
@@ -273,7 +280,7 @@
         }
     }
 
-    /// Endpoints in discovery's list.
+    /// Number of endpoints in discovery's list.
     pub(super) fn endpoints_listed(&self) -> usize {
         match &self.working.table {
             Some(table) => table.len(),
@@ -281,7 +288,7 @@
         }
     }
 
-    /// What discovery's list has under that name.
+    /// Destination of the endpoint in discovery's list, and whether it is active.
     pub(super) fn listing_of(&self, name: &str) -> Option<(u32, bool)> {
         if let Some(table) = &self.working.table {
             return table.get(name).map(|listing| (listing.group, listing.status == "active"));
--- a/src/net/driver/service.rs
+++ b/src/net/driver/service.rs
@@ -1,5 +1,5 @@
-//! The process round the driver: what it opens at its start, the tasks that it runs beside the loop, the loop itself,
-//! and its two ways to end: because it was asked to, or because a new process takes over.
+//! The process around the event loop: what it opens at startup, the tasks that it runs beside the loop, the
+//! loop itself, and the two ways in which it ends: on request, or because a new process takes over.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -35,16 +35,16 @@
 use super::covered::Covered;
 use super::{Driver, limits};
 
-/// Rest after a process that asked for the folder and did not take over: telling what is known costs time.
+/// Pause after a failed takeover before the next one may ask, since sending the state is costly.
 const OFFER_AGAIN: Duration = Duration::from_millis(500);
-/// Descriptors that are neither clients' nor endpoints'.
+/// File descriptors that are used for neither clients nor endpoints.
 const OWN_SOCKETS: usize = 32;
-/// How often an end that is near, or a journal that could not be written, is looked at, microseconds.
+/// Interval of checks while the process is stopping or a journal write has failed, microseconds.
 const WATCHFUL_EVERY: Micros = 50_000;
-/// The loop turns at least this often, microseconds.
+/// Longest time between two iterations, microseconds.
 const IDLE_TURN: Micros = 60_000_000;
 
-/// What the driver, the tasks round it and the operators' calls share.
+/// What the driver, the tasks beside it and the management calls share.
 struct Channels {
     inbound: UnboundedSender<Inbound>,
     notices: UnboundedSender<Notice>,
@@ -53,10 +53,10 @@
     figures: Rc<Figures>,
 }
 
-/// Runs the sender until it is asked to end and has.
+/// Runs the sender until it was asked to shut down and has done so.
 ///
 /// # Errors
-/// Fails when it can't start: an address or the journal is not to be had.
+/// Fails when it can't start, for example if an address or the journal can't be opened.
 pub async fn run(
     config: Config,
     inherited: Option<std::net::TcpListener>,
@@ -90,13 +90,14 @@
     };
     driver.turn(first);
 
-    // What waits at a socket that others inherit, too, is theirs to serve after this process's end.
+    // Clients waiting at an inherited socket are served by the processes that share it after this one has
+    // ended.
     let own_door = inherited.is_none();
     let (listener, address) = open_listener(inherited, listen).await?;
     driver.standing.send_replace(Standing::InService);
     let mut tasks = driver.spawn_tasks(&listener, discovery, owed, seed);
     if claim.is_some() {
-        // One handover at a time: what the process before still does is passed on to this one alone.
+        // One handover at a time: what the previous process still reports is passed on to this process alone.
         tasks.push(tokio::task::spawn_local(succeed(folder.clone(), inbound, followed)));
     }
     let in_hand = driver.journal.live().len();
@@ -107,7 +108,7 @@
     Ok(())
 }
 
-/// Listens where operators call, if they do; the address that it came to be.
+/// Opens the management address, if one is configured, and returns the bound address.
 async fn open_mgmt(
     config: &Config,
     stand: &watch::Receiver<Standing>,
@@ -124,7 +125,8 @@
     Ok(Some(bound))
 }
 
-/// Claims the folder that lasts, where a platform starts new versions beside old ones; with the process that had it.
+/// Claims the state folder, if the platform starts new versions beside old ones. Returns the claim and the
+/// process that held it.
 async fn claim(config: &Config, shared: bool) -> Result<(Option<Claim>, Option<Predecessor>), NoStart> {
     if !shared {
         return Ok((None, None));
@@ -148,20 +150,20 @@
     Ok((Rc::new(listener), bound))
 }
 
-/// Waits for the next process to ask for the folder, once this is over.
+/// Waits for the next process to ask for the state folder, once `first` has ended.
 async fn succeed(folder: PathBuf, inbound: UnboundedSender<Inbound>, first: Option<JoinHandle<()>>) {
     if let Some(first) = first {
         let _ = first.await;
     }
     match handover::successor(&folder).await {
         Ok(stream) => drop(inbound.send(Inbound::Successor(stream))),
-        Err(e) => tracing::warn!("no process can take over from this one: {e}"),
+        Err(e) => tracing::warn!("the handover socket can't be opened, no process can take over from this one: {e}"),
     }
 }
 
 impl Driver {
-    /// A driver with its journal, its other senders and its optional parts, which has decided nothing yet; and the list
-    /// that it begins from.
+    /// Creates a driver with its journal, its peers and its optional components, which has decided nothing
+    /// yet. Also returns the list of endpoints to start from.
     async fn open(
         config: Config,
         places: usize,
@@ -217,7 +219,7 @@
         Ok((driver, kept.map_or(config.known, List::Entries)))
     }
 
-    /// Takes clients, sends notices and follows the list from now on.
+    /// Starts the tasks that serve clients, send notices and follow the list.
     fn spawn_tasks(
         &self,
         listener: &Rc<TcpListener>,
@@ -237,7 +239,7 @@
         ]
     }
 
-    /// When there is something to do without an event.
+    /// When the next iteration is due if no event comes.
     fn due(&self) -> Micros {
         let now = self.clock.now();
         let timer = self.timers.first().map_or(Micros::MAX / 2, |timer| timer.0);
@@ -247,7 +249,8 @@
         due.min(self.working.due().unwrap_or(due)).min(now + IDLE_TURN)
     }
 
-    /// What is due by the clock: the optional parts', what waits on other senders, and the module's reminders.
+    /// Collects what is due by the clock: the optional components, replicated messages, and the module's
+    /// reminders.
     fn fold_due(&mut self, said: &mut Vec<Event>) {
         let now = self.clock.now();
         self.with_parts(|parts, out| parts.tick(now, out));
@@ -262,7 +265,8 @@
         }
     }
 
-    /// A process that waits to take over hears of all old messages, and of them only once they are written down.
+    /// Before a handover, passes all messages of earlier processes to the module, once all records are in the
+    /// journal.
     fn resume_for_successor(&mut self) {
         if !self.unwritten.is_empty() || self.successor.is_none() {
             return;
@@ -274,24 +278,24 @@
     }
 }
 
-/// A sender that takes clients.
+/// A sender that serves clients.
 struct Service {
     driver: Driver,
     events: UnboundedReceiver<Inbound>,
     tasks: Vec<JoinHandle<()>>,
-    /// The folder that lasts, and the claim on it where new versions start beside old ones.
+    /// The state folder, and the claim on it if new versions start beside old ones.
     folder: PathBuf,
     claim: Option<Claim>,
-    /// The clients' listener, unless other processes inherit it, too.
+    /// The clients' listener, unless it is shared with other processes.
     door: Option<Rc<TcpListener>>,
-    /// Clients' connections at most.
+    /// Maximum number of client connections.
     places: usize,
-    /// When the last turn began.
+    /// When the last iteration began.
     turned: Instant,
 }
 
 impl Service {
-    /// Turns until the process may end or a new one has taken over.
+    /// Runs iterations until the process may end or a new one has taken over.
     async fn serve(mut self) {
         loop {
             let first = self.next().await;
@@ -303,7 +307,7 @@
                 continue;
             }
             self.driver.resume_for_successor();
-            // That turn may have had something to write, too: the next process waits until it is written.
+            // That iteration may have failed to write records: the next process waits until they are written.
             if self.driver.unwritten.is_empty()
                 && let Some(stream) = self.driver.successor.take()
                 && self.claim.is_some()
@@ -315,7 +319,8 @@
         }
     }
 
-    /// What the next turn begins with, if it is not the clock; turns are a period apart at least, as the module is told.
+    /// Waits for the next iteration, and returns the input that it begins with, if it is not due by the
+    /// clock. Iterations are at least one period apart, as the module is told.
     async fn next(&mut self) -> Option<Inbound> {
         let due = self.driver.clock.instant(self.driver.due());
         let first = tokio::select! {
@@ -328,7 +333,8 @@
         first
     }
 
-    /// Folds in all that has come, and decides if there is anything to decide.
+    /// Processes all inputs that have arrived, and runs an iteration if there is anything to decide or to
+    /// write.
     fn turn(&mut self, first: Option<Inbound>) {
         let driver = &mut self.driver;
         let mut said: Vec<Event> = Vec::new();
@@ -345,7 +351,7 @@
         driver.leave();
     }
 
-    /// Whether the process ends now: clients that still wait to be let in come first.
+    /// Whether the process ends now. Clients that still wait to be accepted are served first.
     async fn end(&mut self) -> bool {
         if let Some(door) = &self.door {
             self.driver.intake.admit_waiting(door, self.places).await;
@@ -357,15 +363,17 @@
         ends
     }
 
-    /// Tells a process that asks to take over all that is known; if it does not take over, the next one may ask.
+    /// Sends the complete state to a process that asks to take over. If it does not take over, the next one
+    /// may ask.
     async fn offer(&mut self, stream: UnixStream) -> Option<Offered> {
-        // After the last turn: what it kept back ends as not made, which the next process hears.
+        // Calls that still wait for a grant after the last iteration end as not made, which the next process
+        // is told.
         self.driver.give_waiting_up();
         match self.driver.offer(stream).await {
             Ok(offered) => Some(offered),
             Err(e) => {
-                tracing::warn!("the new process did not take over, and this one goes on: {e}");
-                // Who asks and dies again and again leaves nothing behind.
+                tracing::warn!("the new process did not take over, this one continues: {e}");
+                // A process that asks and dies repeatedly must not leave finished tasks behind.
                 self.tasks.retain(|task| !task.is_finished());
                 let rest = tokio::task::spawn_local(tokio::time::sleep(OFFER_AGAIN));
                 let inbound = self.driver.inbound.clone();
@@ -376,7 +384,7 @@
         }
     }
 
-    /// Leaves the folder to the new process, and stays for what is still under way.
+    /// Releases the state folder to the new process, and stays for calls and client requests in progress.
     async fn leave(self, offered: Offered, claim: Claim) {
         for task in self.tasks {
             task.abort();
--- a/src/net/driver/starting.rs
+++ b/src/net/driver/starting.rs
@@ -1,5 +1,6 @@
-//! A start with others at once, as the driver sees it: old messages go into the module at a pace, and endpoints that
-//! others tell to be gone are let be until the list service tells itself.
+//! Startup of many senders at once, as seen by the driver: messages of earlier processes are passed to the
+//! module at a limited rate, and endpoints that other senders report as gone are not used until the list
+//! service itself answers.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +15,7 @@
 use super::Driver;
 
 impl Driver {
-    /// The list as the list service told it, in its form.
+    /// The list as the list service reported it, in its format.
     pub(super) fn told_list(&self) -> Vec<Listing> {
         let names = self.names.borrow();
         let name = |names: &[String], at: usize| names.get(at).cloned().unwrap_or_default();
@@ -36,7 +37,7 @@
         listed.collect()
     }
 
-    /// The list service told something, which the driver has taken up.
+    /// To be called after the driver has processed a list or changes from the list service.
     pub(super) fn start_listed(&mut self) {
         let now = self.clock.now();
         if self.parts.starting.is_none() {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// The list is the one that the process before had.
+    /// Starts from the list that an earlier process had.
     pub(super) fn start_from_known(&mut self) {
         let list = if self.working.beyond { Vec::new() } else { self.told_list() };
         if let Some(starting) = &mut self.parts.starting {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// What has to be done for a start in this turn.
+    /// Does the startup work of this iteration.
     pub(super) fn starting(&mut self, said: &mut Vec<Event>) {
         let now = self.clock.now();
         let Some(starting) = &mut self.parts.starting else { return };
@@ -82,8 +83,8 @@
         self.share_cold(now, said);
     }
 
-    /// Destinations all of whose endpoints started of late, and when the first of them did. The clock of the list is
-    /// all machines'.
+    /// Destinations whose active endpoints all started recently, and when the first of them did. The list's
+    /// timestamps and this machine's clock are taken to agree.
     pub(super) fn cold(&self, now: Micros) -> BTreeMap<u32, Micros> {
         let mut cold: BTreeMap<u32, Micros> = BTreeMap::new();
         for known in self.endpoints.values().filter(|known| known.listed && known.active()) {
@@ -94,8 +95,8 @@
         cold
     }
 
-    /// Tells the module of destinations that are cold since their own start, and of this sender's part in what they
-    /// bear, while it starts itself.
+    /// While this sender starts up, tells the module which destinations are cold since their own start, and
+    /// this sender's share of their capacity.
     fn share_cold(&mut self, now: Micros, said: &mut Vec<Event>) {
         let Some(starting) = &self.parts.starting else { return };
         let mut core = starting.core.borrow_mut();
@@ -114,12 +115,13 @@
         }
     }
 
-    /// By when an old message must have had its turn: its end, or that of the window in which it may be repeated.
+    /// The time by which a message of an earlier process must be resumed: its deadline, or the end of the
+    /// window in which it may be repeated.
     pub(super) fn pressing(&self, number: u32, live: &Live, now: Micros) -> Micros {
         live.taken.deadline.min(self.write_by(number, live, None, now).unwrap_or(Micros::MAX))
     }
 
-    /// Old messages have their turn, as far as they are still this sender's to end.
+    /// Resumes messages of earlier processes, as far as this sender still owns them.
     fn resume_old(&mut self, old: Vec<u32>, said: &mut Vec<Event>) {
         let now = self.clock.now();
         for number in old {
@@ -127,7 +129,7 @@
             else {
                 continue;
             };
-            // What another sender has now is in the journal until that is written down.
+            // A message that another sender owns now stays in the journal until its record is written.
             if self.held.get(&live.taken.id) != Some(&number) {
                 continue;
             }
@@ -138,12 +140,13 @@
             };
             let class = self.as_taken(class, &live.taken, said);
             let (id, destination) = (&live.taken.id, live.taken.destination);
-            tracing::debug!(id, destination, attempts = live.attempts.len(), "taken up again");
+            tracing::debug!(id, destination, attempts = live.attempts.len(), "message resumed from the journal");
             self.resumed(number, class, &live, now, said);
         }
     }
 
-    /// All old messages go in now: what comes after this knows of none that the module does not.
+    /// Resumes all messages of earlier processes now, so that the module knows every message in hand from
+    /// here on.
     pub(super) fn resume_all(&mut self) -> Vec<Event> {
         let mut said = Vec::new();
         let old = self.parts.starting.as_ref().map(|part| part.core.borrow_mut().backlog.take(Micros::MAX));
@@ -151,7 +154,7 @@
         said
     }
 
-    /// How far this process has started, for operators.
+    /// The report on the progress of startup, for operators.
     pub(super) fn start_report(&self) -> Reply {
         let Some(starting) = &self.parts.starting else {
             return Reply::no(&NoCall::StartOff);
--- a/src/net/driver/turn.rs
+++ b/src/net/driver/turn.rs
@@ -1,4 +1,5 @@
-//! One turn of the driver: the module decides, the journal is written, and only then do clients hear and calls begin.
+//! One iteration of the event loop: the decision module decides, the journal is written, and only then are
+//! clients answered and calls started.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,18 +14,18 @@
 use super::super::{AttemptOver, Inbound};
 use super::{Driver, Fresh, NO_ROOM_AGAIN};
 
-/// A call that the module asks for, of one message.
+/// A call that the decision module asks for, with one message.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PlannedCall {
     pub(super) message: MessageId,
     /// The attempt's number.
     pub(super) attempt: u16,
     pub(super) endpoint: EndpointId,
-    /// How long to wait for the answer, from the module's turn on.
+    /// How long to wait for the answer, from the iteration that decided it.
     pub(super) timeout: Micros,
 }
 
-/// What the module's actions come to that has to be written down before it is carried out.
+/// Actions of the decision module that may be carried out only after they are in the journal.
 #[derive(Default)]
 struct Decided {
     calls: Vec<PlannedCall>,
@@ -32,7 +33,8 @@
 }
 
 impl Driver {
-    /// One turn: the module decides, the journal is written, then clients hear and calls begin.
+    /// Runs one iteration: the module decides, the journal is written, then clients are answered and calls
+    /// started.
     pub(super) fn turn(&mut self, said: Vec<Event>) {
         let now = self.clock.now();
         let mut actions = Vec::new();
@@ -46,7 +48,7 @@
         }
         for (number, how) in decided.given_up {
             match fresh.remove(&number) {
-                // Answered in the turn that took it: the journal never hears of it.
+                // Rejected in the iteration that received it: it never enters the journal.
                 Some(fresh) => self.turn_away(number, fresh, how),
                 None => records.extend(self.give_up(number, how)),
             }
@@ -57,7 +59,7 @@
         match self.journal.append(&records) {
             Ok(()) => self.written(fresh, decided.calls, now),
             Err(e) => {
-                tracing::error!("the journal can't be written: {e}");
+                tracing::error!("writing the journal failed; no message is accepted and no call started: {e}");
                 records.truncate(kept);
                 self.withhold(records, fresh, &decided.calls);
             }
@@ -71,7 +73,7 @@
         });
     }
 
-    /// Carries out what needs no record; the rest is noted.
+    /// Carries out an action that needs no record; the others are collected in `decided`.
     fn carry_out(&mut self, action: Action, fresh: &BTreeMap<u32, Fresh>, decided: &mut Decided) {
         match action {
             Action::Attempt { message, endpoint, timeout } => {
@@ -116,24 +118,26 @@
         }
     }
 
-    /// A message that came within this turn is not taken on.
+    /// Rejects a message that was submitted in this iteration.
     fn turn_away(&mut self, number: u32, fresh: Fresh, how: GivenUp) {
         self.forget(number, &fresh.taken.id);
         self.figures.ended(&fresh.taken.class, how.into());
         let (id, destination) = (&fresh.taken.id, fresh.taken.destination);
-        tracing::debug!(id, destination, ?how, "turned away");
+        tracing::debug!(id, destination, ?how, "message rejected");
         fresh.answer(match how {
             GivenUp::Deferred(again) => Answer::Refused(again),
             GivenUp::Undeliverable => Answer::Failed,
         });
     }
 
-    /// A message that was taken on ends undelivered; what the journal is to hold of that, if it is still owed.
+    /// Ends an accepted message undelivered, and returns the journal record for that if the message is still
+    /// owed.
     fn give_up(&mut self, number: u32, how: GivenUp) -> Option<Record> {
         let live = self.journal.live().get(&number)?;
         let unwritten = self.calls.give_up(MessageId(number));
         let never_ran = |attempt: &Attempt| attempt.never_ran || unwritten.contains(&attempt.number);
-        // The module can't know how far a call has come. What others called for is not known here.
+        // The module does not know whether a call's request was written. Calls made by other senders are not
+        // known here at all.
         let none_ran = live.covered.is_none() && live.attempts.iter().all(never_ran);
         let how = match how {
             GivenUp::Undeliverable if none_ran => GivenUp::Deferred(0),
@@ -141,7 +145,7 @@
         };
         let id = live.taken.id.clone();
         let (destination, attempts) = (live.taken.destination, live.attempts.len());
-        tracing::debug!(id, destination, attempts, ?how, "given up");
+        tracing::debug!(id, destination, attempts, ?how, "message given up");
         self.figures.ended(&live.taken.class, how.into());
         self.index_ended(number, end_of(how));
         self.unsaid.push((number, how, id));
@@ -166,13 +170,14 @@
         }
     }
 
-    /// The turn's records are in the journal: clients and the platform hear, and calls begin.
+    /// The records of this iteration are in the journal: answers clients, notifies the platform and starts
+    /// calls.
     fn written(&mut self, fresh: BTreeMap<u32, Fresh>, calls: Vec<PlannedCall>, now: Micros) {
         self.index_taken(&fresh, now);
         for (number, fresh) in fresh {
             self.cover(number, now);
             let Taken { id, class, destination, .. } = &fresh.taken;
-            tracing::debug!(id, class, destination, "taken on");
+            tracing::debug!(id, class, destination, "message accepted");
             let answer = self.taken_answer(&fresh.taken);
             fresh.answer(answer);
         }
@@ -191,8 +196,8 @@
         });
     }
 
-    /// Guards the promise that what is taken on outlasts the process: with no journal nothing is taken on
-    /// and no call begins.
+    /// An accepted message must survive the process: if the journal can't be written, no message is accepted
+    /// and no call starts.
     fn withhold(&mut self, records: Vec<Record>, fresh: BTreeMap<u32, Fresh>, calls: &[PlannedCall]) {
         self.unwritten = records;
         calls.iter().for_each(|call| self.not_made(*call));
@@ -204,7 +209,8 @@
         }
     }
 
-    /// What waits for a connection to an endpoint that is leaving, or gone, goes elsewhere at once.
+    /// Ends calls that wait for a connection to an endpoint that is leaving or gone, so that their messages
+    /// go elsewhere at once.
     fn withdraw_calls(&self, said: &[Event]) {
         let listed = |entries: &[Entry], endpoint, ready| {
             entries.iter().any(|e| e.endpoint == endpoint && (e.listing == Listing::Ready) == ready)
@@ -218,14 +224,14 @@
         }
     }
 
-    /// Tells the module that a call of its was not made.
+    /// Reports to the module that a call was not made.
     pub(super) fn not_made(&self, call: PlannedCall) {
         let outcome = Outcome::Moot { no_slot: false };
         let end = AttemptOver::unanswered(call.message, call.attempt, call.endpoint, outcome);
         let _ = self.inbound.send(Inbound::CallOver(vec![end]));
     }
 
-    /// The number of a message's next attempt, if it is held.
+    /// Returns the number of the message's next attempt, if the message is in hand.
     fn attempts_of(&mut self, message: MessageId, fresh: &BTreeMap<u32, Fresh>) -> Option<u16> {
         let known = fresh.contains_key(&message.0) || self.journal.live().contains_key(&message.0);
         let count = self.attempts.entry(message.0).or_default();
@@ -238,9 +244,10 @@
         Some(Line { endpoint, address, route: self.policy.route_of(endpoint)? })
     }
 
-    /// Until when a keyed message's call may be written: a repeat must be read while the key is remembered, however
-    /// late its connection comes up. What is covered is bound from when it was taken on, unless it is past that:
-    /// then it goes with a grant alone.
+    /// The time by which a keyed message's request must be written: a repeat must reach the endpoint while it
+    /// still remembers the key, however late the connection comes up. A replicated message is bound from when
+    /// it was accepted, since other senders may have tried it then. Once that window is over it needs a
+    /// grant, and only attempts known here count.
     pub(super) fn write_by(
         &self,
         number: u32,
@@ -264,11 +271,12 @@
         Some(first.saturating_add(window).saturating_sub(self.settings.repeat_margin(window)))
     }
 
-    /// Starts the calls of a turn: what goes to one endpoint travels together as far as its kind allows.
-    /// Their time runs from the module's.
+    /// Starts the calls of an iteration. Messages to one endpoint share a call as far as its kind allows.
+    /// Their timeouts run from the time of the decision.
     pub(super) fn begin(&mut self, calls: Vec<PlannedCall>, now: Micros) {
         for (endpoint, mut parts) in self.bundled(calls, now) {
-            // The first is waited for as long as the call lasts, so that it is not given up while the others still wait.
+            // The message with the latest timeout comes first, since the call lasts that long: it must not be
+            // given up while others in the call still wait.
             parts.sort_by_key(|part| std::cmp::Reverse(part.until));
             match self.line(endpoint) {
                 Some(line) => self.calls.start(line, parts),
@@ -277,7 +285,7 @@
         }
     }
 
-    /// The messages of each call, in the order in which the module asked for them.
+    /// Groups messages into calls, in the order in which the module asked for them.
     fn bundled(&mut self, planned: Vec<PlannedCall>, now: Micros) -> Vec<(EndpointId, Vec<Part>)> {
         let mut calls: Vec<(EndpointId, Vec<Part>)> = Vec::new();
         let mut last: HashMap<EndpointId, usize> = HashMap::new();
@@ -298,7 +306,7 @@
         calls
     }
 
-    /// A message as it travels in a call, if it is still owed.
+    /// Returns the message as part of a call, if it is still owed.
     fn part(&mut self, call: &PlannedCall, now: Micros) -> Option<Part> {
         let PlannedCall { message, attempt, endpoint, timeout } = *call;
         let live = self.journal.live().get(&message.0)?;
@@ -310,11 +318,11 @@
         }
         let Taken { id, key, body, .. } = live.taken.clone();
         let name = self.endpoints.get(&endpoint).map_or("", |known| known.name.as_str());
-        tracing::debug!(id, attempt, endpoint = name, "a call begins");
+        tracing::debug!(id, attempt, endpoint = name, "attempt started");
         Some(Part { message, attempt, id, key, body, until, write_by })
     }
 
-    /// An address that can't be read is one where no connection can be made.
+    /// An endpoint without a parsable address counts as one that refuses connections.
     fn no_line(&self, endpoint: EndpointId, parts: Vec<Part>) {
         let failed = Outcome::ConnectFailed;
         let end = |part: Part| AttemptOver::unanswered(part.message, part.attempt, endpoint, failed);
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: the watch on the list of endpoints, and notices of messages that ended undelivered.
+//! The platform: following the list of endpoints, and notices of messages that ended undelivered.
 
 mod arrival;
 
@@ -30,48 +30,52 @@
 use super::{BODY_LIMIT, Inbound};
 use arrival::{Arrival, Begun};
 
-/// How long an answer may take where all senders ask the one discovery: that turns away what has waited for 2 s.
-/// A poll that is silent for longer is broken, and what it missed counts as told 6 s after it fell silent.
+/// Timeout of a poll, if all senders poll one discovery, which rejects requests that have waited for 2 s. A
+/// poll that is silent for longer is broken, and what it missed counts as reported 6 s after it fell silent.
 const POLL_WITHIN: Duration = Duration::from_millis(2500);
-/// Whatever came of a call, what discovery has and can be reached for counts as told so much later.
+/// Whatever became of a call, what discovery has while it is reachable counts as reported this much later.
 const TOLD_WITHIN: Duration = Duration::from_secs(6);
-/// Where all senders ask the one discovery, an answer that comes at all comes within this time.
+/// If all senders poll one discovery, it answers within this time or not at all.
 const ANSWERED_WITHIN: Duration = Duration::from_secs(2);
-/// What the way there and back, the timers and the next turn of the driver may take besides.
+/// Allowance for the network round trip, timers and the driver's next iteration.
 const POLL_SLACK: Duration = Duration::from_millis(250);
-/// Bounds on how long a watch is held, whatever the settings say: with its slack twice the longest, silent twice in a
-/// row, is below 6 s, and once below the 4 s after which news counts as told where discovery has moved.
+/// Bounds on the hold time of a watch, whatever the settings say. The longest hold with its slack, silent
+/// twice in a row, is below 6 s; silent once, it is below the 4 s after which an update counts as reported if
+/// discovery has moved.
 const SHORTEST_HOLD: Duration = Duration::from_millis(500);
 const LONGEST_HOLD: Duration = Duration::from_secs(2);
-/// How long a watch is held that is asked of one service for all senders, where a call a second of each would be too
-/// much; what it tells counts as told once it is written.
+/// Hold time of a watch at one service for all senders, where one call per second from each would be too much
+/// load. What the service reports counts as reported once it is written.
 const SHARED_HOLD: Duration = Duration::from_secs(20);
-/// How much later a watch's answer may come at most: what it misses counts as told 2 s after its wait is over.
+/// Maximum delay of a watch's response after its hold time: what the watch misses counts as reported 2 s
+/// after its hold time is over.
 const WATCH_SLACK: Duration = Duration::from_millis(1500);
-/// Rest before a failed watch or notice is asked for or sent again: a watch goes on if it comes back within 200 ms.
+/// Pause before a failed watch or notice is retried: a watch counts as continued if it is renewed within 200
+/// ms.
 const AGAIN: Duration = Duration::from_millis(50);
-/// Doublings of [`AGAIN`] after refused lists at most; the rest is bounded by [`rest_after_refusal`] before that.
+/// Maximum number of doublings of [`AGAIN`] after refused lists; [`rest_after_refusal`] limits the pause
+/// before that is reached.
 const MOST_DOUBLINGS: u32 = 10;
-/// Rest after short refused lists of an agent at most: news that comes in a row of them is told that much later, and
-/// calls there cost nothing.
+/// Maximum pause after refused short lists from an agent: updates that follow a run of them are delayed by
+/// this much, and calls to an agent cost nothing.
 const MOST_AT_AGENT: Duration = Duration::from_secs(1);
-/// Characters of an error that go into a line of the log.
+/// Maximum length of an error text in a log line, in characters.
 const SHOWN: usize = 200;
-/// How long a notice may take; it is sent again after that.
+/// Timeout of a notice, after which it is sent again.
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// One request to the platform, and the head of its answer, on a kept connection or a new one. The platform may close a
-/// kept one just as the request goes out: that is no failure, and the request, which does no harm twice, goes out on a
-/// new one.
+/// Sends one request to the platform, on a kept connection or a new one, and returns the head of the
+/// response. The platform may close a kept connection just as the request goes out: that is no failure, and
+/// the request, which is harmless if repeated, is sent again on a new connection.
 ///
 /// # Errors
-/// Fails when no connection is made, or it breaks before the answer's head.
+/// Fails when no connection is made, or it breaks before the head of the response.
 async fn answered(
     kept: &mut Option<Conn>,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
 ) -> Result<(Conn, Response<Incoming>), ()> {
-    // Bytes that nothing asked for must not be taken for the answer.
+    // Bytes that came without a request must not be taken for the response.
     let usable = match kept.take() {
         Some(mut conn) => conn.still_usable().await.then_some(conn),
         None => None,
@@ -80,7 +84,8 @@
     let crossed = match usable {
         Some(mut conn) => match conn.send(request.clone()).await {
             Ok(answer) => Some((conn, answer)),
-            // That broke while it waited, which is an answer of a kind: all senders asking anew at once is none.
+            // The connection broke while the request was waiting, which counts as a response: an immediate
+            // retry would have all senders ask again at the same time.
             Err(()) if asked.elapsed() > AGAIN => return Err(()),
             Err(()) => None,
         },
@@ -96,10 +101,10 @@
     }
 }
 
-/// One request to the platform, on a connection that is kept if all went well.
+/// Sends one request to the platform and reads the response. The connection is kept if it can be reused.
 ///
 /// # Errors
-/// Fails when no connection is made, or the answer breaks off or is longer than an answer may be.
+/// Fails when no connection is made, or the response is truncated or too long.
 async fn ask(
     kept: &mut Option<Conn>,
     address: SocketAddr,
@@ -114,23 +119,25 @@
     Ok((head.status, body))
 }
 
-/// Rest after a poll that brought no list and took so long: by chance, since all senders may have failed together, and
-/// from half of what may be to all of it, so that 300 of them ask some 110 times a second at most on average. What
-/// changed just after the failed poll went out is told by the answer to the next one: both waits, the rest between
-/// them and the slack come to [`TOLD_WITHIN`]. The last failure decides alone: discovery may have come back as the
-/// failed poll went out, however many failed before.
+/// The pause after a poll that took `took` and brought no list. It is random between half of the allowed
+/// maximum and all of it, since all senders may have failed together: 300 of them then poll some 110 times a
+/// second at most on average. A change just after the failed poll was sent is reported by the response to the
+/// next poll: both waits, the pause between them and the slack add up to [`TOLD_WITHIN`]. Only the last
+/// failure counts, however many came before: discovery may have come back just as the failed poll was sent.
 fn rest_after_failure(took: Duration, luck: f64) -> Duration {
-    // A long list that is not taken may take longer than a poll may be silent; what it cost must not come again at once.
+    // A long list that is refused may take longer than a poll's timeout; it must not be transferred again
+    // immediately.
     let most = (TOLD_WITHIN - ANSWERED_WITHIN - POLL_SLACK).saturating_sub(took.min(POLL_WITHIN));
     most.mul_f64(0.5 + luck / 2.0)
 }
 
-/// Rest after a list that came and was not taken, in a row of so many, from a call that took so long; `patience` is that
-/// of the next call. It doubles from [`AGAIN`] on: a single one costs no more than a failed call. What changed just after
-/// the refused call went out is told by the answer to the next one: both waits, the rest between them and the slack come
-/// to [`TOLD_WITHIN`]. A call that took longer than its patience brought a long list, and what changed at its beginning is
-/// overdue; the time from its end on counts there. The longest patience of a watch at an agent stands for that of a watch
-/// that a service for all senders holds, since either tells what it has at once.
+/// The pause after a list that was received and refused, the `refused`th in a row, from a call that took
+/// `took`; `patience` is the timeout of the next call. The pause starts at [`AGAIN`] and doubles: a single
+/// refusal costs no more than a failed call. A change just after the refused call was sent is reported by the
+/// response to the next one: both waits, the pause between them and the slack add up to [`TOLD_WITHIN`]. A
+/// call that took longer than its timeout transferred a long list, and what changed at its beginning is
+/// overdue already; there the time counts from its end. For a watch held by a service for all senders, the
+/// longest timeout of a watch at an agent is used instead, since both report what they have immediately.
 fn rest_after_refusal(refused: u32, took: Duration, patience: Duration) -> Duration {
     let at_agent = patience <= LONGEST_HOLD + WATCH_SLACK;
     let patience = patience.min(LONGEST_HOLD + WATCH_SLACK);
@@ -142,32 +149,35 @@
     doubled.min(most).max(AGAIN)
 }
 
-/// What the module wants of the list.
+/// Requests of the driver to the task that follows the list.
 #[derive(Debug, Default)]
 pub struct Wanted {
-    /// All of it, now.
+    /// Fetch the complete list now.
     pub whole: Notify,
-    /// To be told of it from now on, for the first time.
+    /// Start following the list.
     pub watch: Notify,
-    /// It is to be followed otherwise from now on, since the settings changed; then all of it is wanted, too.
+    /// Follow the list in this way from now on, since the settings changed; the complete list is fetched
+    /// then, too.
     pub otherwise: RefCell<Option<Following>>,
 }
 
 /// How the list is followed.
 #[derive(Debug)]
 pub enum Following {
-    /// By a watch from the version that is known, held for so long. It is asked of an agent on this machine, at
-    /// no cost, and what the agent has counts as told at once: whether the watch has fallen silent, or the agent
-    /// was and is back, must be found out well before sends to an endpoint that leaves have to cease.
+    /// By a watch from the known version, with this hold time. It goes to an agent on this machine, which
+    /// costs nothing, and what the agent has counts as reported immediately. A watch that fell silent, or an
+    /// agent that was away and is back, must therefore be detected well before calls to a leaving endpoint
+    /// have to cease.
     Watch(u64, Duration),
-    /// By asking for the whole list, and again after about such a rest. A watch would be answered, and asked
-    /// for again, by all senders at once at each change, and discovery has not the room for that; what changes
-    /// just after the answer to a watch that does not go on counts as told all the same.
+    /// By fetching the complete list, with about this pause between fetches. A watch would be answered, and
+    /// renewed, by all senders at the same moment at each change, for which discovery has no capacity; and
+    /// what changes just after the response to a watch that is not renewed counts as reported all the same.
     Ask(Duration, fastrand::Rng),
 }
 
 impl Following {
-    /// As the settings have it; `shared` where one service answers all senders' watches, not an agent on this machine.
+    /// As the settings say; `shared` if one service answers the watches of all senders, rather than an agent
+    /// on this machine.
     pub fn new(settings: &Settings, shared: bool, known: u64, seed: u64) -> Self {
         match settings.must_ask {
             true => Self::Ask(Duration::from_micros(settings.ask_round()), fastrand::Rng::with_seed(seed)),
@@ -179,7 +189,7 @@
         }
     }
 
-    /// After how long an answer is taken not to come.
+    /// The timeout of a call.
     fn patience(&self) -> Duration {
         match self {
             Self::Watch(_, hold) => *hold + (*hold * 2 / 5).min(WATCH_SLACK),
@@ -188,8 +198,8 @@
     }
 }
 
-/// Follows the list for as long as the process runs. Moves when discovery does. Where there is a pace, each call but
-/// one for the whole list waits for its turn.
+/// Follows the list for as long as the process runs, and at its new address if discovery moves. If there is a
+/// pace, every call waits for its turn, except one that asks for the complete list.
 pub async fn follow(
     discovery: watch::Receiver<SocketAddr>,
     following: Following,
@@ -216,19 +226,19 @@
     follower.run().await;
 }
 
-/// What a call that was not interrupted brought.
+/// The result of a call that was not interrupted.
 #[derive(Debug)]
 enum Brought {
     /// A list.
     List(List),
-    /// The beginning of an answer that should be a list, and is none.
+    /// A response that started as a list and is not a valid one.
     Refused(ListError),
-    /// No answer, or another one.
+    /// No response, or one that is not a list.
     Failed(Failed),
 }
 
 impl Brought {
-    /// As the pace counts it.
+    /// The failure as the pace counts it.
     fn failed(&self) -> Option<Failed> {
         match self {
             Self::List(_) => None,
@@ -259,7 +269,7 @@
     Arrival::new(conn, body, until, bounds).begin().await.map_err(Brought::Refused)
 }
 
-/// Whoever follows the list, between two calls.
+/// The state of the task that follows the list.
 struct Follower {
     discovery: watch::Receiver<SocketAddr>,
     following: Following,
@@ -269,16 +279,16 @@
     inbound: UnboundedSender<Inbound>,
     bounds: Bounds,
     conn: Option<Conn>,
-    /// Where the connection leads: that discovery moves may come to be known in any wait.
+    /// The address of the connection; a move of discovery may be noticed in any wait.
     address: SocketAddr,
-    /// The whole list is owed until it has come.
+    /// The complete list is needed, and fetched until it has arrived.
     whole: bool,
-    /// Lists refused since the last one that was taken, at the same address.
+    /// Number of lists refused since the last accepted one, at the same address.
     refused: u32,
 }
 
 impl Follower {
-    /// Ends with the process, or when nobody hears of the list any more.
+    /// Runs until the process ends or the driver is gone.
     async fn run(mut self) {
         if matches!(self.following, Following::Ask(..)) {
             self.wanted.watch.notified().await;
@@ -301,7 +311,7 @@
         }
     }
 
-    /// Waits for the next call's turn, and sees how and where it is to be made.
+    /// Waits for the next call's turn, then updates how and where it is made.
     async fn prepare(&mut self) {
         if let Some(otherwise) = self.wanted.otherwise.take() {
             self.following = otherwise;
@@ -316,7 +326,7 @@
         }
     }
 
-    /// The next call.
+    /// Composes the request of the next call.
     fn request(&self) -> Option<Request<Full<Bytes>>> {
         let path = match self.following {
             Following::Watch(from, hold) if !self.whole => {
@@ -327,14 +337,14 @@
         Request::get(path).header("host", self.address.to_string()).body(Full::default()).ok()
     }
 
-    /// After how long the next call's answer is taken not to come.
+    /// The timeout of the next call.
     fn patience(&self) -> Duration {
         let patience = self.following.patience();
-        // The whole list is told at once, whoever tells it.
+        // The complete list is sent immediately by an agent and by a service.
         if self.whole { patience.min(POLL_WITHIN) } else { patience }
     }
 
-    /// Makes a call; nothing when it was interrupted, since another one is wanted at once.
+    /// Makes a call; `None` if it was interrupted because another one is needed immediately.
     async fn call(&mut self, request: Request<Full<Bytes>>) -> Option<Brought> {
         let until = Instant::now() + self.patience();
         let begun = tokio::select! {
@@ -355,8 +365,9 @@
         }
     }
 
-    /// Reads a long list; nothing when discovery moves meanwhile. That the whole list is wanted waits for its end: a
-    /// list that takes longer to come than it takes until the next wish for it would never come.
+    /// Reads a long list; `None` if discovery moves meanwhile. A request for the complete list waits for its
+    /// end: otherwise a list whose transfer takes longer than the interval of such requests would never
+    /// arrive.
     async fn long(&mut self, long: arrival::Long) -> Option<Brought> {
         let read = tokio::select! {
             read = long.read() => read,
@@ -371,7 +382,7 @@
         }
     }
 
-    /// A list came whole on this connection, which is kept if it may be.
+    /// A complete list was received on this connection, which is kept if it can be reused.
     async fn came(&mut self, list: List, mut conn: Conn) -> Brought {
         if conn.usable().await {
             self.conn = Some(conn);
@@ -385,7 +396,7 @@
         self.pace.iter().for_each(|pace| pace.moved());
     }
 
-    /// Tells the pace how a call ended.
+    /// Reports the result of a call to the pace.
     fn count(&self, brought: &Brought) {
         let (Some(pace), Following::Watch(from, _)) = (&self.pace, &self.following) else { return };
         pace.ended(match (brought, brought.failed()) {
@@ -394,14 +405,14 @@
         });
     }
 
-    /// Takes note of a list that is taken. How long to rest before the next call.
+    /// Records an accepted list. Returns the pause before the next call.
     fn rest_after_list(&mut self, list: &List) -> Duration {
         let (index, endpoints) = version(list);
         self.figures.list_taken(index, endpoints);
         (self.whole, self.refused) = (false, 0);
         match &mut self.following {
             Following::Watch(from, _) => {
-                // Versions begin anew, and what lies between is not in these changes.
+                // The versions were restarted, and the updates in between are not in these changes.
                 self.whole = endpoints.is_none() && index < *from;
                 *from = index;
                 Duration::ZERO
@@ -410,7 +421,7 @@
         }
     }
 
-    /// Takes note of a list that is not taken, from a call that took so long. How long to rest before the next call.
+    /// Records a refused list, from a call that took `took`. Returns the pause before the next call.
     fn rest_after_refused(&mut self, why: &ListError, took: Duration) -> Duration {
         let (code, remedy) = (why.code(), why.remedy());
         let refused = self.figures.list_refused(code);
@@ -419,9 +430,9 @@
             code,
             remedy,
             refused,
-            "a list of endpoints is not taken; the one before stays: {shown}"
+            "a list of endpoints is refused, the previous one stays in force: {shown}"
         );
-        // The whole list may be longer than a list of changes.
+        // The complete list may be longer than a list of changes.
         self.whole |= matches!(why, ListError::Changes(_));
         if matches!(self.following, Following::Ask(..)) {
             return self.rest_after_failed(took);
@@ -431,7 +442,7 @@
         rest_after_refusal(self.refused, took, self.patience())
     }
 
-    /// Takes note of a call that failed after so long. How long to rest before the next one.
+    /// Records a call that failed after `took`. Returns the pause before the next one.
     fn rest_after_failed(&mut self, took: Duration) -> Duration {
         self.conn = None;
         match &mut self.following {
@@ -440,18 +451,19 @@
         }
     }
 
-    /// Tells the driver what a call brought; whether it still hears that.
+    /// Reports the result of a call to the driver. Returns false if the driver is gone.
     fn tell(&self, brought: Brought) -> bool {
         let said = match brought {
             Brought::List(list) => Inbound::Listed(list),
-            // The module's rule is the wire's, where the next poll may come later.
+            // A failed poll is not reported: the module's retry rule is made for the simulator's adapter,
+            // where the next poll may come later. Here this task polls again by itself.
             _ if matches!(self.following, Following::Ask(..)) => return true,
             _ => Inbound::Event(Event::ListFailed),
         };
         self.inbound.send(said).is_ok()
     }
 
-    /// Rests, unless a call is wanted before.
+    /// Pauses, unless a call is needed earlier.
     async fn rest(&mut self, rest: Duration) {
         tokio::select! {
             () = tokio::time::sleep(rest) => {}
@@ -461,7 +473,7 @@
     }
 }
 
-/// A message's end that the platform is owed.
+/// A message's outcome that must be reported to the platform.
 #[derive(Debug)]
 pub struct Notice {
     /// The message.
@@ -491,7 +503,7 @@
     line
 }
 
-/// Sends notices, each until the platform has it.
+/// Sends notices, each until the platform has accepted it.
 pub async fn notices(
     mut discovery: watch::Receiver<SocketAddr>,
     mut notices: UnboundedReceiver<Notice>,
@@ -533,10 +545,10 @@
                     return;
                 }
             }
-            // One line that can't be read must not keep the others back.
+            // One line that the platform can't read must not block the others.
             Ok(Ok((StatusCode::BAD_REQUEST, _))) if told.len() > 1 => most = 1,
             Ok(Ok((StatusCode::BAD_REQUEST, _))) => {
-                tracing::warn!("the platform does not read a notice; dropped");
+                tracing::warn!("the platform rejected a notice as malformed; the notice is dropped");
                 owed.retain(|message, _| !told.contains(message));
                 let _ = inbound.send(Inbound::NoticesKept(told));
             }
--- a/src/net/platform/arrival.rs
+++ b/src/net/platform/arrival.rs
@@ -1,5 +1,5 @@
-//! The body of a list, read while it arrives: a short one in place, a longer one on a blocking thread, so that the event
-//! loop neither parses its text nor holds more of it than [`WAITING`] pieces.
+//! Reads the body of a list while it arrives: a short one in place, a longer one on a blocking thread, so
+//! that the event loop neither parses its text nor holds more than [`WAITING`] chunks of it.
 
 use std::io::{self, Read};
 use std::time::Duration;
@@ -14,25 +14,26 @@
 
 use super::super::calls::Conn;
 
-/// Bytes up to which a body is collected and read in place.
+/// Up to this number of bytes, a body is collected and read in place.
 pub const INLINE: usize = 256 << 10;
-/// Bytes a second at which a body beyond [`INLINE`] must arrive at least, once its call's patience is over.
+/// The minimum rate of a body beyond [`INLINE`] after its call's timeout, in bytes per second.
 pub const LEAST_RATE: u64 = 4_000_000;
-/// Pieces that wait for the thread at most. A piece is what one read of the connection gave: some 400 KiB at most.
+/// Maximum number of chunks queued for the thread. A chunk is the result of one read of the connection: some
+/// 400 KiB at most.
 const WAITING: usize = 8;
 
-/// A body that arrives, with the connection that it arrives on.
+/// A body in transfer, with its connection.
 pub struct Arrival {
     conn: Conn,
     body: Incoming,
-    /// When the call's patience is over.
+    /// When the call's timeout is over.
     until: Instant,
     bounds: Bounds,
-    /// Bytes that have come.
+    /// Bytes received so far.
     received: u64,
 }
 
-/// How a body goes on from its first [`INLINE`] bytes.
+/// A body after its first [`INLINE`] bytes.
 pub enum Begun {
     /// It ended within them: the list, and the connection.
     Short(List, Conn),
@@ -47,15 +48,15 @@
 }
 
 impl Arrival {
-    /// A body that must have come by `until`, but for the time that [`LEAST_RATE`] gives a long one.
+    /// A body that must be complete by `until`, plus the time that [`LEAST_RATE`] grants to a long one.
     pub fn new(conn: Conn, body: Incoming, until: Instant, bounds: Bounds) -> Self {
         Self { conn, body, until, bounds, received: 0 }
     }
 
-    /// Collects the body up to [`INLINE`] bytes, and reads it if it ends within them.
+    /// Collects up to [`INLINE`] bytes of the body, and reads it if it ends within them.
     ///
     /// # Errors
-    /// Fails when the body breaks off, comes too slowly, or is not a list within the bounds.
+    /// Fails when the body is truncated, arrives too slowly, or is not a list within the bounds.
     pub async fn begin(mut self) -> Result<Begun, ListError> {
         let mut text = Vec::new();
         while let Some(piece) = self.piece().await? {
@@ -68,13 +69,13 @@
         Ok(Begun::Short(list, self.conn))
     }
 
-    /// When the next bytes must have come.
+    /// The time by which the next bytes must arrive.
     fn deadline(&self) -> Instant {
         let beyond = self.received.saturating_sub(INLINE as u64);
         self.until + Duration::from_micros(beyond.saturating_mul(1_000_000) / LEAST_RATE)
     }
 
-    /// The next bytes, or nothing at the end.
+    /// The next bytes, or `None` at the end.
     async fn piece(&mut self) -> Result<Option<Bytes>, ListError> {
         let piece = timeout_at(self.deadline(), self.conn.piece(&mut self.body)).await;
         let Ok(Ok(piece)) = piece else { return Err(ListError::Cut(self.received)) };
@@ -87,39 +88,41 @@
 }
 
 impl Long {
-    /// Reads the body on a blocking thread, to which its pieces go as they arrive; the thread ends with this future.
-    /// The list, and the connection.
+    /// Reads the body on a blocking thread, which receives its chunks as they arrive and ends with this
+    /// future. Returns the list and the connection.
     ///
     /// # Errors
-    /// Fails when the body breaks off, comes too slowly, or is not a list within the bounds.
+    /// Fails when the body is truncated, arrives too slowly, or is not a list within the bounds.
     pub async fn read(mut self) -> Result<(List, Conn), ListError> {
         let (pieces, waiting) = channel(WAITING);
         let bounds = self.arrival.bounds;
         let thread = tokio::task::spawn_blocking(move || reader::read(Text::new(waiting), &bounds));
         let passed_on = self.pass_on(&pieces).await?;
-        // The channel stays open until the thread has ended: it takes a closed one for a body that was cut.
+        // The channel must stay open until the thread has ended, which takes a closed channel for a truncated
+        // body.
         let list = thread.await.map_err(|why| ListError::Malformed(why.to_string()))??;
         if !passed_on {
-            return Err(ListError::Malformed("text follows the list's end".to_owned()));
+            return Err(ListError::Malformed("there is text after the end of the list".to_owned()));
         }
         Ok((list, self.arrival.conn))
     }
 
-    /// Passes the body on to the thread. Whether it took all of it.
+    /// Passes the body on to the thread. Returns whether the thread accepted all of it.
     async fn pass_on(&mut self, pieces: &Sender<Piece>) -> Result<bool, ListError> {
         let mut next = Some(std::mem::take(&mut self.first));
         while let Some(text) = next {
             if !self.give(pieces, Piece::Text(text)).await {
                 return Ok(false);
             }
-            // What is there already must not keep the loop from its other tasks.
+            // Data that has already arrived must not keep the event loop from its other tasks.
             yield_now().await;
             next = self.arrival.piece().await?;
         }
         Ok(self.give(pieces, Piece::End).await)
     }
 
-    /// Gives the thread a piece; whether it takes it. Time that it takes to have room is not the body's.
+    /// Sends a chunk to the thread, and returns whether the thread accepted it. Time spent waiting for queue
+    /// capacity extends the body's deadline.
     async fn give(&mut self, pieces: &Sender<Piece>, piece: Piece) -> bool {
         let begun = Instant::now();
         let taken = pieces.send(piece).await.is_ok();
@@ -128,7 +131,7 @@
     }
 }
 
-/// What goes to the thread.
+/// A message to the thread.
 enum Piece {
     Text(Bytes),
     End,
@@ -137,7 +140,7 @@
 /// The text of a body, as the thread reads it.
 struct Text {
     pieces: Receiver<Piece>,
-    /// What is left of the last piece.
+    /// The rest of the last chunk.
     left: Bytes,
     ended: bool,
 }
@@ -147,10 +150,10 @@
         Self { pieces, left: Bytes::new(), ended: false }
     }
 
-    /// Waits for the next piece.
+    /// Waits for the next chunk.
     ///
     /// # Errors
-    /// Fails when the sender is gone before the body's end, even if pieces wait.
+    /// Fails when the sender is gone before the body's end, even if chunks are queued.
     fn next(&mut self) -> io::Result<()> {
         let piece = if self.pieces.is_closed() { None } else { self.pieces.blocking_recv() };
         match piece {
--- a/src/net/platform/arrival/tests.rs
+++ b/src/net/platform/arrival/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// The thread ends with its channel: what still waits there is not read to its end.
+/// The thread must end when its channel is closed, without reading the chunks that are still queued.
 #[test]
 fn a_text_whose_sender_is_gone_is_cut_at_once() {
     let (pieces, waiting) = channel(WAITING);
@@ -13,7 +13,7 @@
     let mut two = [0; 2];
     assert_eq!(text.read(&mut two).ok(), Some(2));
     drop(pieces);
-    assert_eq!(text.read(&mut two).ok(), Some(1), "what is left of the piece");
+    assert_eq!(text.read(&mut two).ok(), Some(1), "the rest of the chunk");
     assert_eq!(text.read(&mut two).map_err(|e| e.kind()), Err(ErrorKind::UnexpectedEof));
 }
 
--- a/src/net/platform/tests.rs
+++ b/src/net/platform/tests.rs
@@ -15,7 +15,7 @@
 struct Agent(TcpListener, UnboundedReceiver<Inbound>);
 
 impl Agent {
-    /// What is followed so, and what of it the driver hears.
+    /// Starts a follower; the second field receives what the driver is told.
     async fn new(following: Following, wanted: Rc<Wanted>) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let (inbound, heard) = unbounded_channel();
@@ -24,7 +24,7 @@
         Ok(Self(listener, heard))
     }
 
-    /// The next connection, and what is asked over it.
+    /// Accepts the next connection, and returns it with the path of its request.
     async fn asked(&self) -> io::Result<(TcpStream, String)> {
         let (mut stream, _) = timeout(PATIENCE, self.0.accept()).await??;
         let path = asked(&mut stream).await?;
@@ -37,13 +37,14 @@
     while !text.ends_with("\r\n\r\n") {
         let mut bytes = [0; 512];
         let n = timeout(PATIENCE, stream.read(&mut bytes)).await??;
-        assert!(n > 0, "it ends after {text}");
+        assert!(n > 0, "connection closed after {text}");
         text += &String::from_utf8_lossy(&bytes[..n]);
     }
     Ok(text.split(' ').nth(1).unwrap_or_default().to_owned())
 }
 
-/// Guards drains: whatever the agent does that is no answer, it is asked anew, within the hold and a little.
+/// Drains depend on the watch: whatever the agent does instead of answering, the watch must be renewed within
+/// the hold time and a margin.
 #[tokio::test]
 async fn a_watch_that_is_silent_cut_or_refused_is_asked_for_anew() -> io::Result<()> {
     let run = async {
@@ -79,9 +80,9 @@
     LocalSet::new().run_until(run).await
 }
 
-/// Guards drains where the list is asked for: however a poll ends that brings no list, and however often in a row, the
-/// next one goes out early enough to be answered within 6 s of the failed one's beginning though it waits for 2 s, and
-/// not at once: all senders may have failed together.
+/// Drains depend on the polls where the list is polled: however a poll fails, and however often in a row, the
+/// next one must be sent early enough to be answered within 6 s of the start of the failed one, though it may
+/// wait for 2 s. It must not be sent immediately, since all senders may have failed together.
 #[tokio::test(start_paused = true)]
 async fn a_poll_that_brings_no_list_is_made_again_in_time_however_often_it_fails() -> io::Result<()> {
     let run = async {
@@ -120,7 +121,7 @@
                 }
                 let (next, _) = timeout(Duration::from_secs(4), agent.asked()).await??;
                 let after = began.elapsed();
-                assert!(after >= Duration::from_millis(1500), "after {answer} again in {after:?}");
+                assert!(after >= Duration::from_millis(1500), "next poll {after:?} after {answer}");
                 stream = next;
             }
         }
@@ -129,7 +130,8 @@
     LocalSet::new().run_until(run).await
 }
 
-/// Guards drains: a discovery that refuses connections, for however long, is asked within 4 s of its return.
+/// Drains depend on it: a discovery that refused connections, for however long, must be polled within 4 s of
+/// its return.
 #[tokio::test(start_paused = true)]
 async fn a_discovery_that_refused_connections_is_asked_soon_after_its_return() -> io::Result<()> {
     let run = async {
@@ -148,7 +150,8 @@
     LocalSet::new().run_until(run).await
 }
 
-/// The agent may close a kept connection just as a request goes out: that is no failed call, and costs no pause.
+/// The agent may close a kept connection just as a request is sent: this is not a failed call, and there must
+/// be no pause.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_crosses_the_close_of_a_kept_connection_is_made_again_at_once() -> io::Result<()> {
     let run = async {
@@ -162,18 +165,18 @@
         stream.write_all(answer.as_bytes()).await?;
         assert!(matches!(agent.1.recv().await, Some(Inbound::Listed(_))));
         asked(&mut stream).await?;
-        // It is read, and no byte of an answer goes back.
+        // The request was read, and no byte of a response is sent.
         drop(stream);
         let (mut stream, _) = timeout(Duration::from_millis(50), agent.asked()).await??;
         stream.write_all(answer.as_bytes()).await?;
-        assert!(matches!(agent.1.recv().await, Some(Inbound::Listed(_))), "the call failed");
+        assert!(matches!(agent.1.recv().await, Some(Inbound::Listed(_))), "the call was reported as failed");
         Ok(())
     };
     LocalSet::new().run_until(run).await
 }
 
-/// Where versions began anew the whole list is owed until it has come: a watch from the new version would never tell what
-/// lies between.
+/// If the list's versions were restarted, the complete list must be fetched until it has arrived: a watch
+/// from the new version would never report the changes in between.
 #[tokio::test(start_paused = true)]
 async fn a_whole_list_that_was_not_got_is_asked_for_until_it_comes() -> io::Result<()> {
     let run = async {
@@ -189,7 +192,7 @@
             assert_eq!(asked(&mut stream).await?, "/v1/endpoints");
             stream.write_all(b"HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n").await?;
             let (next, path) = agent.asked().await?;
-            assert_eq!(path, "/v1/endpoints", "after a failed call for all of it");
+            assert_eq!(path, "/v1/endpoints", "after a failed call for the complete list");
             drop(std::mem::replace(&mut stream, next));
             stream.write_all(b"HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n").await?;
             stream = agent.0.accept().await?.0;
@@ -202,8 +205,8 @@
     LocalSet::new().run_until(run).await
 }
 
-/// The clocks: sends to an endpoint that leaves cease in time where its watch fell silent or the agent was, and
-/// a silent poll's successor is answered within 6 s though it waits for its 2.
+/// Bounds on the times: calls to a leaving endpoint must cease in time if its watch fell silent or the agent
+/// did, and the poll after a silent one must be answered within 6 s though it may wait for 2 s.
 #[test]
 fn what_is_missed_is_known_before_it_binds() {
     let grace = Duration::from_secs(2);
@@ -212,23 +215,24 @@
     let long = Duration::from_secs(10);
     assert!(
         rest_after_failure(long, 0.0) >= Duration::from_millis(600),
-        "a long list is not asked for at once"
+        "a long list is fetched again immediately"
     );
     for took in [Duration::ZERO, ANSWERED_WITHIN, POLL_WITHIN] {
         let (least, most) = (rest_after_failure(took, 0.0), rest_after_failure(took, 1.0));
         assert!(
             took + most + Duration::from_secs(2) < Duration::from_secs(6),
-            "told too late after {took:?}"
+            "the next poll is too late after {took:?}"
         );
-        assert!(least >= Duration::from_millis(600) && most == least * 2, "all at once after {took:?}");
+        assert!(least >= Duration::from_millis(600) && most == least * 2, "all senders poll at the same time after {took:?}");
     }
-    // The longest hold, silent twice in a row; and once, where discovery has moved and 4 s are left.
+    // The longest hold time, silent twice in a row; and silent once, where discovery has moved and 4 s are
+    // left.
     let longest = Following::Watch(1, LONGEST_HOLD);
     assert!((longest.patience() + AGAIN) * 2 < Duration::from_secs(6));
     assert!(longest.patience() + AGAIN < Duration::from_secs(4));
 }
 
-/// A whole list of so many entries.
+/// A complete list with this number of entries.
 fn list(index: u64, endpoints: usize) -> String {
     let entry = |n: usize| {
         format!(
@@ -240,7 +244,7 @@
     format!("{{\"index\":{index},\"snapshot\":true,\"endpoints\":[{}]}}", entries.join(","))
 }
 
-/// The answer that has it as its body.
+/// The response with this list as its body.
 fn answer(list: &str) -> String {
     format!("{}{list}", head(list.len()))
 }
@@ -249,7 +253,8 @@
     format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n")
 }
 
-/// A follower with these figures and bounds, and what of it the driver hears; discovery moves by the sender.
+/// Starts a follower with these bounds. Returns its counters, what the driver is told, and the sender that
+/// moves discovery.
 fn followed(
     address: SocketAddr,
     following: Following,
@@ -275,18 +280,18 @@
     (figures, heard, moves)
 }
 
-/// What the figures tell of lists; nothing before one is refused.
+/// The counters on lists; null before the first list is refused.
 fn counted(figures: &Figures) -> serde_json::Value {
     let all: serde_json::Value = serde_json::from_slice(&figures.json()).unwrap_or_default();
     all["list"].clone()
 }
 
-/// A watch with its hold of half a second; its patience is 700 ms.
+/// A watch with a hold time of half a second; its timeout is 700 ms.
 fn short_watch() -> Following {
     Following::Watch(1, SHORTEST_HOLD)
 }
 
-/// Found with a list over 1 MiB: it was never taken, and its watch ended with it.
+/// A list over 1 MiB was never accepted, and its watch ended with it.
 #[tokio::test]
 async fn a_list_of_any_length_is_taken_and_its_connection_goes_on() -> io::Result<()> {
     let run = async {
@@ -295,7 +300,7 @@
         let agent = Agent(listener, unbounded_channel().1);
         let (mut stream, _) = agent.asked().await?;
         assert!(counted(&figures).is_null());
-        // From a refused one on the figures tell of lists.
+        // The counters report on lists once one was refused.
         stream.write_all(answer("{").as_bytes()).await?;
         stream = agent.asked().await?.0;
         assert!(matches!(heard.recv().await, Some(Inbound::Event(Event::ListFailed))));
@@ -315,7 +320,8 @@
     LocalSet::new().run_until(run).await
 }
 
-/// A list that takes longer than a call's patience is taken if it comes at the least rate.
+/// A list whose transfer takes longer than a call's timeout must be accepted if it arrives at the minimum
+/// rate.
 #[tokio::test]
 async fn a_long_list_may_take_longer_than_a_short_one() -> io::Result<()> {
     let run = async {
@@ -339,7 +345,7 @@
     LocalSet::new().run_until(run).await
 }
 
-/// Asks of an agent that always answers so, within 5 s.
+/// Answers every request with `text` for 5 s, and returns the number of requests.
 async fn asks_in_five_seconds(listener: &TcpListener, text: &[u8]) -> io::Result<usize> {
     let until = Instant::now() + Duration::from_secs(5);
     let mut asks = 0;
@@ -347,13 +353,14 @@
         let (mut stream, _) = accepted?;
         asked(&mut stream).await?;
         asks += 1;
-        // Who gives it up reads no more of it.
+        // The follower may have stopped reading.
         let _ = stream.write_all(text).await;
     }
     Ok(asks)
 }
 
-/// Found with a list over 1 MiB: it was asked for 18 times a second for ever, and nobody was told why.
+/// A list over 1 MiB was fetched 18 times a second forever, without any report of the reason. Refused lists
+/// must be counted, and fetched at growing intervals.
 #[tokio::test]
 async fn a_list_that_is_cut_or_spoilt_is_counted_and_asked_for_ever_more_rarely() -> io::Result<()> {
     let run = async {
@@ -392,7 +399,8 @@
     LocalSet::new().run_until(run).await
 }
 
-/// Guards drains: one spoilt answer among good ones costs no more than a failed call, also after a row of them.
+/// Drains depend on it: a single corrupt response among good ones must cost no more than a failed call, also
+/// after a run of corrupt ones.
 #[tokio::test]
 async fn the_first_list_that_is_taken_ends_a_row_of_refused_ones() -> io::Result<()> {
     let run = async {
@@ -418,7 +426,8 @@
     LocalSet::new().run_until(run).await
 }
 
-/// A body that comes byte by byte holds the watch no longer than its patience, however much came before.
+/// A body that arrives byte by byte must not hold the watch longer than its timeout, however much arrived
+/// before.
 #[tokio::test]
 async fn a_list_that_trickles_is_cut_with_the_calls_patience() -> io::Result<()> {
     let run = async {
@@ -439,7 +448,7 @@
             agent.asked().await?;
             let after = began.elapsed();
             let most = short_watch().patience() + AGAIN + Duration::from_millis(250);
-            assert!(after < most, "after {first} bytes again in {after:?}");
+            assert!(after < most, "next call {after:?} after {first} bytes");
             assert_eq!(counted(&figures)["last_error"], "list.cut");
         }
         Ok(())
@@ -447,7 +456,7 @@
     LocalSet::new().run_until(run).await
 }
 
-/// A body without end is given up at the bound on bytes, whatever is in it.
+/// An endless body must be refused at the limit in bytes, whatever it contains.
 #[tokio::test]
 async fn a_list_without_end_is_refused_at_its_bound() -> io::Result<()> {
     let run = async {
@@ -462,7 +471,7 @@
             let mut written = 0;
             while stream.write_all(&piece).await.is_ok() {
                 written += piece.len();
-                assert!(written < 64 << 20, "it is read beyond its bound");
+                assert!(written < 64 << 20, "the body is read beyond its limit");
             }
             agent.asked().await?;
             let code = counted(&figures)["last_error"].clone();
@@ -473,7 +482,8 @@
     LocalSet::new().run_until(run).await
 }
 
-/// Discovery moves while a long list comes: the new one is asked at once, and nothing of the old one's list is used.
+/// If discovery moves while a long list is being received, the new address must be asked immediately, and
+/// nothing of the old list may be used.
 #[tokio::test]
 async fn a_long_list_is_left_when_discovery_moves() -> io::Result<()> {
     let run = async {
@@ -489,7 +499,7 @@
         let moved = Instant::now();
         moves.send_replace(new_address);
         let (mut stream, path) = new.asked().await?;
-        assert!(moved.elapsed() < Duration::from_millis(250), "asked after {:?}", moved.elapsed());
+        assert!(moved.elapsed() < Duration::from_millis(250), "the new address was asked after {:?}", moved.elapsed());
         assert_eq!(path, "/v1/endpoints?from=1&hold_ms=2000");
         assert!(heard.try_recv().is_err() && counted(&figures).is_null());
         stream.write_all(answer(&list(9, 1)).as_bytes()).await?;
@@ -500,7 +510,7 @@
     LocalSet::new().run_until(run).await
 }
 
-/// A wish for the whole list does not end a long one that is coming: it follows it.
+/// A request for the complete list must not abort the transfer of a long one; it is made afterwards.
 #[tokio::test]
 async fn a_wish_for_the_whole_list_waits_for_a_long_one() -> io::Result<()> {
     let run = async {
@@ -522,13 +532,14 @@
     LocalSet::new().run_until(run).await
 }
 
-/// The clocks: after any row of refused lists, what changed just after a refused call went out is told within 6 s.
+/// Bounds on the times: after any number of refused lists in a row, a change just after a refused call was
+/// sent must be reported within 6 s.
 #[test]
 fn the_rest_after_refused_lists_is_bounded_by_when_news_counts_as_told() {
     for hold in [SHORTEST_HOLD, Duration::from_secs(1), LONGEST_HOLD] {
         let patience = Following::Watch(1, hold).patience();
         for took in [Duration::ZERO, hold, patience] {
-            assert_eq!(rest_after_refusal(1, took, patience), AGAIN, "a single one costs no more than today");
+            assert_eq!(rest_after_refusal(1, took, patience), AGAIN, "a single refusal costs no more than a failed call");
             for refused in [2, 5, 8, 100, u32::MAX] {
                 let rest = rest_after_refusal(refused, took, patience);
                 assert!(
@@ -537,27 +548,27 @@
                 );
             }
         }
-        // However many came before, the first good one that an agent has is asked for soon.
+        // However many were refused before, the agent's first good list is fetched soon.
         assert!(rest_after_refusal(u32::MAX, patience, patience) <= MOST_AT_AGENT);
-        // Such a call's list took longer than its patience: from its end on.
+        // The transfer took longer than the call's timeout: the time counts from its end.
         let rest = rest_after_refusal(100, Duration::from_secs(30), patience);
         assert!(rest + patience + POLL_SLACK <= TOLD_WITHIN && rest > Duration::from_secs(2), "{rest:?}");
     }
     let shared = Following::Watch(1, SHARED_HOLD).patience();
     assert!(
         rest_after_refusal(100, Duration::ZERO, shared) > Duration::from_secs(2),
-        "no storm at a service"
+        "the pause at a service is too short"
     );
 }
 
-/// Changes that are too many at once are never taken: the whole list is asked for instead.
+/// A list with too many changes is never accepted, so the complete list must be fetched instead.
 #[tokio::test]
 async fn the_whole_list_is_asked_for_after_too_many_changes() -> io::Result<()> {
     let run = async {
         let mut agent = Agent::new(Following::Watch(1, LONGEST_HOLD), Rc::default()).await?;
         let (mut stream, _) = agent.asked().await?;
         let changes = list(2, CHANGES + 1).replacen("\"snapshot\":true", "\"snapshot\":false", 1);
-        // The sender may have had enough before the end.
+        // The follower may have stopped reading before the end.
         let _ = stream.write_all(answer(&changes).as_bytes()).await;
         let heard = timeout(PATIENCE, agent.1.recv()).await?;
         assert!(matches!(heard, Some(Inbound::Event(Event::ListFailed))), "{heard:?}");
--- a/src/net/working.rs
+++ b/src/net/working.rs
@@ -1,6 +1,6 @@
-//! The working set of a list with many destinations: which of them the decision module knows, since when each is idle,
-//! and what the module had learned of those that have left it. `docs/findings/working-set.md` says why nothing that
-//! binds is lost.
+//! The working set of a list with many destinations: which of them the decision module knows, how long each
+//! has been idle, and the route state saved for evicted ones. `docs/findings/working-set.md` says why no
+//! state that binds is lost.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -10,71 +10,76 @@
 use myrtleyard::policy::Route;
 use serde::{Deserialize, Serialize};
 
-/// Up to so many destinations all are resident: twice those that a sender is known to serve, at about 1.3 kB each.
+/// Up to this number, all destinations are resident: twice the number that a sender is known to serve, at
+/// about 1.3 kB each.
 pub const ALL_RESIDENT: usize = 2048;
-/// A destination that no message came for in this time leaves, if nothing rests on it.
+/// A destination without messages for this long is evicted, if nothing depends on it.
 pub const IDLE_FOR: Micros = 10_000_000;
-/// Destinations that leave at once at most, so that the turn stays short: each looks at all messages in hand.
+/// Maximum number of evictions at once. It keeps iterations short: each eviction scans all messages in hand.
 pub const LEAVE_AT_ONCE: usize = 32;
-/// Destinations whose routes' state is kept while they are away, at some 200 bytes each; see [`Place`] for which goes first.
+/// Maximum number of evicted destinations whose route state is saved, at some 200 bytes each; see [`Place`]
+/// for which is dropped first.
 pub const MOST_KEPT: usize = 16_384;
 
-/// A table that is worn, or full, has the whole list asked for no more often than this.
+/// Shortest time between two fetches of the complete list because the table has accumulated many changes or
+/// is full.
 pub const WHOLE_AGAIN: Micros = 60_000_000;
 
-/// The form of [`Kept::routes`]: to be counted up whenever a field of [`Route`] comes, goes or moves.
+/// The version of the encoding of [`Kept::routes`]. It must be incremented whenever a field of [`Route`] is
+/// added, removed or moved.
 const ROUTES_FORM: u32 = 0;
 
-/// The state of one route, by the name of its endpoint where routes are apart.
+/// The state of one route, with its endpoint's name if the kind has a route per endpoint.
 pub type Named = (Option<String>, Route);
 
-/// The order in which kept states are dropped: those that bind nothing at the time of leaving first, each by age.
+/// The order in which saved states are dropped: those that did not bind anything at eviction first, each
+/// group by age.
 type Place = (bool, u64);
 
-/// What was learned of a destination that has left.
+/// The saved route state of an evicted destination.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Kept {
-    /// Its place in the order of dropping.
+    /// Its position in the order of dropping.
     place: Place,
-    /// How limits were told then; see [`Working::limits_told_otherwise`].
+    /// How limits were reported at that time; see [`Working::limits_told_otherwise`].
     form: u32,
-    /// Its routes, as [`Named`].
+    /// Its routes: an encoded list of [`Named`].
     routes: Bytes,
 }
 
-/// Which destinations are resident. With up to [`ALL_RESIDENT`] of them all are, and this is empty.
+/// Which destinations are resident. With up to [`ALL_RESIDENT`] destinations all are, and this is empty.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Working {
-    /// The list has more destinations than may be resident.
+    /// The list has more destinations than may all be resident.
     pub beyond: bool,
-    /// All of the list then; none after a handover, until the list is told again.
+    /// The complete list in that case; none after a handover, until the list has been fetched.
     #[serde(skip)]
     pub table: Option<Box<Table>>,
     /// Resident destinations, and when each was last used.
     used: HashMap<u32, Micros>,
-    /// When each resident is to be looked at, the next first.
+    /// When each resident destination is to be checked for idleness, the next first.
     looks: BTreeSet<(Micros, u32)>,
     kept: HashMap<u32, Kept>,
     order: BTreeMap<Place, u32>,
     next: u64,
     form: u32,
-    /// [`ROUTES_FORM`] of the version that kept them.
+    /// [`ROUTES_FORM`] of the version that saved them.
     routes_form: u32,
-    /// States that were dropped since there were too many.
+    /// Number of states dropped because there were more than [`MOST_KEPT`].
     pub forgotten: u64,
-    /// When the whole list was last asked for because of the table, and whether it is to be asked for again.
+    /// When the complete list was last fetched because of the table.
     pub asked_at: Micros,
-    /// See before.
+    /// The table needs the complete list to be fetched again.
     pub whole_due: bool,
-    /// Destinations leave no earlier.
+    /// The next eviction happens no earlier than this.
     pub leave_at: Micros,
-    /// Destinations of the list while all are resident.
+    /// Number of destinations in the list while all are resident.
     pub listed: usize,
 }
 
 impl Working {
-    /// Destinations that the module knows.
+    /// Number of destinations that the module knows.
     pub fn resident(&self) -> usize {
         if self.beyond { self.used.len() } else { self.listed }
     }
@@ -84,19 +89,19 @@
         !self.beyond || self.used.contains_key(&destination)
     }
 
-    /// Whether the module has to be given back what was kept of the destination, or does not know it.
+    /// Whether the destination has saved state that must be restored, or is not known to the module.
     pub fn away(&self, destination: u32) -> bool {
         self.kept.contains_key(&destination) || !self.has(destination)
     }
 
-    /// Resident destinations of a long list, in order.
+    /// Resident destinations of a long list, in ascending order.
     pub fn all(&self) -> Vec<u32> {
         let mut all: Vec<u32> = self.used.keys().copied().collect();
         all.sort_unstable();
         all
     }
 
-    /// A message comes for the destination. Whether that has to enter.
+    /// Notes a message for the destination. Returns whether the destination must be loaded.
     pub fn touch(&mut self, destination: u32, now: Micros) -> bool {
         let entered = self.used.insert(destination, now).is_none();
         if entered {
@@ -105,8 +110,8 @@
         entered
     }
 
-    /// Residents that were idle for [`IDLE_FOR`], as many as may leave at once. Each is to be told to have left, or to
-    /// stay.
+    /// Resident destinations that were idle for [`IDLE_FOR`], as many as may be evicted at once. The caller
+    /// must report each as evicted ([`Working::left`]) or as kept ([`Working::stays`]).
     pub fn idle(&mut self, now: Micros) -> Vec<u32> {
         let mut idle = Vec::new();
         while idle.len() < LEAVE_AT_ONCE
@@ -124,7 +129,7 @@
         idle
     }
 
-    /// When the next resident may leave, or the whole list is to be asked for.
+    /// When the next resident destination may be evicted or the complete list is to be fetched.
     pub fn due(&self) -> Option<Micros> {
         self.table.as_ref()?;
         let look = self.looks.first().map(|look| look.0.max(self.leave_at));
@@ -132,13 +137,13 @@
         look.into_iter().chain(whole).min()
     }
 
-    /// Something rests on it still: it is looked at again later.
+    /// Keeps an idle destination that something still depends on; it is checked again later.
     pub fn stays(&mut self, destination: u32, now: Micros) {
         self.looks.insert((now + IDLE_FOR, destination));
     }
 
-    /// It has left, and this is what its routes' state was, where that is worth keeping; `binds` where a wait, an open
-    /// breaker or a ramp is in it, beside what was learned.
+    /// Notes an eviction and saves the state of the destination's routes, if there is any. `binds` says that
+    /// it contains a wait, an open breaker or a ramp, besides what was learned.
     pub fn left(&mut self, destination: u32, routes: &[Named], binds: bool) {
         self.used.remove(&destination);
         let bytes = postcard::to_allocvec(routes);
@@ -155,7 +160,7 @@
         }
     }
 
-    /// What was kept of a destination that comes back; it is kept no longer.
+    /// Removes and returns the saved routes of a destination that is loaded again.
     pub fn take(&mut self, destination: u32) -> Vec<Named> {
         let Some(kept) = self.kept.remove(&destination) else { return Vec::new() };
         self.order.remove(&kept.place);
@@ -166,12 +171,14 @@
         routes
     }
 
-    /// The settings changed in how limits are told: what was learned of them goes, as it does in the module.
+    /// To be called when the settings have changed in how limits are reported: learned limits are discarded
+    /// when a state is restored, as in the module.
     pub fn limits_told_otherwise(&mut self) {
         self.form += 1;
     }
 
-    /// Drops what a version with another [`ROUTES_FORM`] kept; how many destinations' states that were.
+    /// Drops states that were saved by a version with another [`ROUTES_FORM`]. Returns the number of
+    /// destinations affected.
     pub fn drop_other_form(&mut self) -> usize {
         if std::mem::replace(&mut self.routes_form, ROUTES_FORM) == ROUTES_FORM {
             return 0;
@@ -180,7 +187,7 @@
         std::mem::take(&mut self.kept).len()
     }
 
-    /// All destinations are resident from now on.
+    /// Makes all destinations resident.
     pub fn all_resident(&mut self) {
         (self.beyond, self.table) = (false, None);
         self.used = HashMap::new();
--- a/src/net/working/tests.rs
+++ b/src/net/working/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// One route's state, as it is kept.
+/// The state of one route, as it is saved.
 fn routes() -> Vec<Named> {
     vec![(None, Route::default())]
 }
@@ -14,12 +14,13 @@
     assert_eq!(working.forgotten, 1);
     assert!(working.take(0).is_empty());
     assert_eq!(working.take(1).len(), 1);
-    assert!(working.take(1).is_empty(), "given back once");
+    assert!(working.take(1).is_empty(), "a saved state is returned once");
     working.left(1, &routes(), false);
-    assert_eq!(working.forgotten, 1, "there is room again");
+    assert_eq!(working.forgotten, 1, "there is a free entry again");
 }
 
-/// Guards told waits, breakers and ramps: what was merely learned is dropped before them, however new.
+/// Requested waits, breakers and ramps must outlive states that were merely learned, however recent those
+/// are.
 #[test]
 fn states_that_bind_are_dropped_last() {
     let mut working = Working::default();
@@ -34,7 +35,7 @@
     assert!(working.take(299).is_empty() && working.take(300).len() == 1);
 }
 
-/// Guards versions: routes stand by position, so that those of another form must not be read.
+/// Routes are encoded by field position, so states of a version with other fields must not be decoded.
 #[test]
 fn states_of_another_form_are_dropped_and_counted() {
     let mut working = Working::default();
@@ -45,7 +46,7 @@
     assert!(working.take(1).is_empty() && working.order.is_empty());
 }
 
-/// Who leaves again and again takes one place.
+/// A destination that is evicted repeatedly must occupy one entry only.
 #[test]
 fn a_place_is_free_again_once_its_state_is_taken() {
     let mut working = Working::default();
@@ -64,7 +65,7 @@
     assert!(working.idle(IDLE_FOR - 1).is_empty());
     assert_eq!(working.idle(IDLE_FOR), [1]);
     working.stays(1, IDLE_FOR);
-    assert_eq!(working.idle(2 * IDLE_FOR - 1), [2], "as soon as it was idle for so long");
+    assert_eq!(working.idle(2 * IDLE_FOR - 1), [2], "idle for the whole time-out");
     assert_eq!(working.idle(2 * IDLE_FOR), [1]);
     working.left(1, &[], false);
     assert_eq!((working.resident(), working.has(1), working.has(2)), (1, false, true));
