--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! One real sender: takes messages from clients and delivers them to endpoints, as the decision module says.
+//! The sender process: accepts messages from clients and delivers them to endpoints as the decision module
+//! decides.
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -26,7 +27,7 @@
         [] => {}
         [option, file] if option == "--check" => return check(file.as_ref()),
         _ => {
-            eprintln!("myrtleyard: no arguments, or --check FILE, are expected");
+            eprintln!("myrtleyard: unexpected arguments; usage: myrtleyard [--check FILE]");
             return ExitCode::from(2);
         }
     }
@@ -40,7 +41,7 @@
     }
 }
 
-/// Tells all that is wrong with a configuration. It needs no running sender, and changes nothing.
+/// Prints every fault of a configuration file. Needs no running sender and changes nothing.
 fn check(file: &Path) -> ExitCode {
     let text = match config::text(file) {
         Ok(text) => text,
@@ -54,12 +55,12 @@
     if faults.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// The socket that the platform holds for clients and that every process of the sender inherits, if it does.
+/// The listening socket for clients, if the platform holds it and every process of the sender inherits it.
 #[allow(unsafe_code)]
 fn inherited() -> Result<Option<TcpListener>, NoStart> {
     let Some(number) = config::listening()? else { return Ok(None) };
-    // SAFETY: the platform hands the descriptor down for this process to own, and says so by its number.
-    // This is called once, before the process has opened any of its own.
+    // SAFETY: by setting its number the platform passes ownership of the descriptor to this process.
+    // This is called once, before the process has opened any descriptor of its own.
     let listener = unsafe { TcpListener::from_raw_fd(number) };
     listener.set_nonblocking(true).map_err(|why| NoStart::Inherited { number, why })?;
     Ok(Some(listener))
@@ -88,7 +89,7 @@
         let mut reload = signal(SignalKind::hangup()).map_err(NoStart::Signals)?;
         tokio::task::spawn_local(async move {
             while reload.recv().await.is_some() {
-                // What can't be taken as a whole changes nothing: the sender goes on as it was.
+                // A file that cannot be applied as a whole changes nothing; the old configuration stays.
                 let before = checked.borrow().clone();
                 let read = tokio::task::spawn_blocking(move || config::reread(&before)).await;
                 let read = read.map_err(Wrong::from).and_then(|read| read);
@@ -101,7 +102,7 @@
         });
         driver::run(config, inherited, discovery, in_force, inbound, events).await
     });
-    // A list or a file that a thread is reading must not hold the process's end.
+    // A blocking thread that is still reading a list or a file must not delay the end of the process.
     runtime.shutdown_background();
     ended
 }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,4 +1,4 @@
-//! What a sender is told at its start: the environment and the configuration file.
+//! The configuration of a sender: environment variables and the configuration file.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -28,66 +28,66 @@
 use super::listing::{ListBody, version};
 use super::names::Names;
 
-/// All that the sender is told.
+/// The configuration of a sender.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name.
+    /// Name of the sender.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Discovery.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The folder that lasts.
+    /// The state folder.
     pub state: PathBuf,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// File descriptors that may be held.
+    /// Maximum number of open file descriptors.
     pub sockets: usize,
-    /// Bytes that the folder that lasts may hold.
+    /// Maximum size of the state folder, bytes.
     pub disk: u64,
-    /// Where operators call, if they do.
+    /// The management address, if operators have one.
     pub mgmt: Option<SocketAddr>,
-    /// Where notes arrive, if there are any.
+    /// Address on which datagrams of other senders arrive, if there are any.
     pub peer_listen: Option<SocketAddr>,
-    /// The senders' addresses by their numbers.
+    /// Addresses of the senders, by rank.
     pub peers: Vec<SocketAddr>,
-    /// Reaches all senders.
+    /// Address that reaches all senders.
     pub peers_all: Option<SocketAddr>,
-    /// The list of endpoints as last known; none where the configuration is read again, since it is for a start.
+    /// The last known list of endpoints. Used only at startup, so it is empty after a reload.
     pub known: List,
-    /// Draining of endpoints, where it is on.
+    /// Draining of endpoints, if enabled.
     pub draining: Option<Draining>,
-    /// The view of the fleet, where it is on.
+    /// The membership view, if enabled.
     pub membership: Option<membership::Config>,
-    /// Covers for what is in hand, where they are on.
+    /// Replication of messages to backups, if enabled.
     pub takeover: Option<takeover::Config>,
-    /// Starts with others at once, where that is on.
+    /// Coordination of simultaneous starts, if enabled.
     pub start: Option<start::Config>,
-    /// The status index, where it is on.
+    /// The status index, if enabled.
     pub status: Option<status::Config>,
-    /// Plans by tenant, where they are on.
+    /// Plans by tenant, if enabled.
     pub plans: Option<plans::Config>,
-    /// The module's settings.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Names of classes, kinds and zones, in the settings' order.
+    /// Names of classes, kinds and zones, in the order of the settings.
     pub names: Names,
-    /// The file as it was read; a long list of endpoints is left out, and told by its length and checksum.
+    /// The document as read, with a long list of endpoints replaced by its length and checksum.
     pub document: Value,
 }
 
 impl Config {
-    /// This sender's number among those of its tier.
+    /// Rank of this sender in its tier.
     pub fn rank(&self) -> Option<u16> {
         let own = self.peers.iter().position(|peer| Some(*peer) == self.peer_listen)?;
         u16::try_from(own).ok()
     }
 }
 
-/// The section that turns on the draining of endpoints.
+/// The section that enables the draining of endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Draining {
-    /// Endpoints that may be marked at a time.
+    /// Maximum number of marked endpoints.
     #[serde(default = "some_marks")]
     pub max_marks: usize,
 }
@@ -96,7 +96,7 @@
     64
 }
 
-/// The document in force, for those who hold another against it.
+/// The document in force, shared with the code that compares other documents with it.
 pub type InForce = Rc<RefCell<Arc<Value>>>;
 
 #[derive(Deserialize)]
@@ -142,62 +142,62 @@
     settings: Value,
 }
 
-/// Why there is no configuration, or none that is taken instead of the one in force.
+/// Why a configuration cannot be loaded or reloaded.
 #[derive(Debug, thiserror::Error)]
 pub enum Wrong {
-    /// A variable of the environment that is not text.
+    /// An environment variable is not valid UTF-8.
     #[error("{name}: {why}")]
     Variable {
-        /// Its name.
+        /// Name of the variable.
         name: &'static str,
-        /// What is wrong with it.
+        /// The cause.
         why: std::env::VarError,
     },
-    /// A variable that is needed.
-    #[error("{0} is not set")]
+    /// A required environment variable is missing.
+    #[error("environment variable {0} is not set")]
     Unset(&'static str),
-    /// `NODE_LISTEN_FD` is no number of one.
-    #[error("NODE_LISTEN_FD={0}: no descriptor that can be listened on")]
+    /// `NODE_LISTEN_FD` is not the number of an inherited descriptor.
+    #[error("NODE_LISTEN_FD={0}: not the number of an inherited descriptor")]
     Descriptor(String),
-    /// A variable that is no address.
+    /// An environment variable is not an address.
     #[error("{name}={text}: {why}")]
     Address {
-        /// Its name.
+        /// Name of the variable.
         name: &'static str,
-        /// What it holds.
+        /// Its value.
         text: String,
-        /// What is wrong with it.
+        /// The cause.
         why: std::net::AddrParseError,
     },
-    /// The file can't be had.
-    #[error("{path}: {why}")]
+    /// The file cannot be read.
+    #[error("cannot read {path}: {why}")]
     File {
-        /// Where it should be.
+        /// Path of the file.
         path: String,
-        /// Why not.
+        /// The cause.
         why: std::io::Error,
     },
     /// The document has faults.
     #[error("{path}: {}", joined(faults))]
     Faults {
-        /// Where it lies.
+        /// Path of the file.
         path: String,
-        /// All of them.
+        /// All of its faults.
         faults: Vec<Fault>,
     },
-    /// It was not read to its end.
-    #[error("{0}")]
+    /// The reading task ended early.
+    #[error("the configuration was not read to its end: {0}")]
     Stopped(#[from] tokio::task::JoinError),
 }
 
 told! { Wrong {
-    Variable => "config.variable", "set the variable to text in UTF-8";
-    Unset => "config.unset", "set the variable, as docs/configuration.md has it";
-    Descriptor => "config.descriptor", "set it to a number over 2 that the process inherits, or unset it";
-    Address => "config.address", "set it to IP:PORT, or unset it so that the file's holds";
-    File => "config.file", "see that NODE_CONFIG names the file and that the sender may read it";
-    Faults => "config.faults", "mend each key that is named; try the file with --check before it is taken";
-    Stopped => "config.stopped", "send SIGHUP again; if it stays so, tell the developers";
+    Variable => "config.variable", "set the variable to UTF-8 text";
+    Unset => "config.unset", "set the variable as described in docs/configuration.md";
+    Descriptor => "config.descriptor", "set it to an inherited descriptor's number, over 2, or unset it";
+    Address => "config.address", "set it to IP:PORT, or unset it to use the address in the file";
+    File => "config.file", "check that NODE_CONFIG names the file and that the sender may read it";
+    Faults => "config.faults", "correct each key named; test the file with --check before you apply it";
+    Stopped => "config.stopped", "send SIGHUP again; if it persists, report it to the developers";
 } }
 
 fn joined(faults: &[Fault]) -> String {
@@ -212,10 +212,10 @@
     }
 }
 
-/// The number of the descriptor that the platform listens on for clients, where it does.
+/// The inherited descriptor on which the platform listens for clients, if there is one.
 ///
 /// # Errors
-/// Fails when it is no number of one.
+/// Fails when the variable is not the number of an inherited descriptor.
 pub fn listening() -> Result<Option<RawFd>, Wrong> {
     let parse = |text: String| {
         let number = text.parse().ok().filter(|fd| *fd > 2);
@@ -229,10 +229,10 @@
     variable(name)?.map(parse).transpose()
 }
 
-/// Reads the environment and the configuration that it names.
+/// Reads the environment and the configuration file that it names.
 ///
 /// # Errors
-/// Fails, in one line, when something needed is missing or cannot be read.
+/// Fails, with a message of one line, when something required is missing or cannot be read.
 pub fn read() -> Result<Config, Wrong> {
     let state = variable("NODE_STATE")?.ok_or(Wrong::Unset("NODE_STATE"))?;
     let config = file(None)?;
@@ -246,19 +246,19 @@
     })
 }
 
-/// Reads the configuration again, which may change while the process runs.
+/// Reads the configuration file again; it may change while the process runs.
 ///
 /// # Errors
-/// Fails, in one line, when the file cannot be read, or lacks a key of the document that is in force.
+/// Fails, with a message of one line, when the file cannot be read or lacks a key of the document in force.
 pub fn reread(in_force: &Value) -> Result<Config, Wrong> {
     let config = file(Some(in_force))?;
     Ok(Config { known: List::Entries(ListBody::default()), ..config })
 }
 
-/// The text of a configuration file, as far as one may be long and a byte more.
+/// Reads a configuration file, up to one byte more than the maximum size, so that a longer file is noticed.
 ///
 /// # Errors
-/// Fails when it can't be read.
+/// Fails when the file cannot be read.
 pub fn text(path: &Path) -> io::Result<Vec<u8>> {
     let mut text = Vec::new();
     let most = apart::most_bytes(&Bounds::default());
@@ -275,11 +275,11 @@
     check(&text, in_force).map_err(|faults| Wrong::Faults { path, faults })
 }
 
-/// Reads a configuration, and holds it against the one in force if there is one. Start, SIGHUP, the operators'
-/// call and the command line all come here.
+/// Parses and checks a configuration, also against the document in force if there is one. Startup, SIGHUP,
+/// the operators' check call and the command line all use this function.
 ///
 /// # Errors
-/// Tells all that is wrong with it.
+/// Returns all faults of the document.
 pub fn check(text: &[u8], in_force: Option<&Value>) -> Result<Config, Vec<Fault>> {
     let bounds = Bounds::default();
     let apart = apart::apart(text, &bounds)?;
@@ -300,7 +300,7 @@
         return Err(faults);
     }
     let mut config = config(document).map_err(|(key, why)| {
-        vec![Fault { key: key.to_owned(), value: why, expected: "what can be read".to_owned() }]
+        vec![Fault { key: key.to_owned(), value: why, expected: "a valid value".to_owned() }]
     })?;
     if let (Some(known), Some(list)) = (known, apart.list) {
         let endpoints = version(&known).1.unwrap_or(0);
@@ -311,7 +311,8 @@
     Ok(config)
 }
 
-/// What the table of keys does not know of is read here, and nowhere else.
+/// Builds the configuration and checks what the table of keys cannot express; this is the only other place
+/// with checks.
 fn config(document: Value) -> Result<Config, (&'static str, String)> {
     let raw = Raw::deserialize(&document).map_err(|e| ("", e.to_string()))?;
     let settings = serde_json::to_vec(&raw.settings).map_err(|e| ("settings", e.to_string()))?;
@@ -337,40 +338,40 @@
     if let Some(Draining { max_marks }) = raw.draining
         && Marks::room(max_marks) > disk / 4
     {
-        return Err(("draining.max_marks", format!("{max_marks}, which takes over a quarter of disk_mb,")));
+        return Err(("draining.max_marks", format!("{max_marks}, which needs over a quarter of disk_mb,")));
     }
     let own = raw.peer_listen.is_some_and(|own| raw.peers.contains(&own));
     if raw.membership.is_some() && (!own || raw.peers.len() > membership::MOST_MEMBERS) {
-        let why = "is on, but peers do not hold peer_listen, or are over 1,024".to_owned();
+        let why = "a section with peers that lack peer_listen or number over 1,024".to_owned();
         return Err(("membership", why));
     }
     if raw.takeover.is_some() {
         if !own || !(3..=membership::MOST_MEMBERS).contains(&raw.peers.len()) {
-            let why = "is on, but peers do not hold peer_listen, or are under 3 or over 1,024".to_owned();
+            let why = "a section with peers that lack peer_listen or number under 3 or over 1,024".to_owned();
             return Err(("takeover", why));
         }
         if Memory::ROOM > disk / 4 {
-            return Err(("takeover", "is on, and takes over a quarter of disk_mb".to_owned()));
+            return Err(("takeover", "a section that needs over a quarter of disk_mb".to_owned()));
         }
     }
     if raw.start.is_some() {
         if raw.membership.is_none() {
-            return Err(("start", "is on without the section membership, which it needs,".to_owned()));
+            return Err(("start", "a section without the required section membership".to_owned()));
         }
         if start::kept::ROOM > disk / 4 {
-            return Err(("start", "is on, and takes over a quarter of disk_mb".to_owned()));
+            return Err(("start", "a section that needs over a quarter of disk_mb".to_owned()));
         }
     }
     if raw.status.is_some() && raw.membership.is_none() {
-        return Err(("status", "is on without the section membership, which it needs,".to_owned()));
+        return Err(("status", "a section without the required section membership".to_owned()));
     }
     if let Some(plans) = &raw.plans {
         if raw.status.is_none() {
-            return Err(("plans", "is on without the section status, which it needs,".to_owned()));
+            return Err(("plans", "a section without the required section status".to_owned()));
         }
         let unknown = |name: &&String| *name != "default" && !names.tenants.contains(name);
         if let Some(name) = plans.keys().find(unknown) {
-            return Err(("plans", format!("{name} names no tenant of settings.realms, and")));
+            return Err(("plans", format!("{name}, which is not a tenant in settings.realms,")));
         }
     }
     Ok(Config {
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -22,7 +22,7 @@
                             "overload_for_us": 3, "stop_sending_within_us": 2}}})
 }
 
-/// Guards the settings in force against files that are cut off, or say what can't be meant.
+/// A truncated file, or one with missing keys or invalid values, must not replace the settings in force.
 #[test]
 fn a_broken_file_is_turned_down_whole() -> Result<(), Box<dyn std::error::Error>> {
     let whole = document();
@@ -55,7 +55,8 @@
     Ok(())
 }
 
-/// Guards what is under way: a class that it came with keeps its position and its meaning.
+/// Messages under way refer to their class by position: its position and meaning must not change while it is
+/// in use.
 #[test]
 fn a_class_keeps_its_position_whatever_comes_and_goes() -> Result<(), Box<dyn std::error::Error>> {
     let first = parsed(document().to_string().as_bytes(), None)?;
@@ -68,7 +69,7 @@
     assert_eq!(settings.classes[..2], first.settings.classes[..]);
     assert_eq!(settings.classes[2].effect, Effect::Once);
     assert_eq!(["note", "order", "bill"].map(|name| names.class(name)), [Some(2), None, Some(3)]);
-    // What comes back as it was has its old position.
+    // A class that returns unchanged gets its old position.
     let third = parsed(document().to_string().as_bytes(), None)?;
     let (settings, names) = following((third.settings, third.names), &settings, &names, |_| true);
     assert_eq!(settings.classes.len(), 4);
@@ -76,7 +77,8 @@
     Ok(())
 }
 
-/// Guards the number of positions: a thousand files in a row, each with another class, leave as many as are in use.
+/// The number of positions must not grow: after a thousand files, each with another class, there are as many
+/// as are in use.
 #[test]
 fn classes_that_nothing_is_held_for_leave_no_trace() -> Result<(), Box<dyn std::error::Error>> {
     let first = parsed(document().to_string().as_bytes(), None)?;
@@ -86,7 +88,7 @@
         changed["settings"]["classes"][0]["on_time_us"] = json!(n);
         changed["settings"]["classes"][1]["name"] = json!(format!("order-{n}"));
         let next = parsed(changed.to_string().as_bytes(), None)?;
-        // A message of the first "order" is held for good.
+        // A message of the first "order" is held for the whole test.
         (settings, names) = following((next.settings, next.names), &settings, &names, |class| class == 1);
         assert!(settings.classes.len() <= 3 && names.classes.len() == settings.classes.len(), "{n}");
         assert_eq!(names.classes[1], "order");
@@ -109,7 +111,7 @@
     Ok(parsed(document.to_string().as_bytes(), None)?.names)
 }
 
-/// A document whose list has an endpoint for each of so many destinations.
+/// A document with a list of this many endpoints, each of a destination of its own.
 fn long(endpoints: usize) -> Value {
     let entry = |n: usize| json!({"name": format!("s-{n:08x}"), "address": "10.0.0.1:9000", "group": n, "status": "active"});
     let mut long = document();
@@ -118,7 +120,8 @@
     long
 }
 
-/// Found with 5,000 endpoints: the file was turned down for its list, which discovery may tell at any length.
+/// Found with 5,000 endpoints: the file was rejected for the length of its list, although discovery may send
+/// lists of any length.
 #[test]
 fn a_long_list_is_taken_and_left_out_of_the_document() -> Result<(), Box<dyn std::error::Error>> {
     let (short, whole) = (long(100), long(5000).to_string());
@@ -126,9 +129,9 @@
     assert_eq!(version(&parsed(short.to_string().as_bytes(), None)?.known), (41, Some(100)));
     let config = parsed(whole.as_bytes(), Some(&short))?;
     assert_eq!(version(&config.known), (41, Some(5000)));
-    let said = config.document["known"]["endpoints"].as_str().ok_or("it is not left out")?;
+    let said = config.document["known"]["endpoints"].as_str().ok_or("the list is not left out")?;
     assert!(said.starts_with("5000 endpoints, CRC-32 "), "{said}");
-    // Another list of that length is another document, the same one is none.
+    // Another list of the same length is a change; the same list is none.
     let other = whole.replace("10.0.0.1:9000", "10.0.0.2:9000");
     let changes = check::changes(&config.document, &parsed(other.as_bytes(), None)?.document);
     assert_eq!(changes.iter().map(|change| change.key.as_str()).collect::<Vec<_>>(), ["known.endpoints"]);
@@ -137,7 +140,7 @@
     Ok(())
 }
 
-/// What is wrong with a long document is told as with any other, with its list or beside it.
+/// Faults of a long document, inside its list or elsewhere, are reported as for any other document.
 #[test]
 fn faults_of_a_long_document_are_told_by_key() -> Result<(), Box<dyn std::error::Error>> {
     let whole = long(5000).to_string();
@@ -145,7 +148,7 @@
         let faults = check(text.as_bytes(), None).err().unwrap_or_default();
         faults.into_iter().map(|fault| fault.key).collect()
     };
-    let last = whole.rfind("\"group\":4999").ok_or("the last one")?;
+    let last = whole.rfind("\"group\":4999").ok_or("the list has no last entry")?;
     let spoilt = format!("{}\"group\":-1{}", &whole[..last], &whole[last + "\"group\":4999".len()..]);
     assert_eq!(keys(&spoilt), ["known.endpoints"]);
     assert_eq!(
@@ -160,22 +163,22 @@
     assert_eq!(keys(&padded), [""], "too long without its list");
     assert_eq!(keys(&whole.replacen('{', "{\"known\":{},", 1)), [""], "given twice");
     let long_text = json!({"known": {"endpoints": " ".repeat(check::LARGEST)}}).to_string();
-    assert_eq!(keys(&long_text), [""], "no list");
+    assert_eq!(keys(&long_text), [""], "not a list");
     Ok(())
 }
 
-/// Beyond the bounds a list is turned down with the remedy that discovery's would have.
+/// A list beyond its bounds is rejected with the same remedy as one from discovery.
 #[test]
 fn a_list_beyond_its_bounds_says_what_can_be_done() -> Result<(), Box<dyn std::error::Error>> {
     let whole = long(5000).to_string();
     let bounds = Bounds { bytes: 10, ..Bounds::default() };
     let faults = apart::apart(whole.as_bytes(), &bounds).err().unwrap_or_default();
-    let told = faults.first().ok_or("it is taken")?.to_string();
+    let told = faults.first().ok_or("it is accepted")?.to_string();
     assert!(told.contains("over 262154 bytes") && told.contains("known.endpoints"), "{told}");
     let apart = apart::apart(whole.as_bytes(), &Bounds::default()).map_err(|faults| faults[0].to_string())?;
-    let list = apart.list.ok_or("it has a list")?;
+    let list = apart.list.ok_or("the document has no list")?;
     let spoilt = [&list[..list.len() - 1], b"!"].concat();
-    let told = apart::read(&spoilt, 41, &Bounds::default()).err().ok_or("it is taken")?.to_string();
+    let told = apart::read(&spoilt, 41, &Bounds::default()).err().ok_or("it is accepted")?.to_string();
     assert!(told.contains("list.malformed") && told.contains("look at what discovery answers"), "{told}");
     Ok(())
 }
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -1,5 +1,5 @@
-//! What operators ask of the running sender beyond its readiness and its figures: the asks as the driver gets
-//! them, and the answers, JSON throughout.
+//! Requests of operators to the running sender, other than readiness and counters, as the driver receives
+//! them, and their replies, which are all JSON.
 
 use hyper::StatusCode;
 use myrtleyard::interface::Micros;
@@ -9,95 +9,95 @@
 
 use super::refusals::NoCall;
 
-/// Something for the driver to do or tell.
+/// A request to the driver.
 #[derive(Debug)]
 pub enum Ask {
-    /// How far this process is on its way out, and which endpoints are drained.
+    /// Progress of this process's drain, and the drained endpoints.
     Drain,
-    /// The list with the marks laid over it.
+    /// The endpoint list combined with the drain marks.
     Endpoints,
-    /// Who of the fleet is there, as this sender sees it.
+    /// The membership view of this sender.
     Members,
-    /// How the status index stands.
+    /// State of the status index.
     Status,
-    /// Plans by tenant, and what became of reads.
+    /// Plans by tenant, and counts of reads.
     Plans,
-    /// What is covered, held for others, and taken over.
+    /// Messages that are replicated, held as backup for others, and adopted.
     Takeover,
-    /// What estimates are made from.
+    /// The data that estimates are made from.
     Estimates,
-    /// What a query or a run will cost, as it came.
+    /// Cost estimate of a query or a run; the request's body, not decoded.
     Estimate(Vec<u8>),
-    /// How far this process has started.
+    /// Progress of this process's startup.
     Start,
-    /// Send clients elsewhere, and have all ended within this time if there is one.
+    /// Take the process out of service, and end all messages within the given time, if any.
     OutOfService(Option<Micros>),
-    /// Take endpoints out of use.
+    /// Drain endpoints.
     DrainEndpoints(Endpoints),
-    /// Put them back.
+    /// Restore drained endpoints.
     RestoreEndpoints(Endpoints),
 }
 
 /// A read of the status index.
 #[derive(Debug)]
 pub struct StatusCall {
-    /// What is asked for.
+    /// The query.
     pub query: myrtleyard::status::Query,
-    /// The header `Session-Token`, as it came; of use where there are plans.
+    /// The header `Session-Token`, not decoded; used only with plans.
     pub token: Option<String>,
-    /// Routes and reasons are wanted in the answer.
+    /// Whether the answer is to contain routes and their reasons.
     pub route: bool,
-    /// What it was predicted to cost, and what was decided, is wanted in the answer.
+    /// Whether the answer is to contain the predicted cost and the decision.
     pub estimate: bool,
 }
 
-/// Endpoints that are named in a call.
+/// The endpoints named in a request.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoints {
     /// Their names in discovery.
     pub names: std::collections::BTreeSet<String>,
-    /// Even if a destination is left without any.
+    /// Drain them even if a destination is left without an endpoint.
     #[serde(default)]
     pub force: bool,
 }
 
-/// What the operator hears.
+/// The reply to an operator.
 #[derive(Debug)]
 pub struct Reply {
-    /// Yes, or what is wrong.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// JSON.
+    /// The body, JSON.
     pub body: Vec<u8>,
-    /// For the header `Session-Token`.
+    /// Value of the header `Session-Token`.
     pub token: Option<String>,
 }
 
 impl Reply {
-    /// An answer with a content.
+    /// A reply with this status and content.
     pub fn new(status: StatusCode, content: &impl Serialize) -> Self {
         let mut body = serde_json::to_vec(content).unwrap_or_default();
         body.push(b'\n');
         Self { status, body, token: None }
     }
 
-    /// A yes with a content.
+    /// A successful reply (200) with this content.
     pub fn yes(content: &impl Serialize) -> Self {
         Self::new(StatusCode::OK, content)
     }
 
-    /// A no that has a stable name, says what happened, and what can be done.
+    /// An error reply with a stable code, the error's text, and a remedy.
     pub fn typed(status: StatusCode, code: &str, why: impl ToString, remedy: &str) -> Self {
         let why = why.to_string().replace(['\n', '\r'], " ");
         Self::new(status, &json!({"code": code, "error": why, "remedy": remedy}))
     }
 
-    /// A no, as its error tells it.
+    /// The error reply for an error that has a code and a remedy.
     pub fn told(status: StatusCode, why: &impl Told) -> Self {
         Self::typed(status, why.code(), why, why.remedy())
     }
 
-    /// A call that is not answered with what was asked for.
+    /// The error reply for a failed management call.
     pub fn no(why: &NoCall) -> Self {
         Self::told(why.status(), why)
     }
--- a/src/net/figures.rs
+++ b/src/net/figures.rs
@@ -1,4 +1,5 @@
-//! What operators read: counts since the process began, kept where the events happen, and how things stand.
+//! The counters and gauges that operators read: counts since the process began, incremented where the events
+//! happen, and gauges of the current state.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,12 +9,12 @@
 use super::journal::GivenUp;
 use super::names::Names;
 
-/// How a message ended here.
+/// How a message ended at this sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
     /// Delivered.
     Answered,
-    /// Refused or handed back.
+    /// Refused, or returned to the platform.
     Deferred,
     /// Failed.
     Errored,
@@ -28,38 +29,38 @@
     }
 }
 
-/// How things stand after a turn.
+/// Gauges of the state after a turn.
 #[derive(Debug, Default, Clone, Copy, Serialize)]
 pub struct Now {
-    /// Messages taken that have not ended.
+    /// Accepted messages that have not ended.
     pub current: usize,
     /// Endpoints in the list.
     pub cluster_size: usize,
-    /// Those of them that are avoided, of resident destinations.
+    /// Endpoints of resident destinations that are avoided.
     pub cluster_unhealthy: usize,
     /// Destinations that the decision module knows.
     pub resident: usize,
-    /// States of destinations that had left and were dropped, since there were too many.
+    /// States of evicted destinations that were dropped because there were too many.
     pub forgotten: u64,
 }
 
-/// What became of lists of endpoints that discovery told.
+/// Counts of the endpoint lists received from discovery.
 #[derive(Debug, Default, Clone, Copy, Serialize)]
 struct Lists {
-    /// Those that came and were not taken.
+    /// Lists received and rejected.
     refused: u64,
-    /// Those of them since the last one that was taken.
+    /// Lists rejected since the last accepted one.
     refused_in_a_row: u32,
-    /// The code of the last one's error.
+    /// Error code of the last rejected list.
     last_error: Option<&'static str>,
-    /// Entries of the last whole list that was taken.
+    /// Number of entries of the last complete list that was accepted.
     endpoints: usize,
-    /// The version of the last list that was taken.
+    /// Version of the last accepted list.
     index: u64,
 }
 
 impl Lists {
-    /// Nothing has to be told of them.
+    /// Whether no list has been rejected, so that the section is left out.
     fn are_all_taken(&self) -> bool {
         self.refused == 0
     }
@@ -89,12 +90,12 @@
     }
 }
 
-/// All figures of a process.
+/// All counters and gauges of a process.
 #[derive(Debug, Default)]
 pub struct Figures(RefCell<Counts>);
 
 impl Figures {
-    /// Names the classes that messages may come for, so that each stands there from the start.
+    /// Creates the counters of all classes, so that each class is present from the start.
     pub fn name(&self, names: &Names) {
         let mut counts = self.0.borrow_mut();
         for end in [End::Answered, End::Deferred, End::Errored] {
@@ -104,23 +105,23 @@
         }
     }
 
-    /// A message of this class ended.
+    /// Counts the end of a message of this class.
     pub fn ended(&self, class: &str, end: End) {
         *self.0.borrow_mut().of(end).entry(class.to_owned()).or_default() += 1;
     }
 
-    /// So many messages were written whole to an endpoint.
+    /// Counts messages that were completely written to an endpoint.
     pub fn sent(&self, messages: usize) {
         self.0.borrow_mut().sends += messages as u64;
     }
 
-    /// A file was taken at SIGHUP, or turned down.
+    /// Counts a configuration that was applied or rejected at SIGHUP.
     pub fn reloaded(&self, taken: bool) {
         let mut counts = self.0.borrow_mut();
         *if taken { &mut counts.conf_loaded } else { &mut counts.conf_invalid } += 1;
     }
 
-    /// A list of this version was taken; of so many entries, if it was a whole one.
+    /// Counts an accepted list of this version; `endpoints` is its number of entries if it is a complete one.
     pub fn list_taken(&self, index: u64, endpoints: Option<usize>) {
         let list = &mut self.0.borrow_mut().list;
         list.index = index;
@@ -128,7 +129,7 @@
         list.endpoints = endpoints.unwrap_or(list.endpoints);
     }
 
-    /// A list came that was not taken, for the reason of this code. How many these are in a row.
+    /// Counts a rejected list with this error code. Returns the number of rejections in a row.
     pub fn list_refused(&self, code: &'static str) -> u32 {
         let list = &mut self.0.borrow_mut().list;
         list.refused += 1;
@@ -137,17 +138,17 @@
         list.refused_in_a_row
     }
 
-    /// How things stand from now on.
+    /// Sets the gauges.
     pub fn stand(&self, now: Now) {
         self.0.borrow_mut().now = now;
     }
 
-    /// What was held is another process's.
+    /// Resets the number of messages held, which now belong to another process.
     pub fn handed_over(&self) {
         self.0.borrow_mut().now.current = 0;
     }
 
-    /// All of them at this moment, as JSON.
+    /// The current values as JSON.
     pub fn json(&self) -> Vec<u8> {
         serde_json::to_vec(&*self.0.borrow()).unwrap_or_default()
     }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -1,8 +1,8 @@
-//! The handover between two processes of one sender, so that a new version takes over under load. The folder
-//! that lasts belongs to the process that holds a lock in it. The new process asks the old one for it over a
-//! socket there: the old one stops taking connections and beginning calls, tells all that it knows, and
-//! lets go of the lock. What still happens there is passed on: ends of calls, and what clients bring
-//! over the connections that they have. So every decision is made by one module at any time.
+//! The handover between two processes of one sender, which lets a new version take over under load. The state
+//! folder belongs to the process that holds the lock file in it. The new process requests the folder over a
+//! socket there: the old process stops accepting connections and starting calls, sends its complete state,
+//! and releases the lock. Afterwards it forwards what still happens in it: ends of calls, and requests on
+//! open client connections. So at any time a single decision module makes all decisions.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fs::{File, OpenOptions, TryLockError};
@@ -33,28 +33,28 @@
 use super::working::Working;
 use super::{AttemptOver, Clock, Inbound, STOP_WITHIN, Standing};
 
-/// Held by the process that the folder belongs to.
+/// Lock file, held by the process that owns the folder.
 const LOCK: &str = "owner";
-/// Where the next process asks.
+/// Socket on which the next process requests the folder.
 const SOCKET: &str = "successor";
-/// What it says first: whoever else connects there gets nothing.
+/// The request. A peer that sends anything else gets no answer.
 const ASK: &[u8; 10] = b"take over\n";
-/// How long the old process may take to tell what it knows.
+/// Time limit for the transfer of the old process's state.
 const TOLD_WITHIN: Duration = Duration::from_secs(2);
-/// Rest before the next look at a lock that is held.
+/// Pause before a held lock is tried again.
 const AGAIN: Duration = Duration::from_millis(20);
-/// How long what is passed on may take to be written.
+/// Time limit for writing one forwarded frame.
 const PASSED_WITHIN: Duration = Duration::from_millis(500);
-/// A longer frame is not read.
+/// Maximum size of a frame, bytes.
 const FRAME_LIMIT: u32 = 16 << 20;
 
-/// All that a sender knows beside its journal. It goes by the names of its fields, so that versions may
-/// differ in what they add.
+/// The complete state of a sender apart from its journal. Fields are encoded by name, so that versions may
+/// differ in the fields that they add.
 #[derive(Deserialize)]
 pub struct Knowledge {
-    /// The old process's clock.
+    /// Time on the old process's clock.
     pub now: Micros,
-    /// The module, as it stands after its last turn.
+    /// The decision module after its last turn.
     pub policy: Policy,
     /// The settings in force.
     pub settings: Settings,
@@ -62,29 +62,29 @@
     pub names: Names,
     /// Endpoints by id.
     pub endpoints: HashMap<EndpointId, Known>,
-    /// Ids by name.
+    /// Endpoint ids by name.
     pub ids: HashMap<String, EndpointId>,
-    /// Ids given out.
+    /// Number of endpoint ids assigned.
     pub given: u64,
-    /// The list's version.
+    /// Version of the endpoint list.
     pub index: u64,
-    /// Reminders that the module asked for.
+    /// Timers that the module has set.
     pub timers: BTreeSet<(Micros, u64)>,
-    /// The next message's number.
+    /// Number of the next message.
     pub next_message: u32,
-    /// Messages held, by `Req-Id`.
+    /// Numbers of the messages held, by `Req-Id`.
     pub held: HashMap<String, u32>,
-    /// Attempts begun for each.
+    /// Number of attempts begun for each message held.
     pub attempts: HashMap<u32, u16>,
-    /// Which destinations of a long list are resident; an older process has all.
+    /// The resident destinations of a long list; in an older process all are resident.
     #[serde(default)]
     pub working: Working,
 }
 
-/// The same, as the old process has it.
+/// [`Knowledge`] as the old process serializes it, by reference.
 #[derive(Serialize)]
 pub struct Knowing<'a> {
-    /// See [`Knowledge`], for this and what follows.
+    /// See [`Knowledge`] for this and the following fields.
     pub now: Micros,
     /// The module.
     pub policy: &'a Policy,
@@ -94,27 +94,28 @@
     pub names: &'a Names,
     /// Endpoints by id.
     pub endpoints: &'a HashMap<EndpointId, Known>,
-    /// Ids by name.
+    /// Endpoint ids by name.
     pub ids: &'a HashMap<String, EndpointId>,
-    /// Ids given out.
+    /// Number of endpoint ids assigned.
     pub given: u64,
-    /// The list's version.
+    /// Version of the endpoint list.
     pub index: u64,
-    /// Reminders that the module asked for.
+    /// Timers that the module has set.
     pub timers: &'a BTreeSet<(Micros, u64)>,
-    /// The next message's number.
+    /// Number of the next message.
     pub next_message: u32,
-    /// Messages held, by `Req-Id`.
+    /// Numbers of the messages held, by `Req-Id`.
     pub held: &'a HashMap<String, u32>,
-    /// Attempts begun for each.
+    /// Number of attempts begun for each message held.
     pub attempts: &'a HashMap<u32, u16>,
-    /// Which destinations of a long list are resident.
+    /// The resident destinations of a long list.
     pub working: &'a Working,
-    /// Names of the endpoints that the module takes for drained by operators; an older version asks for them.
+    /// Names of the endpoints that the module treats as drained by operators; older versions require the
+    /// field.
     pub drained: BTreeSet<String>,
 }
 
-/// What the old process passes on.
+/// Events that the old process forwards to the new one.
 #[derive(Serialize, Deserialize)]
 enum Told {
     HandedIn { number: u64, taken: Taken, owner: Option<String>, class: usize },
@@ -124,25 +125,29 @@
     Probed(EndpointId, Outcome, Vec<f32>),
 }
 
-/// What the new process has the old one do.
+/// Commands of the new process to the old one.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Order {
-    /// Answer the client that handed this in.
+    /// Answer the client whose submission was forwarded under this number.
     Answer(u64, Answer),
-    /// Call an attempt off.
+    /// Cancel an attempt.
     Cancel(MessageId, u16),
 }
 
-/// What is written for a value; what would not be read is not written either.
+/// Encodes a value as a frame. Fails for a value that the reader would reject as too long.
 fn frame<T: Serialize>(value: &T) -> io::Result<Vec<u8>> {
     let body = rmp_serde::to_vec_named(value).map_err(io::Error::other)?;
     let length = u32::try_from(body.len()).ok().filter(|length| *length <= FRAME_LIMIT);
-    let length = length.ok_or_else(|| io::Error::other(format!("a frame of {} bytes", body.len())))?;
+    let length = length.ok_or_else(|| io::Error::other(too_long(body.len())))?;
     let mut frame = length.to_le_bytes().to_vec();
     frame.extend(body);
     Ok(frame)
 }
 
+fn too_long(length: impl std::fmt::Display) -> String {
+    format!("handover frame of {length} bytes is over the limit of {FRAME_LIMIT} bytes")
+}
+
 async fn write_frame<T: Serialize>(to: &mut (impl AsyncWrite + Unpin), value: &T) -> io::Result<()> {
     to.write_all(&frame(value)?).await
 }
@@ -150,31 +155,31 @@
 async fn read_frame<T: DeserializeOwned>(from: &mut (impl AsyncRead + Unpin)) -> io::Result<T> {
     let length = from.read_u32_le().await?;
     if length > FRAME_LIMIT {
-        return Err(io::Error::other(format!("a frame of {length} bytes")));
+        return Err(io::Error::other(too_long(length)));
     }
     let mut body = vec![0; length as usize];
     from.read_exact(&mut body).await?;
     rmp_serde::from_slice(&body).map_err(io::Error::other)
 }
 
-/// The folder is this process's own for as long as this is kept.
+/// Ownership of the state folder; dropping it releases the lock.
 pub struct Claim(#[expect(dead_code, reason = "the lock is held while the file is open")] File);
 
-/// The old process, and what it knew.
+/// The old process and its state.
 pub struct Predecessor {
-    /// What it knew.
+    /// Its state when it handed over.
     pub knowledge: Box<Knowledge>,
-    /// The way to it.
+    /// The connection to it.
     pub link: Link,
 }
 
-/// The way to the old process.
+/// The connection to the old process.
 pub struct Link(UnixStream);
 
-/// Waits until the folder belongs to this process: at once, unless another one has it.
+/// Waits until this process owns the folder; returns at once if no other process owns it.
 ///
 /// # Errors
-/// Fails when the folder can't be written.
+/// Fails when the folder cannot be written.
 pub async fn claim(folder: &Path) -> io::Result<(Claim, Option<Predecessor>)> {
     std::fs::create_dir_all(folder)?;
     let lock = OpenOptions::new().create(true).truncate(false).write(true).open(folder.join(LOCK))?;
@@ -188,12 +193,12 @@
         }
         predecessor = match timeout(TOLD_WITHIN, ask(folder)).await {
             Ok(Ok(told)) => Some(told),
-            // It is on its way out, not up yet, or of a version that can't be read: the lock tells when it
-            // has gone, and the journal what it left.
+            // The owner is about to end, is not ready yet, or has a version whose state cannot be decoded.
+            // The lock then shows when it has ended, and the journal holds what it left.
             Ok(Err(_)) | Err(_) => None,
         };
         if predecessor.is_none() && !std::mem::replace(&mut said, true) {
-            tracing::warn!("the process before does not hand over; this one waits for its end");
+            tracing::warn!("the running process does not hand over its state; waiting until it ends");
         }
         if predecessor.is_none() {
             tokio::time::sleep(AGAIN).await;
@@ -209,8 +214,8 @@
 }
 
 impl Link {
-    /// Has what still happens at the old process told to the driver, until it is gone. What it had out then
-    /// may have run.
+    /// Forwards the old process's events to the driver until that process is gone. Calls that were still out
+    /// then may have run.
     pub fn follow(
         self,
         inbound: UnboundedSender<Inbound>,
@@ -248,7 +253,8 @@
                 Inbound::HandedIn(HandedIn { taken, class, answer })
             }
             Told::Withdrawn(id) => {
-                // Nobody waits any more, and the driver must find it so.
+                // The client is gone. The driver must find the answer channel closed when it handles the
+                // event.
                 if let Some(task) = waiting.remove(&id) {
                     task.abort();
                     let _ = task.await;
@@ -279,10 +285,10 @@
     }
 }
 
-/// Waits for the next process to ask for the folder.
+/// Waits until the next process requests the folder.
 pub async fn successor(folder: &Path) -> io::Result<UnixStream> {
     let path = folder.join(SOCKET);
-    // One that an earlier process left is nobody's.
+    // A socket left by an earlier process is stale.
     let _ = std::fs::remove_file(&path);
     let listener = UnixListener::bind(path)?;
     loop {
@@ -295,22 +301,23 @@
     }
 }
 
-/// A new process that has been told all but the last byte of what is known here: up to that byte it can do nothing,
-/// and the old process can go on as if it had never asked.
+/// A new process that has received this process's state except for the last byte. Without that byte it can do
+/// nothing, and the old process can continue as if there had been no request.
 pub struct Offered {
     stream: UnixStream,
     last: u8,
 }
 
-/// Tells the new process what is known, up to the last byte.
+/// Sends the state to the new process, except for the last byte.
 ///
 /// # Errors
-/// Fails if it is gone, does not read, or could not read that much; then nothing has changed.
+/// Fails if the new process is gone or does not read, or if the state exceeds the frame limit; then nothing
+/// has changed.
 pub async fn offer(mut stream: UnixStream, knowledge: &impl Serialize) -> io::Result<Offered> {
     let mut frame = frame(knowledge)?;
     let last = frame.pop().unwrap_or_default();
     timeout(TOLD_WITHIN, stream.write_all(&frame)).await??;
-    // What it closed with everything unread in its buffer was written all the same.
+    // The write succeeds even if the peer has closed and the state is only in the socket's buffer.
     match stream.try_read(&mut [0]) {
         Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(Offered { stream, last }),
         Err(e) => Err(e),
@@ -318,28 +325,28 @@
     }
 }
 
-/// What the old process keeps until it is asked to end.
+/// What the old process still runs after the handover, until it ends.
 pub struct Relay {
     /// The process's clock.
     pub clock: Clock,
-    /// Clients' connections.
+    /// Client connections.
     pub intake: Rc<Intake>,
     /// Calls that are out.
     pub calls: Calls,
-    /// When the process is killed, if it was asked to end.
+    /// When the process is killed, if it has been asked to end.
     pub stop_at: Option<Micros>,
-    /// For the tasks.
+    /// Sender for the events of the tasks.
     pub inbound: UnboundedSender<Inbound>,
 }
 
 impl Relay {
-    /// Gives the new process the folder and passes on what still comes.
+    /// Releases the folder to the new process and forwards all further events to it.
     pub async fn run(mut self, told: Offered, claim: Claim, mut events: UnboundedReceiver<Inbound>) {
         let Offered { mut stream, last } = told;
-        // Whoever reads the last byte finds the lock free.
+        // The lock is free before the new process can read the last byte.
         drop(claim);
         if !matches!(timeout(TOLD_WITHIN, stream.write_all(&[last])).await, Ok(Ok(()))) {
-            tracing::warn!("the new process did not take over; the journal is left to it");
+            tracing::warn!("the new process did not complete the takeover; the journal is left to it");
             return;
         }
         let (mut from, to) = stream.into_split();
@@ -356,11 +363,11 @@
         let mut handed_in = 0;
         loop {
             let inbound = match self.stop_at {
-                // It ends a moment after the last of its work, or when its time is up.
+                // The process ends shortly after its last work is done, or when its time is up.
                 Some(at) => {
                     let idle = self.intake.open() == 0 && self.calls.out() == 0 && waiting.is_empty();
                     if idle && events.is_empty() || self.clock.now() >= at {
-                        // What was passed on last is on its way still.
+                        // Leaves time for the last forwarded frame to be written.
                         tokio::time::sleep(AGAIN).await;
                         return;
                     }
@@ -389,7 +396,7 @@
                     Told::Probed(endpoint, outcome, report)
                 }
                 Inbound::Ordered(Some(Order::Answer(number, answer))) => {
-                    // Who does not wait any more has said so.
+                    // A client that no longer waits has been reported as withdrawn.
                     waiting.remove(&number).map(|waiting| waiting.send(answer));
                     continue;
                 }
@@ -397,7 +404,7 @@
                     self.calls.cancel(message, attempt);
                     continue;
                 }
-                // Nobody is left to tell: the journal has all that is owed.
+                // The new process is gone. The journal holds every message that has not ended.
                 Inbound::Ordered(None) => return,
                 Inbound::Terminate => {
                     self.stop_at.get_or_insert(self.clock.now() + STOP_WITHIN);
@@ -411,7 +418,7 @@
                     let _ = reply.send(Reply::no(&NoCall::HandedOver));
                     continue;
                 }
-                // The new process's matters: it has a watch, notices and a configuration of its own.
+                // Left to the new process, which has its own watch of the list, notices and configuration.
                 Inbound::Event(_)
                 | Inbound::Datagram(..)
                 | Inbound::Listed(_)
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -1,26 +1,26 @@
 use super::*;
 
-/// Guards the folder against two owners, whatever becomes of the asking.
+/// The folder must never have two owners, even if the request to the old process gets no answer.
 #[tokio::test(start_paused = true)]
 async fn a_folder_has_one_owner_at_a_time() -> io::Result<()> {
     let folder = tempfile::tempdir()?;
     let (first, before) = claim(folder.path()).await?;
     assert!(before.is_none());
     let second = timeout(Duration::from_secs(60), claim(folder.path())).await;
-    assert!(second.is_err(), "it waits while the folder is another's");
+    assert!(second.is_err(), "the claim waits while another process owns the folder");
     drop(first);
     claim(folder.path()).await?;
     Ok(())
 }
 
-/// Guards a serving process against whoever finds the socket and is no successor.
+/// A serving process must not hand over to a peer that connects to the socket but is no successor.
 #[tokio::test(start_paused = true)]
 async fn only_who_asks_for_it_takes_over() -> io::Result<()> {
     let folder = tempfile::tempdir()?;
     let asked = successor(folder.path());
     let calls = async {
         let path = folder.path().join(SOCKET);
-        // The listener is there once the other future has been polled.
+        // The socket exists once the other future has been polled.
         while !path.exists() {
             tokio::task::yield_now().await;
         }
@@ -39,16 +39,16 @@
     Ok(())
 }
 
-/// Guards a serving process against giving all away to a next one that is gone, or that could not read it.
+/// A serving process must not give up its state to a successor that is gone or could not decode it.
 #[tokio::test]
 async fn only_what_can_be_read_and_has_a_reader_is_offered() -> io::Result<()> {
     let (here, there) = UnixStream::pair()?;
     drop(there);
-    assert!(offer(here, &"all").await.is_err(), "nobody reads it");
+    assert!(offer(here, &"all").await.is_err(), "the peer has closed");
     let (here, mut there) = UnixStream::pair()?;
-    assert!(offer(here, &vec![0u8; FRAME_LIMIT as usize]).await.is_err(), "longer than is read");
+    assert!(offer(here, &vec![0u8; FRAME_LIMIT as usize]).await.is_err(), "longer than the frame limit");
     let mut told = Vec::new();
-    assert_eq!(there.read_to_end(&mut told).await?, 0, "nothing of it is written");
+    assert_eq!(there.read_to_end(&mut told).await?, 0, "no part of it is written");
     let (here, mut there) = UnixStream::pair()?;
     let Offered { mut stream, last } = offer(here, &"all").await?;
     let whole = frame(&"all")?;
@@ -60,7 +60,7 @@
     Ok(())
 }
 
-/// Guards the process that serves against a next one that reads nothing: the wait for it has an end.
+/// A serving process must not wait forever for a successor that reads nothing.
 #[tokio::test(start_paused = true)]
 async fn who_does_not_read_is_not_waited_for() -> io::Result<()> {
     let (here, _there) = UnixStream::pair()?;
--- a/src/net/intake.rs
+++ b/src/net/intake.rs
@@ -1,4 +1,4 @@
-//! What clients ask: to take a message, and whether the sender is ready.
+//! The HTTP server for clients: submission of messages, and readiness.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -25,67 +25,71 @@
 use super::names::Names;
 use super::{BODY_LIMIT, Clock, Inbound, STOP_WITHIN, Standing};
 
-/// Guards the places for clients: a connection that brings no request for so long is closed. The platform
-/// lets idle ones go after 2 s, and wants an answer or a close 3 s after connecting.
+/// A connection that brings no complete request head within this time is closed, so that idle peers do not
+/// use up the connection limit. The platform drops idle connections after 2 s, and requires an answer or a
+/// close within 3 s of connecting.
 const HEAD_WITHIN: Duration = Duration::from_millis(2250);
-/// A process that was asked to end keeps connections for so long. Clients go on using each that stays open until the
-/// process is killed, whatever that does to their last requests. So from then on each answer ends its connection, and
-/// what stands idle has gone by `HEAD_WITHIN` before the end: none is closed that a request may be on its way over.
+/// How long a process that was asked to end keeps connections alive. Clients go on using a connection that
+/// stays open until the process is killed, even if that loses their last requests. After this time each
+/// answer closes its connection, and idle ones reach `HEAD_WITHIN` before the process ends, so that no
+/// connection is closed while a request may be on its way.
 const KEPT_WHILE_STOPPING: Duration = Duration::from_micros(STOP_WITHIN)
     .saturating_sub(HEAD_WITHIN)
     .saturating_sub(LINGER_WITHIN)
     .saturating_sub(Duration::from_millis(50));
-/// A lingering close lasts so long at most: no client waits longer than 400 ms for its answer, so that one whose
-/// request crossed the close has gone by then, and a bad peer is let go 3 s after connecting.
+/// Maximum duration of a lingering close. No client waits longer than 400 ms for its answer, so a client
+/// whose request crossed the close has given up by then, and a misbehaving peer is disconnected within 3 s of
+/// connecting.
 const LINGER_WITHIN: Duration = Duration::from_millis(400);
-/// Bytes that a lingering close reads and discards at most: some of the longest requests. Whoever sends more, as
-/// floods do, finds its connection reset, which is an end, too.
+/// Maximum number of bytes that a lingering close reads and discards: several requests of maximum length. The
+/// connection of a peer that sends more, as in a flood, is reset.
 const LINGER_BYTES: u64 = 16 * BODY_LIMIT as u64;
-/// How long a body may take after its head: no client waits longer than 400 ms for its answer.
+/// Time limit for a request's body after its head: no client waits longer than 400 ms for its answer.
 const BODY_WITHIN: Duration = Duration::from_millis(500);
 
-/// A longer head is refused unread. It bounds what a connection buffers, too: bodies pass through in pieces.
+/// Maximum size of a request's head, bytes; a longer one is rejected unread. This also bounds the buffer of a
+/// connection, because bodies are read in pieces.
 const HEAD_LIMIT: usize = 16 * 1024;
 
-/// Says what a session must not be shown less than; `docs/plans.md`.
+/// Header with a session token: the position that the session's reads must include. See `docs/plans.md`.
 pub const SESSION_TOKEN: &str = "session-token";
 
-/// A message that a client hands in, and where its answer goes.
+/// A message that a client submits, with the channel for its answer.
 #[derive(Debug)]
 pub struct HandedIn {
     /// The message.
     pub taken: Taken,
-    /// Its class's position in the settings.
+    /// Position of its class in the settings.
     pub class: usize,
-    /// Waits for the answer.
+    /// Receives the answer.
     pub answer: oneshot::Sender<Answer>,
 }
 
-/// What the client hears.
+/// The answer to a submission.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// The sender owes the message its end.
+    /// The message is accepted: the sender is responsible for it until it ends.
     Taken,
-    /// Handing it in again is harmless, best after so many microseconds.
+    /// Not accepted. The message can safely be submitted again, preferably after this many microseconds.
     Refused(Micros),
-    /// Failed.
+    /// The submission failed.
     Failed,
-    /// Taken, with a session token, since the tenant's plan has sessions.
+    /// Accepted, with a session token, because the tenant's plan has sessions.
     TakenAt(String),
 }
 
-/// What all client connections share.
+/// State shared by all client connections.
 pub struct Intake {
     clock: Clock,
     names: Rc<RefCell<Names>>,
     inbound: UnboundedSender<Inbound>,
     standing: watch::Receiver<Standing>,
-    /// Since when the process is asked to end.
+    /// When the process was asked to end.
     stopping: Cell<Option<Instant>>,
     open: Cell<usize>,
 }
 
-/// Tells the driver that a client went away before its answer.
+/// Reports to the driver, when dropped, that a client disconnected before its answer.
 struct Withdrawal<'a> {
     id: Option<String>,
     inbound: &'a UnboundedSender<Inbound>,
@@ -99,7 +103,7 @@
     }
 }
 
-/// An answer of one line.
+/// A plain-text answer of one line.
 pub fn plain(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
@@ -107,28 +111,28 @@
     response
 }
 
-/// Whether clients are welcome.
+/// The answer to a readiness call.
 pub fn readiness(standing: Standing) -> Response<Full<Bytes>> {
     let ready = standing == Standing::InService;
     plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, standing.said())
 }
 
-/// The last answer on its connection.
+/// Marks a response as the last one on its connection.
 pub fn closing(mut response: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-/// A header's text, if it is there and visible ASCII.
+/// The value of a header, if it is present, visible ASCII and not empty.
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok().map(str::trim).filter(|text| !text.is_empty())
 }
 
-/// Lingering close: a close over bytes that nobody has read resets the connection, and the reset takes along what
-/// the client has not read yet, be it a 202. So the sending side ends first, and what still comes is read, never
-/// parsed, until the client has closed, too, or for so long.
+/// Closes a connection in a lingering way. Closing while received bytes are unread resets the connection, and
+/// the reset discards what the client has not read yet, which may be a 202. So the sending side is shut down
+/// first, and incoming bytes are read, but not parsed, until the client closes or `within` has passed.
 pub async fn linger(mut stream: TcpStream, within: Duration) {
-    // Fails where the client has gone already: nothing can be lost then.
+    // Fails if the client is already gone; then nothing can be lost.
     if stream.shutdown().await.is_ok() {
         let mut rest = stream.take(LINGER_BYTES);
         let _ = timeout(within, copy(&mut rest, &mut sink())).await;
@@ -136,7 +140,7 @@
 }
 
 impl Intake {
-    /// What connections share.
+    /// Creates the shared state.
     pub fn new(
         clock: Clock,
         names: Rc<RefCell<Names>>,
@@ -146,12 +150,12 @@
         Self { clock, names, inbound, standing, stopping: Cell::default(), open: Cell::new(0) }
     }
 
-    /// Client connections that are open.
+    /// Number of open client connections.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Takes connections for as long as the process runs, `most` at a time.
+    /// Accepts connections for as long as the process runs, at most `most` at a time.
     pub async fn listen(self: Rc<Self>, listener: Rc<TcpListener>, most: usize) {
         let places = std::sync::Arc::new(Semaphore::new(most));
         let noted = self.clone();
@@ -164,7 +168,7 @@
         loop {
             let Ok(place) = places.clone().acquire_owned().await else { return };
             let Ok((stream, _)) = listener.accept().await else {
-                // Out of descriptors, say: it must not spin.
+                // For example out of descriptors. The pause keeps the loop from spinning.
                 tokio::time::sleep(Duration::from_millis(10)).await;
                 continue;
             };
@@ -172,8 +176,8 @@
         }
     }
 
-    /// Serves a connection. It counts as open from here on, not only once its task has begun to run: the process
-    /// may look whether it can end before that.
+    /// Serves a connection in a task of its own. It counts as open from here on, not only once the task runs,
+    /// because the process may check whether it can end before that.
     fn admit(self: Rc<Self>, stream: TcpStream, place: Option<OwnedSemaphorePermit>) {
         self.open.set(self.open.get() + 1);
         tokio::task::spawn_local(async move {
@@ -183,10 +187,10 @@
         });
     }
 
-    /// Serves what the listen backlog still holds, `most` connections at once: closing the listener would reset them,
-    /// with the requests that their clients have written already.
+    /// Serves up to `most` connections that are still in the listen backlog. Closing the listener would reset
+    /// them, together with the requests that their clients have already written.
     pub async fn admit_waiting(self: &Rc<Self>, door: &TcpListener, most: usize) {
-        // What has come since the runtime last looked at its sockets is seen when it looks again.
+        // Lets the runtime poll its sockets again, so that connections that have arrived since are seen.
         tokio::task::yield_now().await;
         let mut look = Context::from_waker(Waker::noop());
         for _ in 0..most {
@@ -203,24 +207,24 @@
             .header_read_timeout(HEAD_WITHIN)
             .max_buf_size(HEAD_LIMIT)
             .serve_connection(TokioIo::new(&mut stream), service);
-        // Nothing ends it but its client, its own time or an answer.
+        // Errors are not reported: the client closed, a time limit passed, or an answer ended the connection.
         let _ = connection.await;
         linger(stream, LINGER_WITHIN).await;
     }
 
-    /// Whether a connection is good for more than the answer at hand.
+    /// Whether a connection stays open after the current answer.
     fn keeps(&self) -> bool {
         match *self.standing.borrow() {
             Standing::InService => true,
             Standing::Stopping => self.stopping.get().is_none_or(|at| at.elapsed() < KEPT_WHILE_STOPPING),
-            // Whoever still comes to a sender that sends clients elsewhere gets one answer a connection.
+            // Clients that still connect to a process that is not in service get one answer per connection.
             Standing::Starting | Standing::OutOfService | Standing::HandedOver => false,
         }
     }
 
     async fn answer(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
         let response = match (request.method(), request.uri().path()) {
-            // Whoever only looks keeps no place from those who hand in.
+            // A readiness check does not keep a connection that a submitting client could use.
             (&Method::GET, "/ready") => closing(readiness(*self.standing.borrow())),
             (&Method::POST, _) => self.hand_in(request).await,
             _ => plain(StatusCode::NOT_FOUND, "not found\n"),
@@ -228,13 +232,13 @@
         Ok(if self.keeps() { response } else { closing(response) })
     }
 
-    /// Guards against anything that a client may write: what can't be meant as a message gets 400.
+    /// Handles a submission. Whatever a client may write, a request that is no valid message gets 400.
     async fn hand_in(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let came = self.clock.now();
         let (head, body) = request.into_parts();
         let bad = |what| plain(StatusCode::BAD_REQUEST, what);
-        // Guards against a request hidden in another's body: hyper shows no length beside a transfer coding,
-        // so that the two can't be told to agree, and what follows on the connection can't be trusted.
+        // Guards against request smuggling: hyper hides the length when there is a transfer coding, so it
+        // cannot be checked that the two agree, and what follows on the connection cannot be trusted.
         if head.headers.contains_key(TRANSFER_ENCODING) {
             return closing(plain(StatusCode::LENGTH_REQUIRED, "Content-Length is required\n"));
         }
@@ -243,37 +247,37 @@
         let kind = text(&head.headers, "req-kind").unwrap_or(path);
         let class = self.names.borrow().class(kind).filter(|_| kind == path);
         let Some(class) = class else {
-            return bad("Req-Kind or the path names no class\n");
+            return bad("Req-Kind or the path does not name a class\n");
         };
         let owner = text(&head.headers, "req-owner").map(str::to_owned);
         if !self.names.borrow().owns(owner.as_deref()) {
-            return bad("Req-Owner names no tenant\n");
+            return bad("Req-Owner does not name a tenant\n");
         }
         let destination = text(&head.headers, "x-consignee").and_then(|pairs| {
             let mut pairs = pairs.split([',', ';']).filter_map(|pair| pair.split_once('='));
             pairs.find(|(name, _)| name.trim() == "dest")?.1.trim().parse().ok()
         });
-        let Some(destination) = destination else { return bad("X-Consignee names no dest\n") };
+        let Some(destination) = destination else { return bad("X-Consignee has no valid dest\n") };
         let left = text(&head.headers, "req-deadline-ms").and_then(|ms| ms.parse::<u32>().ok());
-        let Some(left) = left else { return bad("Req-Deadline-Ms is no time\n") };
+        let Some(left) = left else { return bad("Req-Deadline-Ms is not a number of milliseconds\n") };
         let key = match head.headers.get("idempotency-key") {
             Some(_) => match text(&head.headers, "idempotency-key") {
                 Some(key) => Some(key.to_owned()),
-                None => return bad("Idempotency-Key can't be read\n"),
+                None => return bad("Idempotency-Key is empty or not visible ASCII\n"),
             },
             None => None,
         };
         let id = id.to_owned();
         let body = match timeout(BODY_WITHIN, Limited::new(body, BODY_LIMIT).collect()).await {
             Ok(Ok(body)) => body,
-            Ok(Err(_)) => return bad("the body can't be read or is over 64 KiB\n"),
-            Err(_) => return plain(StatusCode::REQUEST_TIMEOUT, "the body took too long\n"),
+            Ok(Err(_)) => return bad("the body is truncated or longer than 64 KiB\n"),
+            Err(_) => return plain(StatusCode::REQUEST_TIMEOUT, "the body did not arrive within 500 ms\n"),
         };
         let deadline = came + Micros::from(left) * 1000;
         let class_name = kind.to_owned();
         let body = body.to_bytes();
         let id_said = id.clone();
-        // What repeating it does is for the settings to say that are in force when it is taken on.
+        // The driver sets the effect from the settings that are in force when it accepts the message.
         let effect = None;
         let taken = Taken { id: id_said, key, class: class_name, owner, effect, destination, deadline, body };
         let mut withdrawal = Withdrawal { id: Some(id), inbound: &self.inbound };
--- a/src/net/intake/tests.rs
+++ b/src/net/intake/tests.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// What a peer is told that writes these pieces, half a second apart, and how long it is kept.
+/// Writes these pieces half a second apart; returns what the peer receives, and after which time it is
+/// disconnected.
 async fn told(pieces: &[&str]) -> std::io::Result<(String, Duration)> {
     let (intake, _events) = intake(Standing::InService);
     let listener = TcpListener::bind("127.0.0.1:0").await?;
@@ -20,14 +21,14 @@
                 }
             }
             let mut told = Vec::new();
-            // That it closes is what counts, with a reset or without.
+            // Only the close matters, whether or not it is a reset.
             let _ = timeout(Duration::from_secs(600), peer.read_to_end(&mut told)).await;
             Ok((String::from_utf8_lossy(&told).into_owned(), begun.elapsed()))
         })
         .await
 }
 
-/// Guards the places for clients against peers that bring nothing, or never come to an end.
+/// Peers that send nothing, or never complete a request, must not occupy the connections meant for clients.
 #[tokio::test(start_paused = true)]
 async fn whoever_brings_no_whole_request_is_answered_or_closed_in_time() -> std::io::Result<()> {
     let head = "POST /order HTTP/1.1\r\nReq-Id: a\r\nX-Consignee: dest=7\r\nReq-Deadline-Ms: 900\r\n";
@@ -44,13 +45,13 @@
         let (told, kept) = told(&pieces).await?;
         assert!(told.starts_with(answer) && told.is_empty() == answer.is_empty(), "{pieces:?}: {told}");
         assert!(kept < Duration::from_secs(3), "{pieces:?}: {kept:?}");
-        // The platform's clients may keep an idle connection for 2 s.
+        // Clients of the platform may keep an idle connection for 2 s.
         assert!(answer != "HTTP/1.1 404" || kept > Duration::from_secs(2), "{pieces:?}: {kept:?}");
     }
     Ok(())
 }
 
-/// Guards the places for clients against those who look and stay.
+/// Callers of `/ready` must not occupy the connections meant for clients.
 #[tokio::test(start_paused = true)]
 async fn a_look_at_readiness_keeps_no_connection() -> std::io::Result<()> {
     let (told, kept) = told(&["GET /ready HTTP/1.1\r\n\r\n"]).await?;
@@ -59,7 +60,7 @@
     Ok(())
 }
 
-/// Guards the memory against heads without end; whoever still writes may find the connection reset.
+/// Endless heads must not use up memory. A peer that is still writing may find its connection reset.
 #[tokio::test(start_paused = true)]
 async fn a_head_beyond_all_measure_is_refused() -> std::io::Result<()> {
     let pad = "p".repeat(200_000);
@@ -70,7 +71,7 @@
     Ok(())
 }
 
-/// What connections are served with here, and what they hand in.
+/// An intake with one class, and the receiver of its events.
 fn intake(standing: Standing) -> (Rc<Intake>, tokio::sync::mpsc::UnboundedReceiver<Inbound>) {
     let (inbound, events) = tokio::sync::mpsc::unbounded_channel();
     let names = Names { classes: vec!["order".into()], ..Names::default() };
@@ -84,8 +85,8 @@
     format!("POST /order HTTP/1.1\r\nReq-Id: {id}\r\n{head}\r\nContent-Length: {length}\r\n\r\n{body}").into()
 }
 
-/// What a client finds that has written all this before its connection is let in, and the ids that are handed in.
-/// Each of them is taken on.
+/// Serves a client that has written all of `written` before its connection is accepted. Returns what the
+/// client reads, and the ids of the submitted messages, all of which are accepted.
 async fn crossing(written: Vec<u8>) -> std::io::Result<(std::io::Result<String>, Vec<String>)> {
     let (intake, mut events) = intake(Standing::OutOfService);
     let listener = TcpListener::bind("127.0.0.1:0").await?;
@@ -112,18 +113,18 @@
                     }
                 }
             };
-            // A reset that comes behind the end is one that overtakes the answer where the way is longer.
+            // A reset that follows the end of the stream would overtake the answer on a slower network.
             let read = read.and_then(|n| client.take_error()?.map_or(Ok(n), Err));
             Ok((read.map(|_| String::from_utf8_lossy(&told).into_owned()), ids))
         })
         .await
 }
 
-/// Guards a written 202 against the reset of a close over unread bytes, and the next request against being taken on
-/// once nobody can be answered.
+/// Closing a connection with unread bytes resets it, which could discard a written 202. Also, the next
+/// request must not be accepted when it can no longer be answered.
 #[tokio::test]
 async fn a_last_answer_arrives_whole_though_the_next_request_is_there() -> std::io::Result<()> {
-    // The second is longer than what is read at once with the first.
+    // The second request is longer than what is read together with the first.
     let written = [handing_in("first", 9), handing_in("second", 40_000)].concat();
     let (told, ids) = crossing(written).await?;
     let told = told?;
@@ -132,7 +133,7 @@
     Ok(())
 }
 
-/// Guards early errors against the reset of a close while the body is still unread.
+/// An early error must reach the client although closing with an unread body would reset the connection.
 #[tokio::test]
 async fn an_early_error_arrives_whole_though_the_body_is_unread() -> std::io::Result<()> {
     let coded = b"POST /order HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
@@ -147,7 +148,7 @@
     Ok(())
 }
 
-/// Guards the places for clients against whoever is told that its connection is over and stays.
+/// Peers that stay connected after the last answer must not occupy the connections meant for clients.
 #[tokio::test(start_paused = true)]
 async fn a_lingering_close_is_over_in_time() -> std::io::Result<()> {
     let (intake, _events) = intake(Standing::InService);
@@ -167,15 +168,15 @@
                 assert!(told.starts_with("HTTP/1.1 200"), "{told}");
                 kept.push(peer);
             }
-            assert!(begun.elapsed() >= LINGER_WITHIN, "the next one waits for the place");
+            assert!(begun.elapsed() >= LINGER_WITHIN, "the next connection waits for a free slot");
             assert!(begun.elapsed() < LINGER_WITHIN * 3, "{:?}", begun.elapsed());
             Ok(())
         })
         .await
 }
 
-/// Guards requests that are written while the process ends: whom the listen backlog holds is served, and counts as
-/// open before its task has run.
+/// Requests written while the process ends must not be lost: connections in the listen backlog are served,
+/// and count as open before their task has run.
 #[tokio::test]
 async fn whom_the_backlog_holds_at_the_end_is_served() -> std::io::Result<()> {
     let (intake, mut events) = intake(Standing::Stopping);
@@ -190,12 +191,12 @@
     tokio::task::LocalSet::new()
         .run_until(async {
             intake.admit_waiting(&door, 1).await;
-            assert_eq!(intake.open(), 1, "no more than there is room for");
+            assert_eq!(intake.open(), 1, "no more than the limit");
             intake.admit_waiting(&door, 9).await;
             assert_eq!(intake.open(), 2);
             drop(door);
             for _ in &clients {
-                let Some(Inbound::HandedIn(message)) = events.recv().await else { panic!("a message comes") };
+                let Some(Inbound::HandedIn(message)) = events.recv().await else { panic!("no submission") };
                 let _ = message.answer.send(Answer::Taken);
             }
             for client in &mut clients {
--- a/src/net/journal.rs
+++ b/src/net/journal.rs
@@ -1,5 +1,6 @@
-//! What the sender has taken on, in a file that outlasts the process: appended in turns, read back at the
-//! start, and rewritten when it has grown. Each record is framed by its length and checksum.
+//! The journal: a file that survives the process and holds the messages that the sender has accepted. Records
+//! are appended once per turn, read back at startup, and compacted when the file has grown. Each record is
+//! framed by its length and checksum.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -12,109 +13,110 @@
 pub use myrtleyard::takeover::lots::GivenUp;
 use serde::{Deserialize, Serialize};
 
-/// One thing that happened to a message. Times are Unix microseconds.
+/// An update of a message's state. Times are Unix microseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// The sender owes the message its end from now on.
+    /// The sender has accepted the message and is responsible for it until it ends.
     Taken(u32, Taken),
     /// An attempt is about to begin.
     Begun {
         /// The message.
         message: u32,
-        /// The attempt's number, from 0.
+        /// Number of the attempt, from 0.
         attempt: u16,
-        /// The endpoint's name.
+        /// Name of the endpoint.
         endpoint: String,
-        /// When.
+        /// Start of the attempt.
         at: Micros,
     },
-    /// An attempt ended, and the message goes on.
+    /// An attempt ended without ending the message.
     Ended {
         /// The message.
         message: u32,
-        /// The attempt's number, from 0.
+        /// Number of the attempt, from 0.
         attempt: u16,
-        /// Whether it is known not to have run.
+        /// Whether the call is known not to have run.
         never_ran: bool,
     },
-    /// The module gave the message up; the platform is still to be told.
+    /// The module gave the message up; the platform has not acknowledged the notice yet.
     GivenUp(u32, GivenUp),
-    /// Nothing more is owed.
+    /// The message has ended and nothing about it is outstanding.
     Over(u32),
-    /// Whose message it is. It stands apart from `Taken`, and after the others, so that older journals can be read.
+    /// The message's tenant. A record of its own, after the older ones, so that older journals stay readable.
     Owner(u32, String),
-    /// Others know of the message from now on: where it is covered, and since when.
+    /// The message is replicated: where its backups are, and since when.
     Covered(u32, Tag, Micros),
-    /// What repeating the message does by the settings that it was taken on under. It stands apart, and last, too.
+    /// The effect of repeating the message by the settings in force when it was accepted. A record of its own
+    /// and the last variant, for the same reason as `Owner`.
     Effect(u32, Effect),
 }
 
-/// A message as it was handed in.
+/// A message as it was submitted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Taken {
-    /// Its `Req-Id`.
+    /// The `Req-Id`.
     pub id: String,
-    /// Its `Idempotency-Key`.
+    /// The `Idempotency-Key`.
     pub key: Option<String>,
-    /// Its class, by name.
+    /// Name of the class.
     pub class: String,
-    /// Its tenant, by name; see [`Record::Owner`].
+    /// Name of the tenant; see [`Record::Owner`].
     #[serde(skip)]
     pub owner: Option<String>,
-    /// What repeating it did by the settings that it was taken on under, whatever its class says since; see
-    /// [`Record::Effect`]. An older journal does not tell.
+    /// Effect of repeating the message by the settings in force when it was accepted, whatever its class says
+    /// since; see [`Record::Effect`]. `None` in journals of older versions.
     #[serde(skip)]
     pub effect: Option<Effect>,
-    /// Its destination.
+    /// The destination.
     pub destination: u32,
-    /// When its time is up.
+    /// When the message expires.
     pub deadline: Micros,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
-/// An attempt as far as it is known.
+/// An attempt, as the journal has it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Attempt {
-    /// Its number: one that could not be written down, and so never began, is missing.
+    /// Number of the attempt. Numbers have gaps: an attempt whose record could not be written never began.
     pub number: u16,
-    /// The endpoint's name.
+    /// Name of the endpoint.
     pub endpoint: String,
-    /// When it began.
+    /// Start of the attempt.
     pub at: Micros,
-    /// Whether it is known not to have run.
+    /// Whether the call is known not to have run.
     pub never_ran: bool,
 }
 
-/// A message that is owed its end.
+/// An accepted message that has not ended.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Live {
-    /// As it was handed in.
+    /// The message as it was submitted.
     pub taken: Taken,
     /// Its attempts, in order.
     pub attempts: Vec<Attempt>,
-    /// Its end, where only the notice is still owed.
+    /// The final outcome, if only the notice is outstanding.
     pub given_up: Option<GivenUp>,
-    /// Where it is covered, and since when.
+    /// Where its backups are, and since when; `None` if the message is not replicated.
     pub covered: Option<(Tag, Micros)>,
 }
 
 impl Live {
-    /// How it ends where its class is not one of the settings' any more, so that the module can't judge it.
+    /// The outcome of a message whose class is no longer in the settings, so that the module cannot judge it.
     pub fn unjudged(&self) -> GivenUp {
         let untried = self.covered.is_none() && self.attempts.iter().all(|attempt| attempt.never_ran);
         if untried { GivenUp::Deferred(0) } else { GivenUp::Undeliverable }
     }
 }
 
-/// What a message's later records take at most: its attempts, their ends and its own.
+/// Maximum size of a message's later records: its attempts, their ends and its own end. Bytes.
 const LATER_RECORDS: u64 = 672;
-/// What the record of its covers takes at most.
+/// Maximum size of the record of its backups, bytes.
 const COVERED_RECORD: u64 = 96;
-/// A frame's length and checksum.
+/// Size of a frame's header: length and checksum, bytes.
 const FRAME: usize = 8;
 
-/// The journal and the state that it holds.
+/// The journal file and the state read from it.
 #[derive(Debug)]
 pub struct Journal {
     path: PathBuf,
@@ -122,9 +124,9 @@
     length: u64,
     limit: u64,
     live: BTreeMap<u32, Live>,
-    /// Bytes that the live messages may come to need when written anew.
+    /// Upper bound of the bytes that the pending messages need in a compacted file.
     reserved: u64,
-    /// The file may end in a torn record that could not be cut off.
+    /// The file may end in a torn record that could not be truncated.
     torn: bool,
 }
 
@@ -140,7 +142,7 @@
     Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?))
 }
 
-/// The record at the start, and what it takes up.
+/// Decodes the first record, with the size of its frame.
 fn unframe(bytes: &[u8]) -> Option<(Record, usize)> {
     let end = (u32_at(bytes, 0)? as usize).checked_add(FRAME)?;
     let body = bytes.get(FRAME..end)?;
@@ -148,7 +150,7 @@
     Some((postcard::from_bytes(body).ok().filter(|_| intact)?, end))
 }
 
-/// The records of a message that is taken on.
+/// The records that are written when a message is accepted.
 pub fn taken_on(message: u32, taken: &Taken) -> impl Iterator<Item = Record> {
     let owner = taken.owner.clone().map(|owner| Record::Owner(message, owner));
     let effect = taken.effect.map(|effect| Record::Effect(message, effect));
@@ -161,13 +163,13 @@
 }
 
 impl Journal {
-    /// Opens the journal in a folder whose files may come to `limit` bytes, and reads what is in it.
+    /// Opens the journal in `folder` and reads it back. Its files may take up to `limit` bytes together.
     ///
     /// # Errors
     /// Fails when the folder cannot be read or written.
     pub fn open(folder: &Path, limit: u64) -> io::Result<Self> {
         fs::create_dir_all(folder)?;
-        // What an earlier compaction did not get to the end with counts on the disk and for nothing else.
+        // The file of an interrupted compaction is of no use and only takes up disk space.
         let _ = fs::remove_file(folder.join("journal.new"));
         let path = folder.join("journal");
         let text = match fs::read(&path) {
@@ -183,24 +185,25 @@
             journal.apply(record);
             at += size;
         }
-        // A process that was killed may have left its last record torn: the next one must not follow it.
+        // A killed process may have left a torn record at the end. New records must not follow it: they could
+        // not be read back.
         journal.file.set_len(at as u64)?;
         journal.length = at as u64;
         Ok(journal)
     }
 
-    /// The messages that are owed their end, by number.
+    /// The messages that have not ended, by number.
     pub fn live(&self) -> &BTreeMap<u32, Live> {
         &self.live
     }
 
-    /// Whether a further message can be kept to its end. Old and new file stand side by side while the
-    /// journal is rewritten, so that live messages get under half of the room.
+    /// Whether there is space to store another message until it ends. During a compaction the old and the new
+    /// file exist side by side, so pending messages may use less than half of the limit.
     pub fn has_room(&self, taken: &Taken, pending: u64) -> bool {
         self.reserved + pending + need(taken) <= self.limit / 5 * 2
     }
 
-    /// What the message would add to the room that is taken; see [`Journal::has_room`].
+    /// The space that the message would reserve, bytes; see [`Journal::has_room`].
     pub fn room_for(taken: &Taken) -> u64 {
         need(taken)
     }
@@ -208,7 +211,7 @@
     /// Appends the records of a turn in one write.
     ///
     /// # Errors
-    /// Fails when they could not be written; then none of them counts.
+    /// Fails when they could not be written; then none of them takes effect.
     pub fn append(&mut self, records: &[Record]) -> io::Result<()> {
         if records.is_empty() {
             return Ok(());
@@ -282,7 +285,7 @@
         }
     }
 
-    /// Writes what is live to a new file, which then takes the old one's place.
+    /// Writes the pending messages to a new file, which then replaces the old one.
     fn compact(&mut self) -> io::Result<()> {
         let mut bytes = Vec::new();
         for (message, live) in &self.live {
--- a/src/net/journal/tests.rs
+++ b/src/net/journal/tests.rs
@@ -38,8 +38,8 @@
     Ok(())
 }
 
-/// Guards the effect that a message was taken on with, through a rewritten file as well. What an older version
-/// wrote has none.
+/// The effect in force when a message was accepted must survive a restart and a compaction. Records of older
+/// versions have none.
 #[test]
 fn what_repeating_does_is_kept_with_the_message() -> io::Result<()> {
     let folder = tempfile::tempdir()?;
@@ -58,8 +58,8 @@
     Ok(())
 }
 
-/// Guards against a process that was killed within a write: what came before holds, and what is
-/// appended later can be read.
+/// A process killed during a write leaves a torn record. Earlier records must still be read, and so must
+/// records appended later.
 #[test]
 fn a_torn_tail_is_cut_off_wherever_it_was_torn() -> io::Result<()> {
     let folder = tempfile::tempdir()?;
@@ -82,7 +82,8 @@
     Ok(())
 }
 
-/// Guards the room on the disk: old and new file together stay within it, however long it goes on.
+/// The old and the new file of a compaction together must stay within the disk limit, however many messages
+/// pass.
 #[test]
 fn the_files_stay_within_their_limit() -> io::Result<()> {
     let folder = tempfile::tempdir()?;
--- a/src/net/listing.rs
+++ b/src/net/listing.rs
@@ -1,4 +1,4 @@
-//! Endpoints as the sender keeps them.
+//! The sender's table of endpoints.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use myrtleyard::endpoints::reader::List;
 use serde::{Deserialize, Serialize};
 
-/// The version of a list, and of how many entries it is if it is whole.
+/// The version of a list and, if it is a complete list, its number of entries.
 pub fn version(list: &List) -> (u64, Option<usize>) {
     match list {
         List::Entries(list) => (list.index, list.snapshot.then_some(list.endpoints.len())),
@@ -14,45 +14,46 @@
     }
 }
 
-/// An endpoint as the list has it.
+/// An endpoint, as given by the list.
 #[derive(Serialize, Deserialize)]
 pub struct Known {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: String,
     /// Its destination.
     pub group: u32,
-    /// Where it is dialled, if that can be read.
+    /// Its address, if the list has a valid one.
     pub address: Option<SocketAddr>,
-    /// It is in the list.
+    /// Whether it is in the current list.
     pub listed: bool,
-    /// What else the module was told of it; an older process hands over without.
+    /// The attributes passed to the module; missing in a handover from an older version.
     #[serde(default)]
     pub shape: Option<Shape>,
-    /// Its zone and its kind, by name: positions change with the settings. An older process hands over without.
+    /// Names of its zone and kind, because positions change with the settings. Missing in a handover from an
+    /// older version.
     #[serde(default)]
     pub named: Option<(String, String)>,
-    /// Messages in one call at most.
+    /// Maximum number of messages in one call.
     pub bundle: usize,
-    /// When it last started, Unix time in milliseconds; 0 for long ago.
+    /// Time of its last start, Unix time in milliseconds; 0 for long ago.
     #[serde(default)]
     pub since_ms: u64,
 }
 
-/// What the list tells of an endpoint beyond where it is.
+/// The attributes that the list gives for an endpoint besides its address.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 pub struct Shape {
-    /// Its zone, by position.
+    /// Its zone, by position in the settings.
     pub zone: u16,
-    /// Its kind, by position.
+    /// Its kind, by position in the settings.
     pub kind: usize,
     /// Its weight.
     pub weight: f64,
-    /// Discovery says that it may be used, whatever operators say.
+    /// Whether discovery marks it as active, regardless of drain marks of operators.
     pub active: bool,
 }
 
 impl Known {
-    /// Whether discovery says that it may be used.
+    /// Whether discovery marks the endpoint as active.
     pub fn active(&self) -> bool {
         self.shape.is_some_and(|shape| shape.active)
     }
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -1,7 +1,7 @@
-//! The sender's log: a line for each noteworthy event on standard error, as text or JSON, each with the sender's name.
-//! Lines of one kind are bounded in rate, so that a storm can neither fill a disk nor cost the day; how many were left
-//! out is told. Level and form come from the environment: `NODE_LOG` (`info` if it is not set) and `NODE_LOG_FORM`
-//! (`text` or `json`).
+//! The sender's log: one line per event on standard error, as text or JSON, with the sender's name. The rate
+//! of lines from one callsite is limited, so that a burst of events can neither fill a disk nor slow the
+//! process down; the number of suppressed lines is reported. Level and form come from the environment:
+//! `NODE_LOG` (default `info`) and `NODE_LOG_FORM` (`text`, the default, or `json`).
 
 use std::collections::HashMap;
 use std::io::{self, Write};
@@ -16,39 +16,39 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{EnvFilter, Registry};
 
-/// Lines of one kind, by the place in the code that writes them, in [`WINDOW`].
+/// Maximum number of lines from one callsite in each [`WINDOW`].
 const MOST: u32 = 20;
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Why there is no log.
+/// Why the log cannot be set up.
 #[derive(Debug, thiserror::Error)]
 pub enum NoLog {
-    /// `NODE_LOG` is no filter.
+    /// `NODE_LOG` is not a valid filter.
     #[error("NODE_LOG={level}: {why}")]
     Level {
-        /// What it holds.
+        /// Value of the variable.
         level: String,
-        /// What is wrong with it.
+        /// The cause.
         why: tracing_subscriber::filter::ParseError,
     },
-    /// `NODE_LOG_FORM` is no form.
-    #[error("NODE_LOG_FORM={0}: text or json is expected")]
+    /// `NODE_LOG_FORM` is not a known form.
+    #[error("NODE_LOG_FORM={0}: expected text or json")]
     Form(String),
-    /// There is one in this process.
-    #[error("log: {0}")]
+    /// The process already has a log.
+    #[error("cannot initialize the log: {0}")]
     Twice(#[from] tracing_subscriber::util::TryInitError),
 }
 
 told! { NoLog {
     Level => "log.level", "set NODE_LOG to error, warn, info, debug or trace, or unset it";
     Form => "log.form", "set NODE_LOG_FORM to text or json, or unset it";
-    Twice => "log.twice", "tell the developers";
+    Twice => "log.twice", "report it to the developers";
 } }
 
-/// Begins the log of a sender of this name.
+/// Sets up the log of the sender with this name.
 ///
 /// # Errors
-/// Fails, in one line, when the environment says what can't be meant.
+/// Fails, with a message of one line, when a variable has an invalid value.
 pub fn start(name: &str) -> Result<(), NoLog> {
     let level = std::env::var("NODE_LOG").unwrap_or_else(|_| "info".to_owned());
     let filter = EnvFilter::try_new(&level).map_err(|why| NoLog::Level { level, why })?;
@@ -69,7 +69,7 @@
     Ok(started?)
 }
 
-/// Writes to standard error, with the sender's name in each line.
+/// Writes lines to standard error, each with the sender's name.
 struct Named {
     name: String,
     json: bool,
@@ -86,7 +86,7 @@
 }
 
 impl Write for Line<'_> {
-    /// A whole line comes in one piece, and goes out in one.
+    /// Each call gets a complete line and writes it in one piece.
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let mut line = Vec::with_capacity(bytes.len() + self.0.name.len() + 16);
         match bytes.strip_prefix(b"{") {
@@ -109,21 +109,21 @@
     }
 }
 
-/// Lines of one kind within a window.
+/// The lines of one callsite in the current window.
 struct Kind {
     since: Instant,
     lines: u32,
     left_out: u64,
 }
 
-/// Lets so many lines of one kind through in a window. Kinds are places in the code, so that there are few.
+/// Limits the lines of each callsite per window. The map is small, because callsites are places in the code.
 #[derive(Default)]
 struct Bounded {
     kinds: Mutex<HashMap<Identifier, Kind>>,
 }
 
 impl Bounded {
-    /// Whether a line of this kind goes through, and how many were left out before it.
+    /// Whether a line from this callsite is written, and how many were suppressed before it.
     fn admits(&self, kind: Identifier, now: Instant) -> (bool, u64) {
         let Ok(mut kinds) = self.kinds.lock() else { return (true, 0) };
         let kind = kinds.entry(kind).or_insert(Kind { since: now, lines: 0, left_out: 0 });
@@ -147,7 +147,7 @@
         let (admitted, left_out) = self.admits(metadata.callsite(), Instant::now());
         if left_out > 0 {
             let place = metadata.name();
-            let _ = writeln!(io::stderr(), "{left_out} lines of one kind were left out ({place})");
+            let _ = writeln!(io::stderr(), "{left_out} log lines were suppressed ({place})");
         }
         admitted
     }
--- a/src/net/log/tests.rs
+++ b/src/net/log/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// Guards the disk and the day against a storm of one kind, and the other kinds against it.
+/// A burst of lines from one callsite must neither fill the disk nor slow the process down, and must not
+/// suppress lines of other callsites.
 #[test]
 fn a_storm_of_one_kind_is_bounded_and_told_and_hides_no_other() {
     let (one, other) = (tracing::info_span!("one"), tracing::info_span!("other"));
--- a/src/net/mgmt.rs
+++ b/src/net/mgmt.rs
@@ -1,5 +1,5 @@
-//! Where operators call: a listener of its own, so that neither clients nor load keep them waiting. One call a
-//! connection; who brings none is let go soon, since places are few.
+//! The HTTP server for operators. It has a listener of its own, so that neither clients nor load delay it. A
+//! connection carries one call. Idle connections are closed early because their number is limited.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -32,28 +32,30 @@
 use super::refusals::NoCall;
 use super::{Inbound, Standing};
 
-/// Callers at a time.
+/// Maximum number of connections at a time.
 pub const PLACES: usize = 16;
-/// An answer is due 1 s after the call: whoever waits for a place that a silent caller has still gets one.
+/// Time limit for a request's head. Answers are due within 1 s of the call, also for a caller that first
+/// waits for the connection of a silent one to be closed.
 const HEAD_WITHIN: Duration = Duration::from_millis(400);
-/// How long a lingering close may last: a place is free again 500 ms after a silent caller came.
+/// Maximum duration of a lingering close: a silent caller's connection is freed 500 ms after it was accepted.
 const LINGER_WITHIN: Duration = Duration::from_millis(100);
-/// From connecting to the end of the answer.
+/// Time limit from accepting a connection to the end of the answer.
 const CALL_WITHIN: Duration = Duration::from_millis(900);
 const HEAD_LIMIT: usize = 8 * 1024;
-/// How long a body may take after its head.
+/// Time limit for a body after its head.
 const BODY_WITHIN: Duration = Duration::from_millis(400);
-/// A call that names endpoints is no longer.
+/// Maximum size of the body of a call that names endpoints, bytes.
 const SMALL_BODY: usize = 16 * 1024;
-/// A query that names as many ids as it may is no longer.
+/// Maximum size of a query, bytes. A query with the maximum number of ids fits in it.
 const QUERY_BODY: usize = 32 * 1024;
 
-/// From connecting until a query's answer is due: what is left is for writing it.
+/// Time from accepting a connection until a query's answer is due. The rest of the time limit is for writing
+/// it.
 const ANSWER_WITHIN: Duration = Duration::from_millis(820);
-/// One message's status, by its id.
+/// Path prefix of a single message's status; the id follows.
 const MESSAGE: &str = "/control/status/message/";
 
-/// What operators can ask for.
+/// The management server.
 pub struct Mgmt {
     standing: watch::Receiver<Standing>,
     figures: Rc<Figures>,
@@ -62,7 +64,7 @@
 }
 
 impl Mgmt {
-    /// What callers share.
+    /// Creates the state shared by all calls.
     pub fn new(
         standing: watch::Receiver<Standing>,
         figures: Rc<Figures>,
@@ -72,19 +74,19 @@
         Self { standing, figures, in_force, inbound }
     }
 
-    /// Takes calls for as long as the process runs.
+    /// Accepts calls for as long as the process runs.
     pub async fn listen(self: Rc<Self>, listener: TcpListener) {
         let places = Arc::new(Semaphore::new(PLACES));
         loop {
             let Ok(place) = places.clone().acquire_owned().await else { return };
             let Ok((stream, _)) = listener.accept().await else {
-                // Out of descriptors, say: it must not spin.
+                // For example out of descriptors. The pause keeps the loop from spinning.
                 tokio::time::sleep(Duration::from_millis(10)).await;
                 continue;
             };
             let mgmt = self.clone();
             tokio::task::spawn_local(async move {
-                // Whoever is not done by then is not waited for.
+                // A call that exceeds the time limit is dropped.
                 let _ = timeout(CALL_WITHIN, mgmt.serve(stream)).await;
                 drop(place);
             });
@@ -95,7 +97,7 @@
         let _ = stream.set_nodelay(true);
         let begun = Instant::now();
         let service = service_fn(|request| self.answer(request, begun));
-        // How a call breaks off is the caller's matter.
+        // An aborted call needs no handling here; it is up to the caller.
         let _ = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(HEAD_WITHIN)
@@ -180,19 +182,20 @@
         }))
     }
 
-    /// Yes once it is so.
+    /// Puts the process in or out of service, and answers once that is done.
     async fn service(&self, wanted: bool) -> Response<Full<Bytes>> {
         let (done, how) = oneshot::channel();
         let _ = self.inbound.send(Inbound::Service(wanted, done));
         match how.await {
             Ok(now @ (Standing::InService | Standing::OutOfService)) => plain(StatusCode::OK, now.said()),
-            // A process that is on its way out does not come back.
+            // A process that is stopping or has handed over does not return to service.
             Ok(now) => plain(StatusCode::CONFLICT, now.said()),
             Err(_) => plain(StatusCode::SERVICE_UNAVAILABLE, "stopping\n"),
         }
     }
 
-    /// What the driver makes of it. A process that has not started yet has nobody to ask.
+    /// Forwards a request to the driver and answers with its reply. While the process is starting there is no
+    /// driver to ask.
     async fn ask(&self, ask: Ask) -> Response<Full<Bytes>> {
         if *self.standing.borrow() == Standing::Starting {
             return answered(Reply::no(&NoCall::Starting));
@@ -203,7 +206,7 @@
         answered(replied.await.unwrap_or_else(|_| gone()))
     }
 
-    /// What the tier knows of some messages, with what is left of the time for the call.
+    /// Queries the status index of the tier, within what is left of the call's time limit.
     async fn status(&self, call: StatusCall, begun: Instant) -> Response<Full<Bytes>> {
         if *self.standing.borrow() == Standing::Starting {
             return answered(Reply::no(&NoCall::Starting));
@@ -215,7 +218,7 @@
         answered(replied.await.unwrap_or_else(|_| gone()))
     }
 
-    /// The same for a call with a body, which is read whole before anything is done.
+    /// Like [`Mgmt::ask`], for a call with a body. Nothing is done before the whole body is read.
     async fn ask_with(
         &self,
         request: Request<Incoming>,
@@ -230,14 +233,14 @@
         }
     }
 
-    /// What is wrong with a configuration, or what it would change. It is not taken, and counts nowhere.
+    /// Checks a configuration: its faults, or what it would change. It is not applied and not counted.
     async fn check(&self, request: Request<Incoming>) -> Reply {
         let text = match whole(request, check::LARGEST).await {
             Ok(text) => text,
             Err(no) => return no,
         };
         let in_force = self.in_force.borrow().clone();
-        // Beside the loop that serves clients: a large one takes milliseconds.
+        // Runs outside the event loop that serves clients: a large document takes milliseconds.
         let checked = tokio::task::spawn_blocking(move || {
             config::check(&text, Some(&in_force)).map(|config| check::changes(&in_force, &config.document))
         });
@@ -254,7 +257,8 @@
     }
 }
 
-/// A query of a single message, by its id in the path and its tenant: none is the one of messages without any.
+/// Builds the query for a single message from the id in the path and the tenant in the query string. Without
+/// a tenant the query is for messages that have none.
 fn one_message(path: &str, query: Option<&str>) -> Option<(Query, (bool, bool))> {
     let text = |text: &str| percent_decode_str(text).decode_utf8().ok().map(|text| text.into_owned());
     let id = text(path.strip_prefix(MESSAGE)?).filter(|id| !id.is_empty())?;
@@ -270,7 +274,7 @@
     Some((serde_json::from_value(json!({"tenant": tenant, "ids": [id]})).ok()?, (route, estimate)))
 }
 
-/// A call's body, if it comes whole, in time, and is no longer than that.
+/// Reads the body of a call. Fails if it is truncated, late, or longer than `most` bytes.
 async fn whole(request: Request<Incoming>, most: usize) -> Result<Bytes, Reply> {
     match timeout(BODY_WITHIN, Limited::new(request.into_body(), most).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
@@ -280,7 +284,7 @@
     }
 }
 
-/// The time that a drain is given: none, or whole milliseconds over 0.
+/// Parses the time limit of a drain: absent, or a whole number of milliseconds over 0.
 fn within(query: Option<&str>) -> Result<Option<Micros>, NoCall> {
     let Some(query) = query else { return Ok(None) };
     let ms = query.strip_prefix("within_ms=").and_then(|ms| ms.parse::<u32>().ok()).filter(|ms| *ms > 0);
@@ -302,13 +306,14 @@
     response
 }
 
-/// The session token of a call; one that is not text is none that can be read.
+/// The session token of a call. A value that is not visible ASCII becomes an empty token, which cannot be
+/// decoded.
 fn token(request: &Request<Incoming>) -> Option<String> {
     request.headers().get(SESSION_TOKEN).map(|token| token.to_str().unwrap_or_default().trim().to_owned())
 }
 
 fn not_allowed(allowed: &'static str) -> Response<Full<Bytes>> {
-    let mut response = plain(StatusCode::METHOD_NOT_ALLOWED, "another method is meant\n");
+    let mut response = plain(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n");
     response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
     response
 }
--- a/src/net/mgmt/tests.rs
+++ b/src/net/mgmt/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Guards the operators' answers against callers that take up every place and say nothing, or half.
+/// Callers that occupy every connection and send nothing, or half a request, must not delay operators.
 #[tokio::test(start_paused = true)]
 async fn a_call_is_answered_within_a_second_behind_silent_callers() -> std::io::Result<()> {
     let (inbound, _events) = tokio::sync::mpsc::unbounded_channel();
@@ -33,7 +33,7 @@
         .await
 }
 
-/// Guards an operator's early answer against the reset of a close while the call's body is still unread.
+/// An early answer must reach the operator although closing with an unread body would reset the connection.
 #[tokio::test]
 async fn an_answer_to_a_call_that_is_too_long_arrives_whole() -> std::io::Result<()> {
     let (inbound, _events) = tokio::sync::mpsc::unbounded_channel();
@@ -41,7 +41,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let mut caller = std::net::TcpStream::connect(listener.local_addr()?)?;
     let head = "POST /control/endpoints/drain HTTP/1.1\r\nHost: mgmt\r\nContent-Length: 60000\r\n\r\n";
-    // All of it is there before the call is read.
+    // The whole request has arrived before the call is read.
     std::io::Write::write_all(&mut caller, &[head.as_bytes(), &[b' '; 60_000]].concat())?;
     caller.set_nonblocking(true)?;
     let local = tokio::task::LocalSet::new();
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! The real sender round the decision module: sockets, clocks and the journal. It decides nothing about
-//! what is sent where and when; see `myrtleyard::policy` for that.
+//! The I/O around the decision module: sockets, clocks and the journal. What is sent where and when is
+//! decided in `myrtleyard::policy`, not here.
 
 pub mod calls;
 pub mod config;
@@ -28,28 +28,28 @@
 use tokio::net::UnixStream;
 use tokio::sync::oneshot;
 
-/// From SIGTERM until the process may be killed.
+/// Time from SIGTERM until the process may be killed.
 pub const STOP_WITHIN: Micros = 3_700_000;
-/// Bodies hold at most so much.
+/// Maximum size of a message body, bytes.
 pub const BODY_LIMIT: usize = 64 * 1024;
 
-/// Whether this process takes clients, and if not why.
+/// Whether this process accepts clients and, if not, why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// Not yet.
+    /// Startup has not finished.
     Starting,
-    /// It does.
+    /// Clients are accepted.
     InService,
-    /// Operators have sent clients elsewhere until further notice.
+    /// Operators have taken the process out of service until further notice.
     OutOfService,
-    /// A new process of this sender takes them.
+    /// A new process of this sender accepts the clients.
     HandedOver,
-    /// The process was asked to end.
+    /// The process has been asked to end.
     Stopping,
 }
 
 impl Standing {
-    /// In words, as a line.
+    /// The line that readiness and service calls answer with.
     pub fn said(self) -> &'static str {
         match self {
             Self::Starting => "starting\n",
@@ -61,36 +61,36 @@
     }
 }
 
-/// What the socket tasks tell the driver.
+/// Events that the socket tasks send to the driver.
 #[derive(Debug)]
 pub enum Inbound {
-    /// A client hands in a message.
+    /// A client submitted a message.
     HandedIn(intake::HandedIn),
-    /// A client closed before it was answered: the message with this `Req-Id` counts for nothing.
+    /// A client disconnected before it was answered: the message with this `Req-Id` is not accepted.
     Withdrawn(String),
-    /// Attempts ended that travelled as one call.
+    /// The attempts of one call ended.
     CallOver(Vec<AttemptOver>),
-    /// Goes to the module as it is.
+    /// An event that is passed to the decision module unchanged.
     Event(Event),
-    /// Another sender's datagram, with its number.
+    /// A datagram of another sender, with that sender's rank.
     Datagram(u16, Vec<u8>),
-    /// Discovery told of endpoints.
+    /// Discovery sent a list of endpoints, or changes to it.
     Listed(List),
-    /// The platform has these notices.
+    /// The platform has acknowledged the notices of these messages.
     NoticesKept(Vec<MessageId>),
     /// The process was asked to end.
     Terminate,
     /// A new process of this sender asks to take over.
     Successor(UnixStream),
-    /// It has something done here, or is gone.
+    /// The new process sent a command; `None` when it has gone.
     Ordered(Option<handover::Order>),
-    /// The configuration was read again, or why it is turned down.
+    /// The configuration was read again, or the reason why it is rejected.
     Reloaded(Result<Box<config::Config>, config::Wrong>),
-    /// Operators want clients to go elsewhere, or to come again. They hear how it stands then.
+    /// Operators put the process in service (`true`) or out of service. The resulting state is sent back.
     Service(bool, oneshot::Sender<Standing>),
-    /// Operators ask for something else.
+    /// Any other request of operators.
     Control(control::Ask, oneshot::Sender<control::Reply>),
-    /// The status index is asked; the answer is due within that time.
+    /// A query of the status index, with the time within which the answer is due.
     StatusQuery(Box<control::StatusCall>, Micros, oneshot::Sender<control::Reply>),
 }
 
@@ -99,28 +99,28 @@
 pub struct AttemptOver {
     /// The message.
     pub message: MessageId,
-    /// The attempt's number.
+    /// Number of the attempt.
     pub attempt: u16,
-    /// Where it went.
+    /// Endpoint that was called.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// The endpoint knows the message to be over.
+    /// The endpoint answered that the message is already over (`gone`).
     pub gone: bool,
-    /// Since the call began.
+    /// Duration of the call.
     pub took: Micros,
-    /// The load report, if one came.
+    /// The load report; empty if there was none.
     pub report: Vec<f32>,
 }
 
 impl AttemptOver {
-    /// An attempt that ended without an answer, as far as this process knows.
+    /// An attempt for which this process has seen no answer.
     pub fn unanswered(message: MessageId, attempt: u16, endpoint: EndpointId, outcome: Outcome) -> Self {
         Self { message, attempt, endpoint, outcome, gone: false, took: 0, report: vec![] }
     }
 }
 
-/// Unix time in microseconds that never runs backwards within a process.
+/// Unix time in microseconds that never goes backwards within a process.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     base: Micros,
@@ -128,23 +128,23 @@
 }
 
 impl Clock {
-    /// A clock set by the system's.
+    /// A clock set to the system time.
     pub fn new() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { base: unix.as_micros() as Micros, start: Instant::now() }
     }
 
-    /// The clock set ahead, if need be, so that it goes on from another process's.
+    /// Sets the clock ahead if it is behind `other`, the time of another process's clock.
     pub fn from(self, other: Micros) -> Self {
         Self { base: self.base + other.saturating_sub(self.now()), ..self }
     }
 
-    /// The time now.
+    /// The current time.
     pub fn now(&self) -> Micros {
         self.base + self.start.elapsed().as_micros() as Micros
     }
 
-    /// That time for the runtime's timers.
+    /// Converts a time for the runtime's timers.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
         let ahead = std::time::Duration::from_micros(at.saturating_sub(self.base));
         tokio::time::Instant::from_std(self.start.checked_add(ahead).unwrap_or(self.start))
--- a/src/net/names.rs
+++ b/src/net/names.rs
@@ -1,16 +1,16 @@
-//! Names in the settings, by position, and how those of a changed configuration follow on the ones in force.
+//! The names in the settings, by position, and how a changed configuration keeps the positions in force.
 
 use std::collections::BTreeSet;
 
 use myrtleyard::interface::{Class, Settings};
 use serde::{Deserialize, Serialize};
 
-/// Names in the settings, by position.
+/// The names in the settings, by position.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
 pub struct Names {
-    /// Classes of message, those that are held still among them.
+    /// Classes of message, including removed ones for which messages are still held.
     pub classes: Vec<String>,
-    /// Positions of classes that nothing new is taken for.
+    /// Positions of the classes for which no new messages are accepted.
     pub retired: BTreeSet<usize>,
     /// Tenants.
     pub tenants: Vec<String>,
@@ -23,30 +23,31 @@
 }
 
 impl Names {
-    /// Whether a message may be this tenant's; some sites have none.
+    /// Whether messages of this tenant are accepted. At a site without tenants, all messages are.
     pub fn owns(&self, tenant: Option<&str>) -> bool {
         self.tenants.is_empty() || tenant.is_some_and(|tenant| self.tenants.iter().any(|t| t == tenant))
     }
 
-    /// A zone's position; `u16::MAX` for one that the settings do not name.
+    /// Position of a zone; `u16::MAX` if the settings do not name it.
     pub fn zone(&self, name: &str) -> u16 {
         self.zones.iter().position(|zone| zone == name).map_or(u16::MAX, |zone| zone as u16)
     }
 
-    /// A kind's position; `usize::MAX` for one that the settings do not name.
+    /// Position of a kind; `usize::MAX` if the settings do not name it.
     pub fn kind(&self, name: &str) -> usize {
         self.kinds.iter().position(|kind| kind == name).unwrap_or(usize::MAX)
     }
 
-    /// The position of a class that messages may be handed in for.
+    /// Position of a class for which messages may be submitted.
     pub fn class(&self, name: &str) -> Option<usize> {
         (0..self.classes.len()).find(|at| self.classes[*at] == name && !self.retired.contains(at))
     }
 }
 
-/// Settings and names that follow on others at the same sender. A class's position is given to no other while `held`
-/// says that a message goes by it, so that what is under way keeps the class that it came with. There are as many
-/// positions as classes, and one for each earlier class that something is held for, at most.
+/// Assigns positions to the classes of new settings, to replace the settings `before`. While `held` returns
+/// true for a position, because a message uses it, no other class gets that position, so messages under way
+/// keep the class that they were accepted with. The number of positions is at most that of the classes plus
+/// one for each earlier class that is still in use.
 pub fn following(
     (mut settings, mut names): (Settings, Names),
     before: &Settings,
@@ -77,7 +78,7 @@
             }
         }
     }
-    // What nothing is held for at the end is no class any more.
+    // Trailing positions that are neither current nor in use are removed.
     while all.len().checked_sub(1).is_some_and(|last| !current.contains(&last) && !held(last)) {
         all.pop();
         classes.pop();
--- a/src/net/parts/covering.rs
+++ b/src/net/parts/covering.rs
@@ -1,5 +1,6 @@
-//! Covers at the running sender: what outlasts the process, whom the view recommends, and what operators are told.
-//! `myrtleyard::takeover` is the protocol itself.
+//! Replication of messages to backups, in the running sender: the state that survives the process, the choice
+//! of candidates by the membership view, and the report for operators. `myrtleyard::takeover` is the protocol
+//! itself.
 
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
@@ -16,24 +17,24 @@
 use super::super::lasting;
 use super::{Out, Part};
 
-/// The part.
+/// The replication part.
 pub struct Covering {
     /// The protocol.
     pub core: Takeover,
     at: PathBuf,
-    /// On another host, by rank.
+    /// Whether each sender, by rank, is on another host than this one.
     elsewhere: Vec<bool>,
-    /// A promise could not be written down yet: nothing is sent until it is.
+    /// A promise has not been persisted yet; nothing is sent until it is.
     unwritten: bool,
 }
 
-/// A number that no process of any sender draws twice.
+/// A random number, unique among all processes of all senders.
 fn chance() -> u64 {
     RandomState::new().hash_one(std::process::id())
 }
 
 impl Covering {
-    /// As the configuration has it, with the promises of earlier processes; nothing without its section.
+    /// Creates the part with the promises of earlier processes; `None` without its section.
     pub fn open(config: &Config, folder: &Path, now: Micros) -> Option<Self> {
         let section = config.takeover.as_ref()?;
         let own = config.rank()?;
@@ -43,7 +44,7 @@
             text.map(|text| postcard::from_bytes(&text)).transpose().map_err(|e| e.to_string())
         });
         let memory = read.unwrap_or_else(|e| {
-            tracing::error!("the promises to other senders can't be read, and count for forgotten: {e}");
+            tracing::error!("cannot read the promises to other senders; they count as forgotten: {e}");
             None
         });
         let unwritten = memory.is_none();
@@ -54,12 +55,12 @@
         Some(Self { core, at, elsewhere, unwritten })
     }
 
-    /// Whether the next tick may choose covers.
+    /// Whether the next tick may choose backups.
     pub fn chooses(&self, now: Micros) -> bool {
         now >= self.core.ticks_at()
     }
 
-    /// Looks whom the view recommends as covers.
+    /// Updates, from the membership view, which senders are suitable as backups.
     pub fn look(&mut self, facts: Option<&Facts>) {
         let fit = |(rank, elsewhere): (usize, &bool)| match facts.and_then(|facts| facts.members.get(rank)) {
             _ if !elsewhere => Fit::No,
@@ -70,7 +71,7 @@
         self.core.set_fits(self.elsewhere.iter().enumerate().map(fit).collect());
     }
 
-    /// Sends what is due, after what it rests on is written down.
+    /// Sends what is due, after the promises that it depends on are persisted.
     pub fn flush(&mut self, now: Micros, out: &mut Out) {
         self.unwritten |= self.core.to_remember().is_some();
         if self.unwritten {
@@ -78,7 +79,7 @@
             self.unwritten = match written.and_then(|bytes| lasting::write(&self.at, &bytes)) {
                 Ok(()) => false,
                 Err(e) => {
-                    tracing::error!("promises to other senders can't be written down, none is sent: {e}");
+                    tracing::error!("cannot persist the promises to other senders; none is sent: {e}");
                     true
                 }
             };
@@ -102,7 +103,7 @@
     fn datagram(&mut self, now: Micros, from: u16, bytes: &[u8], _out: &mut Out) -> bool {
         let own = bytes.first() == Some(&TAKEOVER);
         if own {
-            // What it brings about is sent at the end of the turn, one answer for all.
+            // Replies are sent at the end of the turn, one for all datagrams received in it.
             self.core.receive(now, from, bytes);
         }
         own
--- a/src/net/parts/draining.rs
+++ b/src/net/parts/draining.rs
@@ -1,4 +1,4 @@
-//! The marks that operators have set on endpoints, and the file that they outlast the process in.
+//! The drain marks that operators have set on endpoints, and the file in which they survive the process.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -12,15 +12,15 @@
 use super::super::lasting;
 use super::Part;
 
-/// The part.
+/// The draining part.
 pub struct Draining {
     marks: Marks,
     at: PathBuf,
 }
 
 impl Draining {
-    /// With the marks that an earlier process left. What can't be read is told and left out: on-call staff set it
-    /// again.
+    /// Creates the part with the marks that an earlier process left. Marks that cannot be read are logged and
+    /// dropped; on-call staff set them again.
     pub fn open(folder: &Path, most: usize) -> Self {
         let at = folder.join("drained");
         let read = lasting::read(&at).map(|text| text.map(|text| Marks::read(most, &text)));
@@ -29,19 +29,19 @@
             Ok(Some(Ok(marks))) => marks,
             Ok(Some(Err(e))) => {
                 let code = e.code();
-                tracing::error!(code, "the marks on drained endpoints can't be read, none is marked: {e}");
+                tracing::error!(code, "cannot read the drain marks; no endpoint is marked: {e}");
                 Marks::new(most)
             }
             Err(e) => {
                 let code = Unread::CODES[0];
-                tracing::error!(code, "the marks on drained endpoints can't be read, none is marked: {e}");
+                tracing::error!(code, "cannot read the drain marks; no endpoint is marked: {e}");
                 Marks::new(most)
             }
         };
         Self { marks, at }
     }
 
-    /// Bytes that so many marks take at most.
+    /// Maximum size of the files for this number of marks, bytes.
     pub fn room(most: usize) -> u64 {
         Marks::room(most)
     }
@@ -51,34 +51,34 @@
         &self.marks
     }
 
-    /// These are the marks from now on. They are written down first: what an operator was told holds.
+    /// Replaces the marks. They are written to disk first, so that a confirmed change survives a restart.
     ///
     /// # Errors
-    /// Fails when they can't be; those before stay in force then.
+    /// Fails when they cannot be written; then the old marks stay in force.
     pub fn keep(&mut self, marks: Marks) -> io::Result<()> {
         lasting::write(&self.at, &marks.written())?;
         self.marks = marks;
         Ok(())
     }
 
-    /// Marks on endpoints that have gone from discovery's list end. If that can't be written down they are found,
-    /// and end, again.
+    /// Removes the marks on endpoints that are no longer in discovery's list. If the change cannot be
+    /// written, a later process reads the marks again and removes them again.
     pub fn forget(&mut self, listed: impl Fn(&str) -> bool) {
         let kept = self.marks.kept(listed);
         if kept != self.marks
             && let Err(e) = self.keep(kept.clone())
         {
-            tracing::error!("the marks on drained endpoints can't be written down: {e}");
+            tracing::error!("cannot write the drain marks: {e}");
             self.marks = kept;
         }
     }
 
-    /// What the module is told of an endpoint that discovery lists so.
+    /// The state of an endpoint for the module, from its state in discovery and its mark.
     pub fn over(&self, name: &str, listing: Listing) -> Listing {
         self.marks.over(name, listing)
     }
 
-    /// Names of the endpoints that are marked.
+    /// Names of the marked endpoints.
     pub fn names(&self) -> BTreeSet<String> {
         self.marks.iter().map(|(name, _)| name.to_owned()).collect()
     }
--- a/src/net/parts/estimating.rs
+++ b/src/net/parts/estimating.rs
@@ -1,4 +1,5 @@
-//! Estimates at the running sender: there where the status index is. `myrtleyard::estimate` is the estimator itself.
+//! Cost estimates in the running sender; enabled together with the status index. `myrtleyard::estimate` is
+//! the estimator itself.
 
 use std::collections::BTreeMap;
 
@@ -16,24 +17,24 @@
 use super::view::View;
 use super::{Out, Part};
 
-/// The longest that a query may take, microseconds: all calls there are answered within a second.
+/// Maximum duration of a query, microseconds: every management call is answered within a second.
 const WITHIN: Micros = 800_000;
 
-/// Queries under way at most whose answers are learned from.
+/// Maximum number of running queries whose answers are learned from.
 const MOST_UNDER_WAY: usize = 256;
 
-/// The part.
+/// The estimates part.
 pub struct Estimating {
     /// The estimator.
     pub core: Estimator,
-    /// What was said of queries that are under way.
+    /// The basis of the predictions for running queries, by query number.
     under_way: BTreeMap<u64, Basis>,
-    /// Its next call, so that it looks at the view each time.
+    /// Time of the next call, which also updates the membership view.
     due: Micros,
 }
 
 impl Estimating {
-    /// As the configuration has it; nothing without the section `status`.
+    /// Creates the part; `None` without the section `status`.
     pub fn open(config: &Config, now: Micros) -> Option<Self> {
         let (section, membership) = (config.status.as_ref()?, config.membership.as_ref()?);
         let (own, tier) = (config.rank()?, tier_of(&membership.tier));
@@ -43,12 +44,12 @@
         Some(Self { core, under_way: BTreeMap::new(), due: now })
     }
 
-    /// The configuration has changed.
+    /// Applies a changed configuration.
     pub fn adopt(&mut self, config: &Config) {
         self.core.adopt(config.plans.clone().unwrap_or_default());
     }
 
-    /// Takes the view as it is now, and has own shards summarised, each when it is time.
+    /// Updates the membership view, and summarizes this sender's own shards when that is due.
     pub fn look(&mut self, now: Micros, view: Option<&View>, mut indexing: Option<&mut Indexing>) {
         for (number, answer) in indexing.iter_mut().flat_map(|part| part.answered.drain(..)) {
             self.answered(number, &answer);
@@ -62,24 +63,24 @@
         }
     }
 
-    /// A query is under way; what its answer takes is learned from.
+    /// A query was started; the estimator learns from the cost of its answer.
     pub fn asked(&mut self, number: u64, basis: Basis) {
         if self.under_way.len() < MOST_UNDER_WAY {
             self.under_way.insert(number, basis);
         }
     }
 
-    /// Has the part called at once: a budget was asked for.
+    /// Schedules the part's next call at once, because a budget was requested.
     pub fn wake(&mut self, now: Micros) {
         self.due = now;
     }
 
-    /// It was answered. A partial answer tells nothing of what a whole one takes.
+    /// A query was answered. A partial answer is ignored: it says nothing about the cost of a complete one.
     fn answered(&mut self, number: u64, answer: &Answer) {
         let Some(basis) = self.under_way.remove(&number).filter(|_| !answer.partial) else { return };
         let sum = |of: fn(&status::query::Touched) -> u64| answer.touched.iter().map(of).sum::<u64>();
         let wire = sum(|touched| touched.wire_bytes);
-        // In the order of `Figure`; datagrams as their bytes tell.
+        // In the order of `Figure`. The number of datagrams is computed from the bytes.
         let figures = [
             sum(|touched| touched.shards.into()),
             sum(|touched| touched.entries),
@@ -92,7 +93,7 @@
         answer.touched.iter().for_each(|touched| self.core.learned.link(touched.server, touched.took_us));
     }
 
-    /// What a query will touch, and what would become of it. The sender's clock is Unix time.
+    /// Predicts what a query would touch, and how it would be decided. The sender's clock is Unix time.
     pub fn told(&self, now: Micros, query: &Query) -> Told {
         self.core.told(now, now, query, WITHIN)
     }
--- a/src/net/parts/indexing.rs
+++ b/src/net/parts/indexing.rs
@@ -1,5 +1,5 @@
-//! The status index at the running sender: its segments in the folder that lasts, what the view says, and who waits
-//! for an answer. `myrtleyard::status` is the index itself.
+//! The status index in the running sender: its segment files in the state folder, the membership view, and
+//! the callers that wait for answers. `myrtleyard::status` is the index itself.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -23,28 +23,29 @@
 use super::super::journal::{GivenUp, Live, Taken};
 use super::{Out, Part};
 
-/// After a write that failed, the next try comes so long later, and twice as long after each one more,
+/// Pause before the first retry after a failed write; it doubles with each further failure.
 const AGAIN: Micros = 5_000_000;
-/// up to this: a try writes the whole log before somebody's 202.
+/// Maximum pause between retries. Retries are rare because each one writes the whole log before a client's
+/// 202.
 const AGAIN_AT_MOST: Micros = 300_000_000;
-/// A longer file is no segment, bytes.
+/// Maximum size of a segment file, bytes; a longer file is treated as corrupt.
 const LONGEST_SEGMENT: u64 = 64 << 20;
 
-/// The part.
+/// The status index part.
 pub struct Indexing {
     /// The index.
     pub core: Index,
     own: Rank,
     folder: PathBuf,
-    /// The segment that is written.
+    /// The segment that is being written.
     open: Option<(u64, File)>,
-    /// Writing failed last then, and the pause after it.
+    /// Time of the last failed write, and the pause after it.
     failed: Option<(Micros, Micros)>,
-    /// Those who wait for answers.
+    /// Callers that wait for the answer to a query, by its number.
     waiting: BTreeMap<u64, oneshot::Sender<Reply>>,
-    /// Answers of this turn, for estimates to be held against.
+    /// Answers of this turn, for the comparison with estimates.
     pub answered: Vec<(u64, Answer)>,
-    /// Answers to what another part has asked.
+    /// Answers to queries of other parts.
     others: Vec<(u64, Answer)>,
 }
 
@@ -52,11 +53,13 @@
     folder.join(format!("status.{at}"))
 }
 
-/// What stands for a segment that can't be read: a frame of nothing, which is no head. An empty one would pass for one
-/// that was begun and no more, and numbers that are in it would be given out again.
+/// Stands for a segment that cannot be read: an empty frame, which is not a valid head. An empty segment
+/// would pass for one that was only created, and the numbers used in the unreadable one would be assigned
+/// again.
 const SPOILT: [u8; 8] = [0; 8];
 
-/// Segments that are there, oldest first. What can't be read counts as spoilt, and makes for a new life.
+/// The segments in the folder, oldest first. An unreadable one counts as corrupt and causes a new incarnation
+/// of the log.
 fn segments(folder: &Path) -> io::Result<Vec<(u64, Vec<u8>)>> {
     let mut found = Vec::new();
     for file in fs::read_dir(folder)? {
@@ -71,8 +74,8 @@
     Ok(found)
 }
 
-/// Tells whether the machine was started since: what was written then may be on no disk. Without an answer it counts
-/// as started.
+/// Identifies the machine's current boot. After a reboot, data written before may not have reached the disk.
+/// If the boot id cannot be read, the machine counts as rebooted.
 fn boot() -> u64 {
     match fs::read("/proc/sys/kernel/random/boot_id") {
         Ok(id) => {
@@ -83,24 +86,24 @@
     }
 }
 
-/// A number that no process of any sender draws twice.
+/// A random number, unique among all processes of all senders.
 fn chance() -> u64 {
     RandomState::new().hash_one(std::process::id())
 }
 
 impl Indexing {
-    /// As the configuration has it, with what earlier processes left; nothing without its section.
+    /// Creates the part with the log that earlier processes left; `None` without its section.
     pub fn open(config: &Config, folder: &Path, now: Micros) -> Option<Self> {
         let section = config.status.as_ref()?;
         let own = config.rank()?;
         let boot = boot();
         let read = segments(folder).unwrap_or_else(|e| {
-            tracing::error!("the status index can't be read, and begins anew: {e}");
+            tracing::error!("cannot read the status index; starting an empty one: {e}");
             Vec::new()
         });
         let restored: Restored = restore(&read, boot, now);
         if !read.is_empty() && restored.life.is_none() {
-            tracing::warn!("the status index begins a new life: what was told of the one before may be lost");
+            tracing::warn!("the status index begins a new incarnation; reports of the old one may be lost");
         }
         let hosts: Vec<_> = config.peers.iter().map(|peer| peer.ip()).collect();
         let host = |ip| hosts.iter().position(|other| other == ip).and_then(|at| u32::try_from(at).ok());
@@ -122,13 +125,14 @@
         })
     }
 
-    /// Bytes that it may take of the folder, of which `disk` bytes are for everything: a quarter of it at most.
+    /// Maximum size of the index in the state folder, bytes: at most a quarter of `disk`, the limit of the
+    /// whole folder.
     pub fn room(section: &Section, disk: u64) -> u64 {
         (u64::from(section.room_mb) * 1_000_000).min(disk / 4).max(LEAST_ROOM)
     }
 
-    /// What the journal has in hand is in the index, whatever became of the folder; what the index has in hand and
-    /// the journal has not has ended.
+    /// Reconciles the index with the journal at startup. Messages pending in the journal are added to the
+    /// index if its files were lost; messages pending in the index but not in the journal have ended.
     pub fn settle<'a>(&mut self, live: impl Iterator<Item = &'a Live> + Clone, now: Micros) {
         let owed: std::collections::BTreeSet<&str> =
             live.clone().map(|live| live.taken.id.as_str()).collect();
@@ -146,7 +150,8 @@
         }
     }
 
-    /// A message was taken on: here with epoch 0, with a later one from another sender.
+    /// Adds an accepted message: with epoch 0 if it was submitted here, with a later one if it was adopted
+    /// from another sender.
     pub fn taken(&mut self, taken: &Taken, at: Micros, epoch: u32) -> Option<u64> {
         self.core.taken(Entry {
             id: taken.id.clone(),
@@ -163,7 +168,7 @@
         })
     }
 
-    /// A call for it begins.
+    /// Records the start of a call for a message.
     pub fn calling(&mut self, taken: &Taken, attempt: u16, now: Micros) {
         let tenant = taken.owner.as_deref().unwrap_or_default();
         self.core.change(now, tenant, &taken.id, |entry| {
@@ -172,31 +177,32 @@
         });
     }
 
-    /// It has come to an end.
+    /// Records the end of a message.
     pub fn ended(&mut self, taken: &Taken, end: State, now: Micros) {
         let tenant = taken.owner.as_deref().unwrap_or_default();
         self.core.change(now, tenant, &taken.id, |entry| entry.states = entry.states.with(end));
     }
 
-    /// Writes down what has changed. Nothing of it is told to anybody before.
+    /// Writes the changes to the folder. They are not sent to any other sender before.
     pub fn keep(&mut self, now: Micros) {
         if self.core.is_unkept() && self.failed.is_none_or(|(at, pause)| now >= at + pause) {
             self.core.keep_again();
         }
         for step in self.core.write() {
             if let Err(e) = self.carry_out(&step) {
-                tracing::error!("the status index can't be written, and goes on in memory: {e}");
+                tracing::error!("cannot write the status index; continuing in memory: {e}");
                 let pause = match self.failed {
-                    // A folder that takes a little now and then is one that fails.
+                    // A folder that occasionally accepts a few writes still counts as failing.
                     Some((at, pause)) if now < at + pause + AGAIN_AT_MOST => (pause * 2).min(AGAIN_AT_MOST),
                     _ => AGAIN,
                 };
                 self.failed = Some((now, pause));
                 self.open = None;
                 for step in self.core.not_written(now) {
-                    // After one that fails the others would leave a life that looks whole.
+                    // After a failed step, carrying out the others would leave an incarnation that looks
+                    // complete.
                     if let Err(e) = self.carry_out(&step) {
-                        tracing::error!("what is there of the status index can't be taken away: {e}");
+                        tracing::error!("cannot remove the old files of the status index: {e}");
                         return;
                     }
                 }
@@ -216,7 +222,7 @@
             }
             Step::Append(at, bytes) => match &mut self.open {
                 Some((open, file)) if open == at => file.write_all(bytes),
-                _ => Err(io::Error::other("a segment that is not open")),
+                _ => Err(io::Error::other(format!("segment {at} of the status index is not open"))),
             },
             Step::Empty(at) => {
                 match OpenOptions::new().write(true).truncate(true).open(segment(&self.folder, *at)) {
@@ -231,18 +237,18 @@
         }
     }
 
-    /// How the view stands.
+    /// Updates the membership view.
     pub fn look(&mut self, facts: Option<Facts>) {
         self.core.look(facts);
     }
 
-    /// Writes down and tells what has changed.
+    /// Writes the changes to the folder, replicates them, and delivers answers.
     pub fn flush(&mut self, now: Micros, out: &mut Out) {
         self.keep(now);
         self.core.tick(now, out);
         for (number, answer) in self.core.answers() {
             match self.waiting.remove(&number) {
-                // Who does not wait any more has gone.
+                // The send fails if the caller is gone.
                 Some(waiting) => drop(waiting.send(Reply::yes(&answer))),
                 None => self.others.push((number, answer.clone())),
             }
@@ -250,17 +256,18 @@
         }
     }
 
-    /// Answers to what another part has asked of the core.
+    /// Takes the answers to queries of other parts.
     pub fn answers(&mut self) -> Vec<(u64, Answer)> {
         std::mem::take(&mut self.others)
     }
 
-    /// Whether there are any.
+    /// Whether there are answers to queries of other parts.
     pub fn has_answers(&self) -> bool {
         !self.others.is_empty()
     }
 
-    /// Asks the tier; the answer comes within that time, under the number that this gives.
+    /// Queries the tier. The answer is sent to `reply` within the given time; the returned number identifies
+    /// the query.
     pub fn ask(
         &mut self,
         query: Query,
@@ -282,7 +289,7 @@
     }
 }
 
-/// The answer to a query that is not taken.
+/// The reply to a rejected query.
 pub fn refused(why: &Refused) -> Reply {
     let status = match why {
         Refused::Busy => StatusCode::SERVICE_UNAVAILABLE,
@@ -291,7 +298,7 @@
     Reply::typed(status, why.code(), why, why.remedy())
 }
 
-/// The state of a message that was given up so.
+/// The final state of a message that was given up.
 pub fn end_of(how: GivenUp) -> State {
     match how {
         GivenUp::Deferred(_) => State::Deferred,
@@ -311,7 +318,7 @@
     fn datagram(&mut self, now: Micros, from: u16, bytes: &[u8], _out: &mut Out) -> bool {
         let own = self.core.claims(bytes);
         if own {
-            // What it brings about is sent at the end of the turn.
+            // Replies are sent at the end of the turn.
             self.core.receive(now, from, bytes);
         }
         own
--- a/src/net/parts/indexing/tests.rs
+++ b/src/net/parts/indexing/tests.rs
@@ -14,7 +14,7 @@
     config::check(text.to_string().as_bytes(), None).ok()
 }
 
-/// Guards against numbers that are given out twice: what can't be read may hold any.
+/// Numbers must not be assigned twice: a segment that cannot be read may contain any of them.
 #[test]
 fn a_segment_that_cant_be_read_makes_for_a_new_life() -> io::Result<()> {
     let (Some(config), folder) = (configured(), tempfile::tempdir()?) else { panic!("the part is off") };
@@ -23,20 +23,20 @@
     first.keep(1_000_000);
     let life = first.core.own_log();
     assert_eq!(open().map(|part| part.core.own_log()), Some(life));
-    // Nobody can read a folder as a file.
+    // A folder cannot be read as a file.
     fs::create_dir(segment(folder.path(), 2))?;
     assert!(open().is_some_and(|part| part.core.own_log() != life));
     Ok(())
 }
 
-/// Guards clients' answers against a disk that stays full: each try writes the whole log.
+/// A disk that stays full must not delay clients' answers: each retry writes the whole log.
 #[test]
 fn a_folder_that_stays_full_is_tried_ever_more_rarely() -> io::Result<()> {
     let (Some(config), folder) = (configured(), tempfile::tempdir()?) else { panic!("the part is off") };
     let gone = folder.path().join("gone");
     let Some(mut part) = Indexing::open(&config, &gone, 0) else { panic!("the part is off") };
     (0..1_000).for_each(|second| part.keep(second * 1_000_000));
-    // At 0, 5, 15, 35, 75, 155, 315, 615 and 915 s.
+    // Retries at 0, 5, 15, 35, 75, 155, 315, 615 and 915 s.
     assert_eq!(part.core.counts.renewed, 9);
     fs::create_dir(&gone)?;
     (1_000..1_220).for_each(|second| part.keep(second * 1_000_000));
--- a/src/net/parts/mod.rs
+++ b/src/net/parts/mod.rs
@@ -1,6 +1,7 @@
-//! Optional parts of the sender, all of one shape. A part is made from its section of the configuration; without the
-//! section it is not there, and costs no datagram, call, timer or file. It is told of time and datagrams, says what
-//! to send and when to call it, and reports to operators. None of them decides what becomes of a message.
+//! The optional parts of the sender, which share one interface. A part is created from its section of the
+//! configuration; without the section it does not exist, and costs no datagram, call, timer or file. A part
+//! is driven by time and datagrams, returns the datagrams to send and the time of its next call, and reports
+//! to operators. No part decides what happens to a message.
 
 pub mod covering;
 pub mod draining;
@@ -26,51 +27,51 @@
 use starting::Starting;
 use view::View;
 
-/// Datagrams to other senders, by their numbers.
+/// Datagrams to other senders, with the rank of the receiver.
 pub type Out = Vec<(u16, Vec<u8>)>;
 
-/// What each part can be told and asked. What a part has no use for does nothing.
+/// The interface of a part. The default methods do nothing.
 pub trait Part {
-    /// When it wants to be called next, if time is anything to it.
+    /// Time of the next call of [`Part::tick`], if the part needs one.
     fn due(&self) -> Option<Micros> {
         None
     }
 
-    /// Its time has come.
+    /// Called when the time of [`Part::due`] has come.
     fn tick(&mut self, _now: Micros, _out: &mut Out) {}
 
-    /// Another sender's datagram has come; whether it is this part's.
+    /// Handles a datagram of another sender. Returns whether it is for this part.
     fn datagram(&mut self, _now: Micros, _from: u16, _bytes: &[u8], _out: &mut Out) -> bool {
         false
     }
 
-    /// This process sends its clients elsewhere or ends, or takes them again.
+    /// This process goes out of service or ends (`false`), or is back in service (`true`).
     fn serving(&mut self, _now: Micros, _serving: bool, _out: &mut Out) {}
 
-    /// What it has for operators.
+    /// The part's report for operators.
     fn report(&self, now: Micros) -> Value;
 }
 
-/// Those that this sender has.
+/// The parts that this sender has.
 pub struct Parts {
-    /// Endpoints that operators have drained.
+    /// Drain marks that operators have set on endpoints.
     pub draining: Option<Draining>,
-    /// The view of the fleet.
+    /// The membership view.
     pub view: Option<View>,
-    /// Covers for what is in hand.
+    /// Replication of messages to backups.
     pub covering: Option<Covering>,
-    /// What queries and runs will cost.
+    /// Cost estimates of queries and runs.
     pub estimating: Option<Estimating>,
     /// The status index.
     pub indexing: Option<Indexing>,
-    /// A start with others at once.
+    /// Coordination of simultaneous starts.
     pub starting: Option<Starting>,
     /// Reads by plan.
     pub reading: Option<Reading>,
 }
 
 impl Parts {
-    /// As the configuration has them; what lasts of them is in the folder.
+    /// Creates the parts that the configuration enables. Their persistent state is in `folder`.
     pub fn open(config: &Config, folder: &Path, now: Micros) -> Self {
         Self {
             draining: config.draining.map(|section| Draining::open(folder, section.max_marks)),
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Bytes that parts may take of the folder that lasts.
+    /// Maximum size of the parts' files in the state folder, bytes.
     pub fn room(config: &Config) -> u64 {
         let marks = config.draining.map_or(0, |section| Draining::room(section.max_marks));
         let index = config.status.as_ref().map_or(0, |section| Indexing::room(section, config.disk));
@@ -91,8 +92,8 @@
         marks + index + list + config.takeover.as_ref().map_or(0, |_| Memory::ROOM)
     }
 
-    /// The configuration has changed. Draining, covers and the index stay as they were at the start, since their room was set
-    /// aside then.
+    /// Applies a changed configuration. Draining, replication and the status index stay as they were at the
+    /// start, because their disk space was reserved then.
     pub fn adopt(&mut self, config: &Config, now: Micros, out: &mut Out) {
         self.estimating.iter_mut().for_each(|estimating| estimating.adopt(config));
         match &mut self.reading {
@@ -120,7 +121,7 @@
         early.chain(indexing).chain(estimating).chain(starting)
     }
 
-    /// When the first of them wants to be called.
+    /// Time of the next call of [`Parts::tick`], if any part needs one.
     pub fn due(&self) -> Option<Micros> {
         let draining = self.draining.as_ref().and_then(Part::due);
         let view = self.view.as_ref().and_then(Part::due);
@@ -129,14 +130,14 @@
         let indexing = self.indexing.as_ref().and_then(Part::due);
         let starting = self.starting.as_ref().and_then(Part::due);
         let early = draining.into_iter().chain(view).chain(covering);
-        // An answer of the index that is there is gone on with at once.
+        // An answer of the index that is available is processed at once.
         let answered = self.indexing.as_ref().filter(|indexing| indexing.has_answers()).map(|_| 0);
         let reading = self.reading.as_ref().and_then(Part::due);
         let index = indexing.into_iter().chain(answered).chain(reading).chain(estimating);
         early.chain(index).chain(starting).min()
     }
 
-    /// Calls those whose time has come.
+    /// Calls the parts whose time has come.
     pub fn tick(&mut self, now: Micros, out: &mut Out) {
         if let Some(covering) = self.covering.as_mut().filter(|covering| covering.chooses(now)) {
             let facts = self.view.as_ref().map(|view| view.facts(now));
@@ -166,12 +167,12 @@
         }
     }
 
-    /// Hands a datagram to the part that it is for; whether there is one.
+    /// Passes a datagram to the part that it is for. Returns whether there is one.
     pub fn datagram(&mut self, now: Micros, from: u16, bytes: &[u8], out: &mut Out) -> bool {
         self.each().any(|part| part.datagram(now, from, bytes, out))
     }
 
-    /// Tells all of them that clients are sent elsewhere, or taken again.
+    /// Tells all parts that the process is out of service, or back in service.
     pub fn serving(&mut self, now: Micros, serving: bool, out: &mut Out) {
         self.each().for_each(|part| part.serving(now, serving, out));
     }
--- a/src/net/parts/reading.rs
+++ b/src/net/parts/reading.rs
@@ -1,5 +1,5 @@
-//! Reads by plan at the running sender: each is taken apart into logs, sent where `myrtleyard::plans` says, and put
-//! together from what the status index answers.
+//! Reads by plan in the running sender: each read is split by log, routed as `myrtleyard::plans` decides, and
+//! assembled from the answers of the status index.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -29,33 +29,34 @@
 use super::estimating::Estimating;
 use super::indexing::{Indexing, refused};
 
-/// Reads under way at most.
+/// Maximum number of reads under way.
 const MOST_READS: usize = 64;
-/// The index answers so long before a question's time is up, so that its answer is there by then, microseconds.
+/// How long before a query's time is up the index has to answer, so that its answer arrives in time,
+/// microseconds.
 const MARGIN: Micros = 30_000;
-/// Reading costs so much more at a sender that has not been chosen to keep the log, microseconds: what a detour takes
-/// if it does not answer in time.
+/// Extra cost of reading at a sender that is not a chosen replica of the log, microseconds: the time that a
+/// detour takes if that sender does not answer in time.
 const NOT_CHOSEN: Micros = 150_000;
-/// A read that waits for a piece of its tenant's budget looks for it so often, microseconds.
+/// How often a read that waits for a share of its tenant's budget checks for it, microseconds.
 const LOOK_EVERY: Micros = 20_000;
-/// Senders that may have kept a log and are considered, besides its owner: whoever is chosen while more of these are
-/// away is not asked.
+/// Number of candidate replicas of a log that are considered besides its owner. A replica further down the
+/// order, chosen because too many better candidates are away, is not queried.
 const KEEPERS: usize = MOST_HOLDERS - 1;
-/// Whatever life an owner is in. Lives are drawn from 1 on.
+/// Stands for an owner's current incarnation, whichever it is. Real incarnations are drawn from 1 on.
 const ANY_LIFE: Life = Life(0);
 
-/// Rows of one answer of the index, with what it says of itself.
+/// An answer of the index, with its rows and what it states about them.
 type Rows = Rc<Answer>;
 
-/// What else a part of the sender is asked with: the index, how the view stands, and the estimates.
+/// The other parts that a read needs: the index, the facts of the membership view, and the estimates.
 type Around<'a> = (&'a mut Indexing, Option<&'a Facts>, &'a mut Estimating);
 
-/// A read that its plan lets begin, and that waits for its tenant's budget.
+/// A read that is admitted by its plan and waits for its tenant's budget.
 struct Asked {
     query: Query,
     plan: Plan,
     token: Token,
-    /// Routes are wanted, and the estimate.
+    /// Whether the answer is to contain routes, and the estimate.
     shows: (bool, bool),
     begun: Micros,
     within: Micros,
@@ -79,16 +80,16 @@
     missing: Vec<Missing>,
 }
 
-/// A question to the index: whose read it is of, and which log is asked for where.
+/// A query to the index: the read that it belongs to, and which log is queried at which sender.
 struct Out {
     read: u64,
     logs: Vec<(LogId, Need, Rank, u32)>,
 }
 
-/// The part.
+/// The reads part.
 pub struct Reading {
     plans: Plans,
-    /// The section is there. If it goes, reads under way come to their end.
+    /// Whether the section is present. If it is removed, reads under way still complete.
     on: bool,
     own: Rank,
     size: usize,
@@ -96,13 +97,14 @@
     next: u64,
     under: BTreeMap<u64, Under>,
     out: BTreeMap<u64, Out>,
-    /// Reads that wait for a piece of their tenant's budget, [`MOST_READS`] with those under way, and when they look again.
+    /// Reads that wait for a share of their tenant's budget, at most [`MOST_READS`] together with those under
+    /// way, and when they check again.
     waiting: Vec<Asked>,
     look_at: Micros,
 }
 
 impl Reading {
-    /// As the configuration has it; nothing without its section, and without the index.
+    /// Creates the part; `None` without its section or without the index.
     pub fn open(config: &Config) -> Option<Self> {
         let section = config.plans.clone()?;
         config.status.as_ref()?;
@@ -114,18 +116,19 @@
         Some(Self { plans, on: true, own, size, tier, next: 0, under, out, waiting, look_at: 0 })
     }
 
-    /// The configuration has changed.
+    /// Applies a changed configuration.
     pub fn adopt(&mut self, config: &Config) {
         self.on = config.plans.is_some();
         self.plans.adopt(config.plans.clone().unwrap_or_default());
     }
 
-    /// Whether the section is there.
+    /// Whether the section is present.
     pub fn is_on(&self) -> bool {
         self.on
     }
 
-    /// What a client gets with its 202, if its tenant's plan has sessions and the message is in the index.
+    /// The session token that a client gets with its 202, if its tenant's plan has sessions and the message
+    /// is in the index.
     pub fn token(&self, taken: &Taken, indexing: &Indexing) -> Option<String> {
         let tenant = taken.owner.as_deref().unwrap_or_default();
         if !self.on || !self.plans.entitled(tenant) {
@@ -137,7 +140,7 @@
         Some(token.text(self.tier))
     }
 
-    /// Begins a read, or says why not.
+    /// Begins a read, or replies with the reason why it is denied.
     pub fn begin(
         &mut self,
         call: StatusCall,
@@ -151,7 +154,7 @@
             Ok(admitted) => admitted,
             Err(denied) => {
                 let (tenant, code) = (&query.tenant, denied.code());
-                tracing::info!(tenant, code, "a read is denied");
+                tracing::info!(tenant, code, "read denied");
                 return drop(reply.send(denial(&denied)));
             }
         };
@@ -163,22 +166,22 @@
         self.take_on(asked, now, around);
     }
 
-    /// Says that a read is not run.
+    /// Denies a read and replies with the reason.
     fn deny(&mut self, asked: Asked, denied: &Denied) {
         let (tenant, code) = (&asked.query.tenant, denied.code());
-        tracing::info!(tenant, code, "a read is denied");
+        tracing::info!(tenant, code, "read denied");
         self.plans.denied(tenant);
-        // Who does not wait any more has gone.
+        // The send fails if the caller is gone.
         let _ = asked.reply.send(denial(denied));
     }
 
-    /// Begins a read as its estimate and its tenant's budget let it, or has it wait for a piece of the budget that was
-    /// asked for.
+    /// Begins a read if its estimate and its tenant's budget allow it, or queues it until the requested share
+    /// of the budget arrives.
     fn take_on(&mut self, mut asked: Asked, now: Micros, around: Around<'_>) {
         let name = self.plans.of(&asked.query.tenant).0.to_owned();
         let estimating = around.2;
         let begun = Charged::begin(&mut estimating.core, now, &asked.query);
-        // What budgets have to say goes out now.
+        // Sends the budget messages now.
         estimating.wake(now);
         let charged = match begun {
             Ok(charged) => charged,
@@ -200,7 +203,7 @@
         if let Decision::Narrowed { from, reason } = charged.decided.decision {
             let seen = asked.token.overflowed() || asked.token.logs().next().is_some();
             if seen && asked.plan.otherwise == Otherwise::Refuse {
-                // What its session has seen must not be left out.
+                // What the session has already seen must not be left out.
                 let estimate = estimating.core.predict(now, &asked.query);
                 let whole = Decided { decision: Decision::Refused { reason }, estimate };
                 let denied = denied(name, &asked.plan, &whole);
@@ -217,7 +220,7 @@
             Ok(core) => core,
             Err(wide) => {
                 charged.end(&mut around.2.core, now, Ok(None));
-                let remedy = "ask for ids, or for less time";
+                let remedy = "query by ids, or for a shorter time range";
                 return drop(reply.send(Reply::typed(StatusCode::BAD_REQUEST, "read_wide", wide, remedy)));
             }
         };
@@ -244,8 +247,8 @@
         self.go_on(now, Vec::new(), around);
     }
 
-    /// What a read is made of: the logs that its token names, and each owner's in whatever life it is, unless the token
-    /// names the only one that is known here.
+    /// The logs that a read consists of: those that its token names, and the current log of each owner,
+    /// whichever its incarnation is, unless the token names the only log of that owner known here.
     fn logs(&self, token: &Token, indexing: &Indexing, now: Micros) -> Vec<LogId> {
         let positions = indexing.core.positions(now);
         let hints = indexing.core.hints().values();
@@ -266,7 +269,7 @@
         any.chain(token.logs().map(|(log, _)| log)).collect()
     }
 
-    /// Goes on with all reads: answers of the index are checked, and what is open is asked for.
+    /// Advances all reads: checks answers of the index, and queries the logs that are still open.
     pub fn go_on(&mut self, now: Micros, answers: Vec<(u64, Answer)>, around: Around<'_>) {
         let (indexing, facts, estimating) = around;
         for (number, answer) in answers {
@@ -301,13 +304,13 @@
                 && let Some(under) = self.under.remove(&number)
             {
                 under.charged.end(&mut estimating.core, now, Ok(None));
-                // Who does not wait any more has gone.
+                // The send fails if the caller is gone.
                 let _ = under.reply.send(refused(&why));
             }
         }
     }
 
-    /// Looks whether the budget is there that reads wait for.
+    /// Retries the reads that wait for budget.
     pub fn look(&mut self, now: Micros, (indexing, facts, estimating): Around<'_>) {
         if now < self.look_at {
             return;
@@ -317,7 +320,8 @@
         }
     }
 
-    /// Asks the index, which knows owners: where two logs of one owner go to different senders, in two questions.
+    /// Queries the index, whose routes are by owner. If two logs of one owner go to different senders, that
+    /// takes two queries.
     fn ask(
         &mut self,
         read: u64,
@@ -339,7 +343,7 @@
             }
         }
         for (routes, out, by) in batches {
-            // Which state a message has shows only once all logs are joined.
+            // A message's state is known only after all logs are joined, so the states are filtered later.
             let query = Query { states: Vec::new(), ..under.query.clone() };
             let within = by.saturating_sub(now).saturating_sub(MARGIN).max(MARGIN);
             let number = indexing.core.ask(now, query, routes, within)?;
@@ -381,7 +385,7 @@
         let Tally { here, asked, waits } = tally;
         match outcome {
             Outcome::Kept => {
-                tracing::debug!(tenant, plan, ?level, here, asked, waits, took_us, "a read by plan");
+                tracing::debug!(tenant, plan, ?level, here, asked, waits, took_us, "read by plan completed");
             }
             Outcome::Less | Outcome::Refused => {
                 let (lost, late) = (lost.len(), late.len());
@@ -396,7 +400,7 @@
                     lost,
                     late,
                     took_us,
-                    "a read by plan"
+                    "read by plan incomplete or refused"
                 );
             }
         }
@@ -422,7 +426,7 @@
         let mut whole = Ok(None);
         touched.iter().for_each(|link| estimating.core.learned.link(link.server, link.took_us));
         let mut reply = if let (Some(cut), Outcome::Refused) = (cut, outcome) {
-            let (code, remedy) = ("plan_cut", "ask for ids or a shorter time, or in pieces");
+            let (code, remedy) = ("plan_cut", "query by ids, for a shorter time range, or in several parts");
             let told = json!({"code": code, "error": cut.to_string(), "remedy": remedy, "read": read});
             Reply::new(StatusCode::PAYLOAD_TOO_LARGE, &told)
         } else if outcome == Outcome::Refused {
@@ -433,7 +437,7 @@
             read["age_ms"] = json!(oldest.map(|oldest| now.saturating_sub(oldest) / 1000));
             let mut answer = put_together(&query, &ended, (told, touched, missing));
             answer.took_us = took_us;
-            // Whoever looks at nothing else has to see that there may be more.
+            // A caller that looks at this field only must see that there may be more rows.
             answer.partial |= left_out.is_some();
             if outcome == Outcome::Kept {
                 whole = Ok(Some((answer.rows.len() as u64, took_us)));
@@ -447,7 +451,7 @@
         };
         charged.end(&mut estimating.core, now, cut.map_or(whole, Err));
         reply.token = session;
-        // Who does not wait any more has gone.
+        // The send fails if the caller is gone.
         let _ = to.send(reply);
     }
 }
@@ -480,7 +484,8 @@
     }
 }
 
-/// What a sender that was asked states of a log, by the index's answer, and up to where it may have shown it.
+/// What a queried sender states about a log, by the answer of the index, and the position up to which the
+/// answer may have shown the log.
 fn stated(answer: &Answer, log: LogId, need: Need, from: Rank) -> (Stated, u64) {
     let of: Vec<&Told> =
         answer.logs.iter().filter(|told| told.log.owner == log.owner && told.server == from).collect();
@@ -493,17 +498,18 @@
     };
     let owner = from == log.owner;
     if log.life == ANY_LIFE {
-        // An owner tells of its present life first. What is shown counts for the logs themselves.
+        // An owner reports its current incarnation first. Positions shown are counted per log, not here.
         let newest = of.iter().max_by_key(|told| told.reached.as_of).unwrap_or(first);
         return match owner {
             true => (Stated::Has(first.reached), 0),
-            // Nothing was claimed of it yet.
+            // The replica has no claim about the log yet.
             false if newest.reached.as_of == 0 => (Stated::Nothing, 0),
             false => (Stated::Has(newest.reached), 0),
         };
     }
     match of.iter().find(|told| told.log == log) {
-        // It got back what others kept of a life that is over: that may be enough, but it is not all.
+        // The owner has got back from replicas what they stored of its earlier incarnation. That may be
+        // enough for the read, but it is not complete.
         Some(told) if owner && first.log != log => match need {
             Need::Upto(_) if need.met(log, from, told.reached) => (Stated::Has(told.reached), told.shown),
             _ => (Stated::Over, told.shown),
@@ -515,7 +521,8 @@
     }
 }
 
-/// Who may hold each log, and how far: who keeps it by the index, and whoever said so. Then how far each is here.
+/// The senders that may hold each log, with their positions: possible replicas by the index, and senders that
+/// have announced the log. Second, the positions of the logs in this sender.
 fn holders(logs: &[LogId], own: Rank, indexing: &Indexing, now: Micros) -> (Vec<Log>, Positions) {
     let index = &indexing.core;
     let positions = index.positions(now);
@@ -591,7 +598,7 @@
     Reply::new(status, &told)
 }
 
-/// Why a read does not run, or not as it was asked.
+/// The reason why a read does not run as requested.
 fn denied(plan: String, of: &Plan, decided: &Decided) -> Denied {
     let prediction = &decided.estimate.prediction;
     match decided.decision {
@@ -606,7 +613,7 @@
     }
 }
 
-/// What a read was made less by.
+/// What was left out of a narrowed read.
 fn left_out(decision: &Decision) -> Option<Value> {
     match decision {
         Decision::Narrowed { from, reason } => Some(json!({"before": from, "reason": reason})),
@@ -614,7 +621,7 @@
     }
 }
 
-/// What a read was predicted to take, what was decided, and what it took.
+/// The predicted cost of a read, the decision, and the actual cost.
 fn estimate(charged: &Charged) -> Value {
     let (decided, (shards, bytes)) = (&charged.decided, charged.read());
     let prediction = &decided.estimate.prediction;
@@ -622,21 +629,21 @@
            "decision": decided.decision, "read": {"shards": shards, "bytes": bytes}})
 }
 
-/// A read that would have shown less.
+/// The error reply to a read that would have shown less than its plan requires.
 fn refusal(lost: &[Value], late: &[Value], read: &Value) -> Reply {
     let (status, code, error, remedy) = if lost.is_empty() {
-        let error = format!("{} logs can't be had as far as the plan asks, in time", late.len());
-        let remedy = "read again; if it stays so, look which of the owners are away, or allow tell-stale";
+        let error = format!("{} logs did not reach the position that the plan requires in time", late.len());
+        let remedy = "read again; if it persists, check which owners are unavailable, or allow tell-stale";
         (StatusCode::SERVICE_UNAVAILABLE, "read_late", error, remedy)
     } else {
-        let error = format!("of {} logs what the session has seen is lost", lost.len());
-        let remedy = "have the client go on with token_without_lost, and hand in again what it misses";
+        let error = format!("data of {} logs that the session has seen is lost", lost.len());
+        let remedy = "let the client continue with token_without_lost and submit missing messages again";
         (StatusCode::GONE, "read_lost", error, remedy)
     };
     Reply::new(status, &json!({"code": code, "error": error, "remedy": remedy, "read": read}))
 }
 
-/// All answers of a read as one.
+/// Combines the answers of a read into one.
 fn put_together(
     query: &Query,
     ended: &Ended<Rows>,
@@ -659,7 +666,8 @@
             None => drop(rows.insert(key_of(&entry.tenant, &entry.id), entry.clone())),
         }
     }
-    // An id that an answer does not name so is known there, if it is not a row for another reason.
+    // An id that some answer does not list as unknown is known there, even if it is not among the rows for
+    // another reason.
     let unknown: Vec<BTreeSet<&String>> =
         answers.iter().map(|answer| answer.not_known.iter().collect()).collect();
     let unknown = |id: &&String| unknown.iter().all(|unknown| unknown.contains(id));
--- a/src/net/parts/starting.rs
+++ b/src/net/parts/starting.rs
@@ -1,5 +1,5 @@
-//! A start with others at once, at the running sender: what outlasts the process, when the list service is called, and
-//! what operators are told. `myrtleyard::start` is the rest.
+//! Coordination of simultaneous starts, in the running sender: the state that survives the process, the
+//! timing of calls to the list service, and the report for operators. `myrtleyard::start` has the rest.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -22,35 +22,37 @@
 use super::super::listing::{ListBody, Listing, version};
 use super::{Out, Part};
 
-/// The slot of a call that waits for its turn is looked at again so often: it moves with what is heard.
+/// How often a waiting call to the list service checks its slot again. Hints from other senders move the
+/// slot.
 const LOOK: Duration = Duration::from_millis(100);
 
-/// The part.
+/// The startup part.
 pub struct Starting {
-    /// The start itself, shared with whoever follows the list.
+    /// The state of the start, shared with the task that follows the list.
     pub core: Rc<RefCell<Start>>,
     list_at: PathBuf,
     lives_at: PathBuf,
-    /// The list that this process begins from, and where it is from.
+    /// The cached list that this process starts from, if it is usable.
     pub from: Option<ListBody>,
+    /// Origin of the list in use, for the report.
     source: &'static str,
     kept_at: Option<Micros>,
-    /// When the list was last written down, and whether it has changed since.
+    /// When the list was last stored, and whether it has changed since.
     written: (Micros, bool),
-    /// Names that are written down as active, with their destinations.
+    /// Names and destinations of the endpoints that are active in the stored list.
     active: BTreeSet<(String, u32)>,
-    /// The list is too long to be kept, which was said.
+    /// The list is too long to be stored, and this has been logged.
     unkept: bool,
-    /// This process has come through its start.
+    /// This process has completed its start.
     through: bool,
 }
 
-/// Those that may be called, with their destinations.
+/// Names and destinations of the active endpoints.
 fn active(list: &[Listing]) -> BTreeSet<(String, u32)> {
     named(list).filter(|named| named.2).map(|(name, group, _)| (name, group)).collect()
 }
 
-/// The entries of a list as others are told them.
+/// The entries of a list in the form that is sent to other senders.
 pub fn named(list: &[Listing]) -> impl Iterator<Item = Named> {
     list.iter().map(of)
 }
@@ -59,7 +61,7 @@
     (listing.name.clone(), listing.group, listing.status == "active")
 }
 
-/// How many a list has.
+/// The number of entries of a list.
 fn entries(list: &List) -> usize {
     match list {
         List::Entries(list) => list.endpoints.len(),
@@ -68,17 +70,17 @@
 }
 
 impl Starting {
-    /// As the configuration has it, with what earlier processes left; nothing without its section. What can't be read
-    /// is told and left out.
+    /// Creates the part with the state that earlier processes left; `None` without its section. State that
+    /// cannot be read is logged and ignored.
     pub fn open(config: &Config, folder: &Path, now: Micros) -> Option<Self> {
         let section = config.start.as_ref()?;
         let own = config.rank()?;
         let (list_at, lives_at) = (folder.join("list"), folder.join("lives"));
         let lives = lasting::read(&lives_at).ok().flatten().and_then(|bytes| bytes.first().copied());
         let lives = lives.unwrap_or(0);
-        // One more, until this process has come through.
+        // Counts this start as failed until the process has completed it.
         if let Err(e) = lasting::write(&lives_at, &[lives.saturating_add(1)]) {
-            tracing::warn!("the count of starts can't be written down: {e}");
+            tracing::warn!("cannot store the count of starts: {e}");
         }
         let tier = myrtleyard::membership::tier_of(&section.tier);
         let read = lasting::read(&list_at).map_err(|e| e.to_string());
@@ -89,7 +91,7 @@
         let kept = match read {
             Ok(kept) => kept,
             Err(e) => {
-                tracing::warn!("the list of endpoints that was kept can't be read, and is left out: {e}");
+                tracing::warn!("cannot read the cached endpoint list; ignoring it: {e}");
                 None
             }
         };
@@ -99,7 +101,7 @@
             Ok(()) => true,
             Err(why) => {
                 let (code, remedy) = (why.code(), why.remedy());
-                tracing::warn!(code, remedy, "the list of endpoints that was kept is not begun from: {why}");
+                tracing::warn!(code, remedy, "not starting from the cached endpoint list: {why}");
                 false
             }
         });
@@ -144,7 +146,7 @@
         })
     }
 
-    /// How many the view holds for there.
+    /// Updates the number of senders that are present by the membership view.
     pub fn look(&mut self, facts: Option<&Facts>) {
         let Some(facts) = facts else { return };
         let gone = |state: State| matches!(state, State::Dead | State::Left);
@@ -152,47 +154,49 @@
         self.core.borrow_mut().look(there);
     }
 
-    /// The list service told a list, and this is all of it.
+    /// The list service sent a list; `list` is the complete result.
     pub fn listed(&mut self, now: Micros, version: u64, list: &[Listing]) {
         self.core.borrow_mut().listed(now, version, named(list).collect());
         self.source = "list service";
         self.written.1 = true;
-        // A process that begins from the file must not call what was taken away: that does not wait.
+        // A process that starts from the file must not call removed endpoints, so removals are stored at
+        // once.
         let away = !self.active.is_subset(&active(list));
         if away || now >= self.written.0 + EVERY {
             self.keep(now, list);
         }
     }
 
-    /// The list service told a list that is too long to be kept, or told to others.
+    /// The list service sent a list that is too long to be stored or to be sent to other senders.
     pub fn listed_long(&mut self, now: Micros, version: u64) {
         self.core.borrow_mut().listed_long(now, version);
         self.source = "list service";
         self.keep_none(now);
     }
 
-    /// The list is too long to be kept: the next process begins from none, rather than from an older one.
+    /// Removes the stored list, because the current one is too long to be stored: the next process starts
+    /// without a list rather than from an outdated one.
     pub fn keep_none(&mut self, now: Micros) {
         self.written = (now, false);
         if std::mem::replace(&mut self.unkept, true) {
             return;
         }
-        tracing::warn!("the list of endpoints is too long to be kept");
+        tracing::warn!("the endpoint list is too long to be cached");
         match std::fs::remove_file(&self.list_at) {
             Err(e) if e.kind() != std::io::ErrorKind::NotFound => {
-                tracing::warn!("the list of endpoints that was kept can't be removed: {e}");
+                tracing::warn!("cannot remove the cached endpoint list: {e}");
                 self.unkept = false;
             }
             _ => self.active.clear(),
         }
     }
 
-    /// The list is to be written down, if it has changed and was not for a while.
+    /// Whether the list has changed and its last storing is long enough ago to store it again.
     pub fn to_keep(&self, now: Micros) -> bool {
         self.written.1 && now >= self.written.0 + EVERY
     }
 
-    /// Writes the list down.
+    /// Stores the list.
     pub fn keep(&mut self, now: Micros, list: &[Listing]) {
         self.unkept = false;
         let core = self.core.borrow();
@@ -204,16 +208,16 @@
         self.written = (now, false);
         let bytes = postcard::to_allocvec(&kept).unwrap_or_default();
         if bytes.len() > MOST_BYTES {
-            tracing::warn!(bytes = bytes.len(), "the list of endpoints is too long to be kept");
+            tracing::warn!(bytes = bytes.len(), "the endpoint list is too long to be cached");
         } else if let Err(e) = lasting::write(&self.list_at, &bytes) {
-            tracing::warn!("the list of endpoints can't be written down: {e}");
+            tracing::warn!("cannot store the endpoint list: {e}");
             self.written.1 = true;
         } else {
             self.active = active(list);
         }
     }
 
-    /// For whoever follows the list.
+    /// The pacing handle for the task that follows the list.
     pub fn pace(&self, clock: Clock) -> Rc<Pace> {
         Rc::new(Pace { core: self.core.clone(), clock, moved: Notify::new() })
     }
@@ -229,10 +233,11 @@
         let through = self.core.borrow().phase().0 == Phase::Steady;
         if through && !self.through {
             self.through = true;
-            // What was learned goes with the list, at the next turn that writes it.
+            // What was learned about the list service is stored together with the list, in the next turn that
+            // does so.
             self.written.1 = true;
             if let Err(e) = lasting::write(&self.lives_at, &[0]) {
-                tracing::warn!("the count of starts can't be written down: {e}");
+                tracing::warn!("cannot store the count of starts: {e}");
             }
         }
     }
@@ -256,7 +261,7 @@
     }
 }
 
-/// When the list service is called, for whoever follows the list.
+/// Schedules the calls to the list service for the task that follows the list.
 pub struct Pace {
     core: Rc<RefCell<Start>>,
     clock: Clock,
@@ -264,7 +269,7 @@
 }
 
 impl Pace {
-    /// Waits for this sender's turn, and takes it. Whether the whole list is to be asked for.
+    /// Waits for this sender's slot and starts a call in it. Returns whether to request the whole list.
     pub async fn turn(&self) -> bool {
         loop {
             let now = self.clock.now();
@@ -283,7 +288,7 @@
         }
     }
 
-    /// The call that had its turn ended so: with news or without, or not at all.
+    /// Reports the result of the call: whether its answer had news, or how it failed.
     pub fn ended(&self, how: Result<bool, Failed>) {
         let now = self.clock.now();
         match how {
@@ -292,7 +297,7 @@
         }
     }
 
-    /// The list service has moved.
+    /// The address of the list service has changed.
     pub fn moved(&self) {
         self.core.borrow_mut().moved(self.clock.now());
         self.moved.notify_one();
--- a/src/net/parts/starting/tests.rs
+++ b/src/net/parts/starting/tests.rs
@@ -22,7 +22,8 @@
     Listing { name: text(name), address, zone, kind, group: 4, status, weight: 2.5, since_ms: 7 }
 }
 
-/// What an earlier process left is begun from only if it is whole, of this tier, young, and not behind.
+/// A process starts from the cached list of an earlier one only if the file is intact, of this tier, recent
+/// enough, and not older than the configuration's list.
 #[test]
 fn a_kept_list_is_begun_from_or_left_out_and_early_ends_are_counted() -> std::io::Result<()> {
     let folder = tempfile::tempdir()?;
@@ -32,9 +33,9 @@
     let Some(mut first) = open("x", 40, NOW) else { panic!("the part is off") };
     assert_eq!((first.source, first.core.borrow().lives()), ("none", 0));
     first.listed(NOW, 43, &kept);
-    let Some(second) = from("x", 40, NOW + 1) else { panic!("nothing is begun from") };
+    let Some(second) = from("x", 40, NOW + 1) else { panic!("the cached list is not used") };
     assert_eq!((second.index, &second.endpoints[..]), (43, &kept[..]));
-    // What only changes waits a while; what is taken away does not.
+    // Additions are stored only after a while; removals are stored at once.
     let mut later = vec![listing("s-1"), listing("s-2"), listing("s-3")];
     first.listed(NOW + 2, 44, &later);
     assert_eq!(from("x", 40, NOW + 2).map(|from| from.index), Some(43));
@@ -47,7 +48,7 @@
     first.listed(NOW + EVERY + 4, 43, &kept);
     assert!(from("y", 40, NOW).is_none() && from("x", 44, NOW).is_none());
     assert!(from("x", 40, NOW + 86_400_000_000).is_none() && from("x", 40, NOW - 86_400_000_000).is_none());
-    // Nobody has come through a start yet: six were made.
+    // No process has completed its start yet; six were begun.
     let lives = open("x", 40, NOW).map(|part| part.core.borrow().lives());
     assert_eq!(lives, Some(myrtleyard::start::kept::MOST_LIVES));
     let path = folder.path().join("list");
--- a/src/net/parts/view.rs
+++ b/src/net/parts/view.rs
@@ -1,5 +1,5 @@
-//! The view of the fleet at the running sender: who the members are, from the configuration, and what operators are
-//! told. `myrtleyard::membership` is the protocol itself.
+//! The membership view in the running sender: the members, taken from the configuration, and the report for
+//! operators. `myrtleyard::membership` is the protocol itself.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use super::super::config::Config;
 use super::{Out, Part};
 
-/// The part.
+/// The membership part.
 pub struct View {
     core: Membership,
     section: membership::Config,
@@ -18,12 +18,12 @@
     zones: Vec<String>,
     place: Place,
     seed: u64,
-    /// The version of the view as far as it is in the log.
+    /// Version of the view up to which changes have been logged.
     told: u64,
 }
 
 impl View {
-    /// As the configuration has it; nothing without its section. Members are the senders of the tier, by number.
+    /// Creates the part; `None` without its section. The members are the senders of the tier, by rank.
     pub fn open(config: &Config, now: Micros) -> Option<Self> {
         let section = config.membership.clone()?;
         let place = place(config, &section)?;
@@ -38,7 +38,8 @@
         })
     }
 
-    /// The configuration has changed. A changed list or period begins the view anew; others tell it of its lives.
+    /// Applies a changed configuration. If the section, the peers or this sender's place has changed, the view
+    /// is rebuilt from scratch; the other senders then report this sender's earlier incarnations to it.
     pub fn adopt(&mut self, config: &Config, now: Micros) {
         let Some(section) = &config.membership else { return };
         let Some(place) = place(config, section) else { return };
@@ -63,7 +64,7 @@
     }
 }
 
-/// This sender's place in its tier.
+/// The rank, zone and tier of this sender.
 pub fn place(config: &Config, section: &membership::Config) -> Option<Place> {
     let own = config.rank()?;
     let zone = config.document["settings"]["locality"].as_u64().and_then(|zone| u8::try_from(zone).ok());
@@ -72,12 +73,12 @@
 }
 
 impl View {
-    /// What other parts may rest a choice on.
+    /// The facts about members on which other parts may base decisions.
     pub fn facts(&self, now: Micros) -> Facts {
         self.core.facts(now)
     }
 
-    /// Writes down what has changed since the last time.
+    /// Logs the changes since the last call.
     fn tell(&mut self) {
         let news = self.core.version - self.told;
         if news == 0 {
@@ -87,7 +88,7 @@
         let changes: Vec<&Change> = self.core.history().collect();
         for change in &changes[changes.len().saturating_sub(news as usize)..] {
             let Change { member, incarnation, from, to, .. } = change;
-            tracing::info!(member, incarnation, ?from, ?to, "the view of the fleet has changed");
+            tracing::info!(member, incarnation, ?from, ?to, "membership view changed");
         }
     }
 }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,4 +1,4 @@
-//! Notes between senders: datagrams that may be lost.
+//! Datagrams between senders. They may be lost.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -12,10 +12,10 @@
 use super::Inbound;
 use super::config::Config;
 
-/// A longer note is not sent.
+/// Maximum size of a datagram; longer ones are neither sent nor received. Bytes.
 const NOTE_LIMIT: usize = 256;
 
-/// The way to the other senders.
+/// The socket for datagrams to and from the other senders.
 pub struct Peers {
     socket: Rc<UdpSocket>,
     peers: Rc<RefCell<Vec<SocketAddr>>>,
@@ -25,7 +25,7 @@
 }
 
 impl Peers {
-    /// Listens for notes, where the deployment has them.
+    /// Opens the socket and starts receiving, if the configuration has a `peer_listen` address.
     ///
     /// # Errors
     /// Fails when the address cannot be listened on.
@@ -38,7 +38,7 @@
         let receiving = tokio::task::spawn_local(async move {
             let mut note = [0; NOTE_LIMIT + 1];
             loop {
-                // An error here is an earlier note's that did not arrive.
+                // An error here reports an earlier datagram that could not be delivered.
                 let Ok((size, from)) = from_peers.recv_from(&mut note).await else {
                     tokio::task::yield_now().await;
                     continue;
@@ -60,23 +60,23 @@
         Ok(Some(Self { socket, peers, strangers, all: config.peers_all, receiving }))
     }
 
-    /// These are the senders of the tier from now on.
+    /// Replaces the addresses of the senders of the tier.
     pub fn adopt(&self, peers: &[SocketAddr]) {
         *self.peers.borrow_mut() = peers.to_vec();
     }
 
-    /// Datagrams that came from no sender of the tier; they were dropped.
+    /// Number of datagrams dropped because their source is not a sender of the tier.
     pub fn strangers(&self) -> u64 {
         self.strangers.get()
     }
 
-    /// Gives the address up.
+    /// Stops receiving and releases the address.
     pub async fn close(self) {
         self.receiving.abort();
         let _ = self.receiving.await;
     }
 
-    /// Sends a note to one sender, or to all; it may be lost.
+    /// Sends a datagram to one sender, or to all; it may be lost.
     pub fn tell(&self, to: Option<u16>, content: &[u8]) {
         let address = match to {
             Some(rank) => self.peers.borrow().get(usize::from(rank)).copied(),
--- a/src/net/refusals.rs
+++ b/src/net/refusals.rs
@@ -1,4 +1,4 @@
-//! Why this process does not start, and why a call of operators is not answered with what was asked for.
+//! Errors: why the process does not start, and why a management call fails.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,7 +10,8 @@
 use super::config::Wrong;
 use super::log::NoLog;
 
-/// Why the sender does not start. It ends with this line, and has taken nothing on.
+/// Why the sender does not start. The process prints the error in one line and ends; it has accepted no
+/// message.
 #[derive(Debug, thiserror::Error)]
 pub enum NoStart {
     #[error("{0}")]
@@ -19,36 +20,36 @@
     Log(#[from] NoLog),
     #[error("NODE_LISTEN_FD={number}: {why}")]
     Inherited { number: i32, why: io::Error },
-    #[error("runtime: {0}")]
+    #[error("cannot create the async runtime: {0}")]
     Runtime(io::Error),
-    #[error("signals: {0}")]
+    #[error("cannot install signal handlers: {0}")]
     Signals(io::Error),
-    #[error("mgmt {address}: {why}")]
+    #[error("cannot listen on mgmt {address}: {why}")]
     Mgmt { address: SocketAddr, why: io::Error },
-    #[error("{}: {why}", folder.display())]
+    #[error("cannot use the state folder {}: {why}", folder.display())]
     Folder { folder: PathBuf, why: io::Error },
-    #[error("journal in {}: {why}", folder.display())]
+    #[error("cannot open the journal in {}: {why}", folder.display())]
     Journal { folder: PathBuf, why: io::Error },
-    #[error("peer_listen: {0}")]
+    #[error("cannot listen on peer_listen: {0}")]
     Peers(io::Error),
-    #[error("listen on {address}: {why}")]
+    #[error("cannot listen on {address}: {why}")]
     Listen { address: SocketAddr, why: io::Error },
 }
 
 told! { NoStart {
-    Inherited => "start.inherited", "hand down a listening socket at the descriptor, or unset NODE_LISTEN_FD";
-    Runtime => "start.runtime", "give the process more descriptors and memory";
-    Signals => "start.signals", "give the process more descriptors";
-    Mgmt => "start.mgmt", "see what has the address mgmt, or name another one of this machine";
-    Folder => "start.folder", "see that the folder NODE_STATE is there, can be written, and is no other sender's";
-    Journal => "start.journal", "see that the disk has room and the folder can be written; keep what is in it";
-    Peers => "start.peers", "see what has the address peer_listen, or name another one of this machine";
-    Listen => "start.listen", "see what has the address listen, or name another one of this machine";
+    Inherited => "start.inherited", "pass a listening socket at the descriptor, or unset NODE_LISTEN_FD";
+    Runtime => "start.runtime", "raise the process's limits of descriptors and memory";
+    Signals => "start.signals", "raise the process's limit of descriptors";
+    Mgmt => "start.mgmt", "find out what uses the address mgmt, or set another one of this machine";
+    Folder => "start.folder", "check that the folder NODE_STATE exists, is writable and is no other sender's";
+    Journal => "start.journal", "check that the disk has space and the folder is writable; keep its files";
+    Peers => "start.peers", "find out what uses the address peer_listen, or set another one of this machine";
+    Listen => "start.listen", "find out what uses the address listen, or set another one of this machine";
     ..Config;
     ..Log;
 } }
 
-/// Why a call is not answered with what was asked for.
+/// Why a management call fails.
 #[derive(Debug, thiserror::Error)]
 pub enum NoCall {
     #[error("starting")]
@@ -59,59 +60,59 @@
     Leaving(&'static str),
     #[error("handed over")]
     HandedOver,
-    #[error("?within_ms=N with N from 1 to 4294967295 is expected")]
+    #[error("invalid query string: expected ?within_ms=N with N from 1 to 4294967295")]
     Within,
-    #[error("the body can't be read: {0}")]
+    #[error("invalid request body: {0}")]
     Body(#[from] serde_json::Error),
-    #[error("the body did not come whole in time")]
+    #[error("timed out while reading the request body")]
     BodyLate,
-    #[error("the body is over {0} bytes")]
+    #[error("the request body is longer than {0} bytes")]
     BodyLong(usize),
-    #[error("the body broke off")]
+    #[error("the request body is truncated")]
     BodyCut,
-    #[error("{0}")]
+    #[error("the check did not finish: {0}")]
     Check(tokio::task::JoinError),
     #[error("the configuration has {0} faults")]
     Faults(usize),
-    #[error("the path names no message, or the query is another than tenant=NAME, route=1 and estimate=1")]
+    #[error("the path has no message id, or the query string is not of tenant=NAME, route=1 and estimate=1")]
     Message,
-    #[error("the query can't be read: {0}")]
+    #[error("invalid query: {0}")]
     Query(serde_json::Error),
-    #[error("endpoints can't be drained here: the configuration has no section \"draining\"")]
+    #[error("draining is disabled: the configuration has no section \"draining\"")]
     DrainingOff,
-    #[error("there is no view of the fleet: the configuration has no section \"membership\"")]
+    #[error("the membership view is disabled: the configuration has no section \"membership\"")]
     MembershipOff,
-    #[error("nothing is covered: the configuration has no section \"takeover\"")]
+    #[error("takeover is disabled: the configuration has no section \"takeover\"")]
     TakeoverOff,
-    #[error("starts are not told of: the configuration has no section \"start\"")]
+    #[error("start coordination is disabled: the configuration has no section \"start\"")]
     StartOff,
-    #[error("the marks can't be written down, nothing is changed: {0}")]
+    #[error("the drain marks cannot be written; nothing has changed: {0}")]
     Marks(io::Error),
 }
 
 told! { NoCall {
-    Starting => "call.starting", "ask again in a second; after 6 s read the log";
-    Stopping => "call.stopping", "ask the process that comes after it";
-    Leaving => "call.leaving", "leave it: a process on its way out does not come back; start a new one";
-    HandedOver => "call.handed-over", "ask the newer process of this sender, at its own address mgmt";
-    Within => "call.within", "give whole milliseconds over 0, or leave the query out";
-    Body => "call.body", "send JSON as docs/operations.md has it; the text says where it is wrong";
-    BodyLate => "call.body-late", "send the body at once behind the head, from nearer by if need be";
+    Starting => "call.starting", "retry in a second; if it persists after 6 s, read the log";
+    Stopping => "call.stopping", "call the process that follows this one";
+    Leaving => "call.leaving", "do nothing: a process that is ending does not return; start a new one";
+    HandedOver => "call.handed-over", "call the newer process of this sender at its own address mgmt";
+    Within => "call.within", "give a whole number of milliseconds over 0, or omit the query string";
+    Body => "call.body", "send JSON as described in docs/operations.md; the error says where it is invalid";
+    BodyLate => "call.body-late", "send the body right after the head, from a nearer machine if necessary";
     BodyLong => "call.body-long", "send less in one call";
-    BodyCut => "call.body-cut", "call again, and see what closes the connection";
-    Check => "call.check", "call again; if it stays so, check the file with --check and tell the developers";
-    Faults => "call.faults", "mend each of faults, then check again";
-    Message => "status-message", "ask for /control/status/message/ID?tenant=NAME, both percent-encoded";
-    Query => "status-query", "send a query as docs/status.md has it";
-    DrainingOff => "draining.off", "add the section \"draining\", and start a new process";
-    MembershipOff => "membership.off", "add the section \"membership\", and start a new process";
-    TakeoverOff => "takeover.off", "add the section \"takeover\", and start a new process";
-    StartOff => "start.off", "add the section \"start\", and start a new process";
-    Marks => "draining.unwritten", "see that the disk has room and the folder can be written, and call again";
+    BodyCut => "call.body-cut", "call again, and find out what closes the connection";
+    Check => "call.check", "retry; if it persists, use --check on the file and report it to the developers";
+    Faults => "call.faults", "correct each entry of faults, then check again";
+    Message => "status-message", "call /control/status/message/ID?tenant=NAME, both percent-encoded";
+    Query => "status-query", "send a query as described in docs/status.md";
+    DrainingOff => "draining.off", "add the section \"draining\" and start a new process";
+    MembershipOff => "membership.off", "add the section \"membership\" and start a new process";
+    TakeoverOff => "takeover.off", "add the section \"takeover\" and start a new process";
+    StartOff => "start.off", "add the section \"start\" and start a new process";
+    Marks => "draining.unwritten", "check that the disk has space and the folder is writable, and retry";
 } }
 
 impl NoCall {
-    /// How it is answered.
+    /// The HTTP status of the reply.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::Starting | Self::Stopping => StatusCode::SERVICE_UNAVAILABLE,
--- a/src/net/refusals/tests.rs
+++ b/src/net/refusals/tests.rs
@@ -16,7 +16,7 @@
 use super::super::driver::estimating::Why;
 use super::*;
 
-/// Answers that have no error type of their own, by the file that makes them.
+/// Codes of error replies without an error type of their own, with the source file that produces them.
 const BARE: [(&str, &[&str]); 2] = [
     (include_str!("../driver/indexed.rs"), &["status-off", "plans-off"]),
     (include_str!("../parts/reading.rs"), &["read_wide", "read_late", "read_lost", "plan_cut"]),
@@ -25,13 +25,13 @@
 fn status() -> [&'static str; 3] {
     use query::Refused::{Busy, Ids, Limit};
     let all = [Ids(0), Limit(0), Busy];
-    // A new variant must come into `all`: without it this does not compile.
+    // A new variant must be added to `all`; until it is, this match does not compile.
     all.map(|refused| match refused {
         Ids(_) | Limit(_) | Busy => refused.code(),
     })
 }
 
-/// Guards the page: it names every code that this program tells, and none else.
+/// The page must list every error code of the sender, and no others.
 #[test]
 fn the_page_has_every_code_of_the_sender() {
     let own = [
