--- a/examples/list_cost.rs
+++ b/examples/list_cost.rs
@@ -102,7 +102,7 @@
 /// Changes endpoints until the table is worn: new ones, others, and ones that leave.
 fn change(table: &mut Table, size: Size) -> io::Result<()> {
     let (mut changes, mut longest, mut all) = (0u32, 0, 0);
-    while !table.worn() {
+    while !table.needs_rebuild() {
         let mut entry = size.entry(changes.wrapping_mul(31) % size.endpoints);
         match changes % 3 {
             0 => entry.name = size.name(NEW + changes),
--- a/examples/membership.rs
+++ b/examples/membership.rs
@@ -33,14 +33,14 @@
         println!("{size} members; periods as median / 99th percentile / maximum");
         println!(
             "  all start cold, until all views are complete: {}",
-            over(&|seed| { Tier::new(size, seed).until(200, Tier::whole) })
+            over(&|seed| { Tier::new(size, seed).until(200, Tier::converged) })
         );
         if size > 2 {
             println!(
                 "  one crashes, until it is dead in all views: {}",
                 over(&|seed| {
                     let mut tier = settled(size, seed);
-                    tier.take(1);
+                    tier.remove(1);
                     tier.until(200, |tier| tier.all_see(1, State::Dead))
                 })
             );
@@ -48,7 +48,7 @@
                 "  three in ten crash at once, until all of them are dead in all views: {}",
                 over(&|seed| {
                     let mut tier = settled(size, seed);
-                    (0..size * 3 / 10).for_each(|rank| drop(tier.take(rank)));
+                    (0..size * 3 / 10).for_each(|rank| drop(tier.remove(rank)));
                     tier.until(300, |t| (0..size * 3 / 10).all(|rank| t.all_see(rank, State::Dead)))
                 })
             );
@@ -56,7 +56,7 @@
                 "  seven in ten crash at once, until all of them are dead in all views: {}",
                 over(&|seed| {
                     let mut tier = settled(size, seed);
-                    (0..size * 7 / 10).for_each(|rank| drop(tier.take(rank)));
+                    (0..size * 7 / 10).for_each(|rank| drop(tier.remove(rank)));
                     tier.until(300, |t| (0..size * 7 / 10).all(|rank| t.all_see(rank, State::Dead)))
                 })
             );
@@ -64,10 +64,10 @@
                 "  these come back together, until all views are complete: {}",
                 over(&|seed| {
                     let mut tier = settled(size, seed);
-                    (0..size * 7 / 10).for_each(|rank| drop(tier.take(rank)));
+                    (0..size * 7 / 10).for_each(|rank| drop(tier.remove(rank)));
                     tier.pass(100 * PERIOD);
                     (0..size * 7 / 10).for_each(|rank| tier.start(rank));
-                    tier.until(300, Tier::whole)
+                    tier.until(300, Tier::converged)
                 })
             );
             println!(
@@ -78,7 +78,7 @@
                     tier.cut = Box::new(move |a, b, _| (a < half) != (b < half));
                     tier.pass(60 * PERIOD);
                     tier.cut = Box::new(|_, _, _| false);
-                    tier.until(200, Tier::whole)
+                    tier.until(200, Tier::converged)
                 })
             );
         }
@@ -86,10 +86,11 @@
             "  one restarts at once, until all views are complete: {}",
             over(&|seed| {
                 let mut tier = settled(size, seed);
-                tier.take(0);
+                tier.remove(0);
                 tier.start(0);
                 tier.until(200, |t| {
-                    t.whole() && t.members[0].as_ref().is_some_and(|m| m.members()[0].record.incarnation > 1)
+                    t.converged()
+                        && t.members[0].as_ref().is_some_and(|m| m.members()[0].record.incarnation > 1)
                 })
             })
         );
@@ -102,7 +103,7 @@
                     tier.loss = loss;
                     for _ in 0..periods {
                         tier.pass(PERIOD);
-                        wronged += u64::from(tier.wronged() > 0);
+                        wronged += u64::from(tier.false_deaths() > 0);
                     }
                 }
                 let all = seeds * u64::from(periods);
@@ -129,7 +130,7 @@
 
 fn settled(size: usize, seed: u64) -> Tier {
     let mut tier = Tier::new(size, seed);
-    tier.until(200, Tier::whole);
+    tier.until(200, Tier::converged);
     let settled: Micros = 10 * PERIOD;
     tier.pass(settled);
     assert!(tier.now > START);
--- a/examples/status_cost.rs
+++ b/examples/status_cost.rs
@@ -5,14 +5,14 @@
 
 use myrtleyard::status::folder::Segments;
 use myrtleyard::status::log::Log;
-use myrtleyard::status::query::{Here, LONGEST, LOOKED_A_TURN, Queries, Routes};
+use myrtleyard::status::query::{LocalLogs, MAX_ENTRIES_PER_TURN, MAX_QUERY_TIME, Queries, Routes};
 use myrtleyard::status::shards::key_of;
 use myrtleyard::status::store::Store;
-use myrtleyard::status::{Entry, Life, State, States};
+use myrtleyard::status::{Entry, Generation, State, States};
 
 fn main() {
     let room = 8_000_000;
-    let mut log = Log::new(0, Life(1), Segments::memory(room), 600_000_000, 0);
+    let mut log = Log::new(0, Generation(1), Segments::memory(room), 600_000_000, 0);
     let mut segments = Segments::new(room, 0, 1);
     segments.begin(&mut log, []);
     let (messages, mut longest, begun) = (200_000u64, 0, Instant::now());
@@ -46,10 +46,10 @@
         log.table().len()
     );
     let (store, mut queries) = (Store::new(1 << 20, 1 << 40), Queries::new(0, 0));
-    let here = Here { log: &log, store: &store, span: 60_000_000 };
+    let here = LocalLogs { log: &log, store: &store, span: 60_000_000 };
     let Ok(query) = serde_json::from_str(r#"{"tenant": "nobody"}"#) else { return };
     let routes = Routes([(0, vec![0])].into_iter().collect());
-    if queries.ask(0, query, routes, LONGEST).is_err() {
+    if queries.ask(0, query, routes, MAX_QUERY_TIME).is_err() {
         return;
     }
     let mut slices = Vec::new();
@@ -59,5 +59,5 @@
         slices.push(begun.elapsed().as_micros());
     }
     let longest = slices.iter().max();
-    println!("{} slices of {LOOKED_A_TURN} entries, {longest:?} us the longest", slices.len());
+    println!("{} slices of {MAX_ENTRIES_PER_TURN} entries, {longest:?} us the longest", slices.len());
 }
--- a/fleet/src/experiment.rs
+++ b/fleet/src/experiment.rs
@@ -15,6 +15,7 @@
 use serde_json::json;
 
 use crate::cost::{self, Cost};
+use crate::error_code::CodedError;
 use crate::ledger::checker::check;
 use crate::ledger::figures::Figures;
 use crate::ledger::reads::PlanRules;
@@ -25,7 +26,6 @@
 use crate::links::udp::Relays;
 use crate::nemesis::{self, Conditions, Struck};
 use crate::scenario::{Scenario, bank};
-use crate::told::Told;
 use crate::world::clients::{Clients, arrivals};
 use crate::world::discovery::{self, Agent, List, Listed, Service};
 use crate::world::endpoints::{Nature, Partner, TRY_LIMIT};
--- a/fleet/src/failures.rs
+++ b/fleet/src/failures.rs
@@ -3,9 +3,9 @@
 use std::io;
 use std::path::PathBuf;
 
+use crate::coded_error;
 use crate::scale::command::NoScale;
 use crate::sweep::NoRuns;
-use crate::told;
 
 /// What ended a call before its work: exit code 2.
 #[derive(Debug, thiserror::Error)]
@@ -47,7 +47,7 @@
     Scale(#[from] NoScale),
 }
 
-told! { Bad {
+coded_error! { Bad {
     Machine => "fleet.machine", "see that the folder for runs can be written and the disk has room";
     File => "fleet.file", "name a file that is there and can be read";
     Scenario => "fleet.scenario", "mend each key that is named, as docs/fleet.md has it";
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -8,6 +8,8 @@
 #![warn(missing_docs)]
 
 pub mod cost;
+#[path = "../../src/error_code.rs"]
+pub mod error_code;
 pub mod experiment;
 pub mod explain;
 pub mod failures;
@@ -18,8 +20,6 @@
 pub mod scale;
 pub mod scenario;
 pub mod sweep;
-#[path = "../../src/told.rs"]
-pub mod told;
 pub mod world;
 
 /// Time in microseconds since the run began, on the monotonic clock: a wall clock that steps moves nothing.
--- a/fleet/src/main.rs
+++ b/fleet/src/main.rs
@@ -6,11 +6,11 @@
 use std::process::{Command, ExitCode};
 
 use clap::{Args, Parser, Subcommand};
+use linenwing_fleet::error_code::CodedError;
 use linenwing_fleet::experiment::{Outcome, Play, judge, play};
 use linenwing_fleet::failures::Bad;
 use linenwing_fleet::ledger::History;
 use linenwing_fleet::scenario::{Mix, MixName, Scenario};
-use linenwing_fleet::told::Told;
 use linenwing_fleet::{explain, report, scale, sweep};
 
 /// Plays many processes of the sender with faults between them, and proves from a ledger what was lost.
--- a/fleet/src/nemesis.rs
+++ b/fleet/src/nemesis.rs
@@ -10,10 +10,10 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+use crate::error_code::CodedError;
 use crate::ledger::{Recorder, What};
 use crate::links::{Connections, Datagrams};
 use crate::scenario::{Fault, Kind, MixName, Mode, Scenario};
-use crate::told::Told;
 use crate::world::discovery;
 use crate::world::endpoints::Condition;
 use crate::world::senders::{BACK_AFTER, Tier};
--- a/fleet/src/scale/command.rs
+++ b/fleet/src/scale/command.rs
@@ -10,8 +10,8 @@
 
 use super::record::{Measured, Mode, Record, Unread};
 use super::{Axis, Point, Unmeasured, machine, page, record};
+use crate::coded_error;
 use crate::sweep::{self, NoRuns};
-use crate::told;
 
 /// Where records are kept.
 const FOLDER: &str = "docs/capacity";
@@ -83,7 +83,7 @@
     Runs(#[from] NoRuns),
 }
 
-told! { NoScale {
+coded_error! { NoScale {
     Axis => "fleet.scale-axis", "name an axis as the line says, or leave --axis out for all";
     Point => "fleet.scale-point", "leave --point out: it is how the bench calls itself";
     Records => "fleet.scale-records", "mend the line that is named, or take the file back from the repository";
--- a/fleet/src/scale/down.rs
+++ b/fleet/src/scale/down.rs
@@ -58,7 +58,7 @@
     let usage = Usage::own()?;
     let seconds = span as f64 / 1e6;
     let done = world.done;
-    let avoided = world.policy.avoided() as f64;
+    let avoided = world.policy.unhealthy_endpoints() as f64;
     let down = (0..destinations).filter(|to| is_down(DestinationId(*to as u32), tenths));
     let down_endpoints: u64 = down.map(endpoints_of).sum();
     let (ended, tries) = done.down_ended;
--- a/fleet/src/scale/hold.rs
+++ b/fleet/src/scale/hold.rs
@@ -24,7 +24,7 @@
 /// Room of the journal where that is not what is measured, megabytes.
 const ROOMY_MB: u64 = 2_000;
 /// Messages that the module may hold: more than any point has.
-const MOST_OPEN: u64 = 4_000_000;
+const MAX_OPEN: u64 = 4_000_000;
 /// The status of a message that was taken on.
 const TAKEN: u16 = 202;
 
@@ -41,7 +41,7 @@
 fn held(point: &Point, disk_mb: u64, messages: u64) -> Result<Measured, Unmeasured> {
     let change = move |config: &mut Value| {
         config["limits"]["disk_mb"] = json!(disk_mb);
-        config["settings"]["limits"]["max_open"] = json!(MOST_OPEN);
+        config["settings"]["limits"]["max_open"] = json!(MAX_OPEN);
         config["settings"]["classes"][0]["hard_limit_us"] = json!(LASTS_US);
         config["settings"]["classes"][0]["dedup_window_us"] = json!(LASTS_US);
     };
--- a/fleet/src/scale/hollow.rs
+++ b/fleet/src/scale/hollow.rs
@@ -10,7 +10,7 @@
 
 use myrtleyard::interface::Micros;
 use myrtleyard::membership::{
-    Config, Counts, LONGEST, MOST_MEMBERS, Membership, Place, Rank, State, tier_of,
+    Config, Counts, MAX_DATAGRAM_LEN, MAX_MEMBERS, Membership, Place, Rank, State, tier_of,
 };
 use serde_json::{Value, json};
 use tokio::net::UdpSocket;
@@ -39,7 +39,7 @@
 
 /// Measures a point; a tier that is larger than a view takes is held against the real program's check.
 pub fn measure(point: &Point) -> Result<Measured, Unmeasured> {
-    if point.size as usize > MOST_MEMBERS {
+    if point.size as usize > MAX_MEMBERS {
         return refused(point);
     }
     let members = point.size as usize;
@@ -97,7 +97,7 @@
 async fn play(member: Shared, socket: UdpSocket, peers: Vec<SocketAddr>) {
     let ranks: HashMap<SocketAddr, Rank> =
         peers.iter().enumerate().map(|(rank, address)| (*address, rank as Rank)).collect();
-    let mut datagram = [0; LONGEST + 1];
+    let mut datagram = [0; MAX_DATAGRAM_LEN + 1];
     loop {
         let due = member.lock().map_or(0, |member| member.due());
         let rest = Duration::from_micros(due.saturating_sub(now()));
--- a/fleet/src/scale/leave.rs
+++ b/fleet/src/scale/leave.rs
@@ -30,16 +30,17 @@
 pub fn measure(point: &Point) -> Result<Measured, Unmeasured> {
     let size = point.size as usize;
     let mut tier = Tier::new(size, point.seed);
-    until(&mut tier, Tier::whole)?;
+    until(&mut tier, Tier::converged)?;
     tier.pass(SETTLES * PERIOD);
     let mut figures = BTreeMap::new();
     for (part, [known, back]) in PARTS {
         let gone = (size / part).max(1);
-        (0..gone).for_each(|rank| drop(tier.take(rank)));
-        let all_see = |tier: &Tier| (0..gone).all(|rank| tier.all_see(rank, State::Dead)) && tier.equal();
+        (0..gone).for_each(|rank| drop(tier.remove(rank)));
+        let all_see =
+            |tier: &Tier| (0..gone).all(|rank| tier.all_see(rank, State::Dead)) && tier.views_equal();
         figures.insert(known, until(&mut tier, all_see)?);
         (0..gone).for_each(|rank| tier.start(rank));
-        figures.insert(back, until(&mut tier, Tier::whole)?);
+        figures.insert(back, until(&mut tier, Tier::converged)?);
         tier.pass(SETTLES * PERIOD);
     }
     split(&mut tier, &mut figures)?;
@@ -71,6 +72,6 @@
     figures.insert(Figure::SplitBytesMedian, sent[&Figure::SentBytesMedian]);
     figures.insert(Figure::SplitBytesWorst, sent[&Figure::SentBytesWorst]);
     tier.cut = Box::new(|_, _, _| false);
-    figures.insert(Figure::SplitBack, until(tier, Tier::whole)?);
+    figures.insert(Figure::SplitBack, until(tier, Tier::converged)?);
     Ok(())
 }
--- a/fleet/src/scale/module.rs
+++ b/fleet/src/scale/module.rs
@@ -161,7 +161,7 @@
         {
             events.extend(match entry.remove() {
                 Later::Ended(message, attempt) => self.ended(message, attempt, None),
-                Later::Reminder(token) => Some(Event::Reminder(token)),
+                Later::Reminder(token) => Some(Event::Timer(token)),
                 Later::Probed(endpoint) => {
                     Some(Event::Probed { endpoint, outcome: Outcome::TimedOut, report: Vec::new() })
                 }
@@ -229,9 +229,9 @@
                 }
             }
             Action::Probe(endpoint) => drop(self.schedule(self.now + ANSWERS_AFTER, Later::Probed(endpoint))),
-            Action::Remind { at, token } => drop(self.schedule(at, Later::Reminder(token))),
+            Action::SetTimer { at, token } => drop(self.schedule(at, Later::Reminder(token))),
             Action::CloseIdle(endpoint) => drop(self.answered.remove(&endpoint)),
-            Action::Watch | Action::FetchList | Action::Tell { .. } | Action::Log(_) => {}
+            Action::Watch | Action::FetchList | Action::SendNote { .. } | Action::Log(_) => {}
         }
     }
 
--- a/fleet/src/scale/view.rs
+++ b/fleet/src/scale/view.rs
@@ -31,7 +31,7 @@
     let counted = if point.smoke { COUNTED_SMOKE } else { COUNTED };
     let empty = Usage::own()?;
     let mut tier = Tier::new(size, point.seed);
-    let known = tier.until(KNOWN_WITHIN, Tier::whole).ok_or(Unmeasured::Late("a view that is whole"))?;
+    let known = tier.until(KNOWN_WITHIN, Tier::converged).ok_or(Unmeasured::Late("a view that is whole"))?;
     tier.pass(SETTLES * PERIOD);
     let (before, begun) = (counts(&tier), Usage::own()?);
     tier.pass(counted * PERIOD);
@@ -45,7 +45,7 @@
     figures.insert(Figure::MemberResident, of_one(ended.resident));
     figures.insert(Figure::MemberPeak, of_one(ended.peak));
     figures.insert(Figure::Known, f64::from(known) * PERIOD as f64 / 1e6);
-    tier.take(CRASHES);
+    tier.remove(CRASHES);
     let seen = tier.until(KNOWN_WITHIN, |tier| tier.all_see(CRASHES, State::Dead));
     let seen = seen.ok_or(Unmeasured::Late("a crash that all see"))?;
     figures.insert(Figure::CrashKnown, f64::from(seen) * PERIOD as f64 / 1e6);
--- a/fleet/src/scenario.rs
+++ b/fleet/src/scenario.rs
@@ -7,11 +7,11 @@
 pub use crate::ledger::reads::Level;
 
 /// Senders of a run at most.
-pub const MOST_SENDERS: usize = 300;
+pub const MAX_SENDERS: usize = 300;
 /// Faults of a scenario at most.
-pub const MOST_FAULTS: usize = 200;
+pub const MAX_FAULTS: usize = 200;
 /// Destinations of a run at most.
-pub const MOST_PARTNERS: u16 = 60;
+pub const MAX_PARTNERS: u16 = 60;
 
 /// What is played.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -24,7 +24,7 @@
     pub about: String,
     /// Clients hand messages in for so many seconds; the run lasts until all is ended.
     pub length_s: f64,
-    /// Senders, 1 to [`MOST_SENDERS`]; every second one is in the second zone.
+    /// Senders, 1 to [`MAX_SENDERS`]; every second one is in the second zone.
     pub senders: usize,
     /// What the senders log.
     #[serde(default)]
@@ -108,7 +108,7 @@
 }
 
 /// Tenants with sessions at most, and sessions of each.
-const MOST_SESSIONS: (usize, usize) = (8, 200);
+const MAX_SESSIONS: (usize, usize) = (8, 200);
 
 /// What the senders log. At `debug` each message's way can be told afterwards; hundreds of senders write too much of it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -159,7 +159,7 @@
 }
 
 /// Changes that the list may be ahead at most.
-pub const MOST_BEHIND: usize = 20;
+pub const MAX_BEHIND: usize = 20;
 
 /// Arrivals: a Poisson process, open loop.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -184,7 +184,7 @@
 }
 
 /// Arrivals of a trace at most.
-pub const MOST_TRACED: usize = 200_000;
+pub const MAX_TRACED: usize = 200_000;
 
 impl Default for Load {
     fn default() -> Self {
@@ -602,12 +602,12 @@
             }
         };
         figure("length_s", self.length_s, 1.0, 3600.0);
-        figure("senders", self.senders as f64, 1.0, MOST_SENDERS as f64);
+        figure("senders", self.senders as f64, 1.0, MAX_SENDERS as f64);
         figure("lateness_ms", self.lateness_ms, 1.0, 10_000.0);
         figure("start.joins", self.start.joins as f64, 0.0, self.senders.saturating_sub(1) as f64);
         figure("start.joins_at_s", self.start.joins_at_s, 0.0, 600.0);
         figure("discovery.calls_per_s", self.discovery.calls_per_s.into(), 0.0, 100_000.0);
-        figure("discovery.behind", self.discovery.behind as f64, 0.0, MOST_BEHIND as f64);
+        figure("discovery.behind", self.discovery.behind as f64, 0.0, MAX_BEHIND as f64);
         figure("load.per_s", self.load.per_s, 0.0, 2000.0);
         figure("load.from_s", self.load.from_s, 0.0, self.length_s.max(0.0));
         figure("load.notice_share", self.load.notice_share, 0.0, 1.0);
@@ -620,7 +620,7 @@
             figure(&format!("{name}.window_s"), times.window_s, 0.1, 3600.0);
         }
         let partners = &self.partners;
-        figure("partners.count", partners.count.into(), 1.0, MOST_PARTNERS.into());
+        figure("partners.count", partners.count.into(), 1.0, MAX_PARTNERS.into());
         figure("partners.endpoints", partners.endpoints as f64, 1.0, 4.0);
         figure("partners.headroom", partners.headroom, 0.1, 100.0);
         figure("partners.least_per_s", partners.least_per_s, 0.1, 10_000.0);
@@ -639,18 +639,18 @@
             figure(&format!("network.{name}[0]"), range[0], 0.0, 10_000.0);
             figure(&format!("network.{name}[1]"), range[1], range[0], 10_000.0);
         }
-        figure("number of sessions", self.sessions.len() as f64, 0.0, MOST_SESSIONS.0 as f64);
+        figure("number of sessions", self.sessions.len() as f64, 0.0, MAX_SESSIONS.0 as f64);
         for (n, sessions) in self.sessions.iter().enumerate() {
-            figure(&format!("sessions[{n}].count"), sessions.count as f64, 1.0, MOST_SESSIONS.1 as f64);
+            figure(&format!("sessions[{n}].count"), sessions.count as f64, 1.0, MAX_SESSIONS.1 as f64);
             figure(&format!("sessions[{n}].per_s"), sessions.per_s, 0.01, 1000.0);
             figure(&format!("sessions[{n}].reads"), sessions.reads.into(), 0.0, 100.0);
             figure(&format!("sessions[{n}].every_ms"), sessions.every_ms as f64, 0.0, 60_000.0);
             figure(&format!("sessions[{n}].staleness_ms"), sessions.staleness_ms as f64, 10.0, 3_600_000.0);
         }
         if let Some(mix) = &self.mix {
-            figure("mix.faults", mix.faults as f64, 0.0, MOST_FAULTS as f64);
+            figure("mix.faults", mix.faults as f64, 0.0, MAX_FAULTS as f64);
         }
-        figure("number of faults", self.fault.len() as f64, 0.0, MOST_FAULTS as f64);
+        figure("number of faults", self.fault.len() as f64, 0.0, MAX_FAULTS as f64);
         if self.start.joins > 0 && !self.start.early {
             let (key, value) = ("start.joins".into(), self.start.joins.to_string());
             all.push(Wrong { key, value, expected: "nothing, where start.early is not set".into() });
@@ -658,8 +658,8 @@
         for (n, fault) in self.fault.iter().enumerate() {
             all.extend(self.wrong_fault(&format!("fault[{n}]"), fault));
         }
-        if self.load.trace.len() > MOST_TRACED {
-            let (value, expected) = (self.load.trace.len().to_string(), format!("{MOST_TRACED} at most"));
+        if self.load.trace.len() > MAX_TRACED {
+            let (value, expected) = (self.load.trace.len().to_string(), format!("{MAX_TRACED} at most"));
             all.push(Wrong { key: "load.trace".into(), value, expected });
         }
         for (n, (at, sender, class, dest)) in self.load.trace.iter().enumerate() {
--- a/fleet/src/sweep.rs
+++ b/fleet/src/sweep.rs
@@ -7,12 +7,12 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
+use crate::coded_error;
 use crate::experiment::{Outcome, Play, play};
 use crate::ledger::rules::Rule;
 use crate::nemesis::schedule;
 use crate::report;
 use crate::scenario::Scenario;
-use crate::told;
 
 /// Why runs are not begun.
 #[derive(Debug, thiserror::Error)]
@@ -28,7 +28,7 @@
     NotBuilt,
 }
 
-told! { NoRuns {
+coded_error! { NoRuns {
     Seeds => "fleet.seeds", "give a number, or two with .. between them, the smaller one first";
     Place => "fleet.place", "name the sender's program with --binary";
     NotBuilt => "fleet.not-built", "build it as the line says, or name one with --binary";
--- a/fleet/src/world/senders.rs
+++ b/fleet/src/world/senders.rs
@@ -25,7 +25,7 @@
 use super::endpoints::{BATCH, FALL_FOR, FALL_MULTIPLE, SLOTS, TRY_LIMIT};
 use crate::ledger::{Asked, Recorder, What};
 use crate::scenario::{LogLevel, Scenario};
-use crate::{Micros, micros, told};
+use crate::{Micros, coded_error, micros};
 
 /// From SIGTERM to SIGKILL, and from there to the next start.
 pub const TERM_TO_KILL: Duration = Duration::from_millis(3700);
@@ -78,7 +78,7 @@
     },
 }
 
-told! { NotReady {
+coded_error! { NotReady {
     Unstarted => "fleet.unstarted", "see that the program is there, and that the machine has room for processes";
     Ended => "fleet.ended", "read its last lines: they name the key, the address or the folder";
     Late => "fleet.late", "play with fewer senders, or on a machine with less to do";
--- a/ops/src/call.rs
+++ b/ops/src/call.rs
@@ -5,7 +5,7 @@
 
 use serde_json::Value;
 
-use crate::told;
+use crate::coded_error;
 
 /// An answer is no longer.
 const LIMIT: u64 = 4 << 20;
@@ -41,7 +41,7 @@
     Failed,
 }
 
-told! { NoWord {
+coded_error! { NoWord {
     Late => "ops.late", "give it more time with --within-ms; else see whether the machine is there";
     Unreached => "ops.unreached", "see that the address is the sender's mgmt, and that the process runs";
     Long => "ops.long", "see that the address is a sender's mgmt";
--- a/ops/src/main.rs
+++ b/ops/src/main.rs
@@ -7,8 +7,8 @@
 mod members;
 // The list of codes is the page's test's alone here.
 #[cfg_attr(not(test), expect(dead_code))]
-#[path = "../../src/told.rs"]
-mod told;
+#[path = "../../src/error_code.rs"]
+mod error_code;
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
--- a/ops/src/members.rs
+++ b/ops/src/members.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 
 use super::call::{self, NoWord};
-use super::told::Told;
+use super::error_code::CodedError;
 
 /// Between two looks when changes are followed.
 const LOOK: Duration = Duration::from_secs(1);
--- a/src/channel.rs
+++ b/src/channel.rs
@@ -33,9 +33,9 @@
 /// Minimum time between two bursts.
 const PACE: Micros = 2_000;
 /// Maximum number of bytes queued; a message beyond it breaks the channel.
-pub const MOST_WAITING: usize = 1 << 20;
+pub const MAX_WAITING: usize = 1 << 20;
 /// Maximum length of a message, in bytes.
-pub const MOST_BYTES: usize = 80 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 80 * 1024;
 /// Minimum and maximum of the first retransmission time-out.
 const AGAIN: (Micros, Micros) = (40_000, 500_000);
 /// Assumed round-trip time before the first measurement.
@@ -153,7 +153,7 @@
     /// discarded.
     #[must_use]
     pub fn send(&mut self, message: &[u8]) -> bool {
-        if message.len() > MOST_BYTES || self.waiting.len() + message.len() + 4 > MOST_WAITING {
+        if message.len() > MAX_MESSAGE_BYTES || self.waiting.len() + message.len() + 4 > MAX_WAITING {
             return false;
         }
         self.waiting.extend((message.len() as u32).to_le_bytes());
@@ -227,7 +227,7 @@
         let mut at = 0;
         while let Some(length) = self.partial.get(at..at + 4).and_then(|l| l.try_into().ok()) {
             let length = u32::from_le_bytes(length) as usize;
-            if length > MOST_BYTES {
+            if length > MAX_MESSAGE_BYTES {
                 // No correct process sends such a length: the channel is reset.
                 self.partial.clear();
                 self.peer = None;
--- a/src/check.rs
+++ b/src/check.rs
@@ -2,7 +2,7 @@
 //! and what is expected, and for a valid one the changes that it would make. No I/O. The platform writes
 //! these documents, so unknown keys are ignored, except in the sections of optional components.
 
-pub mod apart;
+pub mod split;
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -13,9 +13,9 @@
 use serde_json::{Map, Number, Value};
 
 /// Maximum size of a document, in bytes.
-pub const LARGEST: usize = 256 * 1024;
+pub const MAX_DOCUMENT_BYTES: usize = 256 * 1024;
 /// Maximum number of faults or changes reported.
-pub const MOST_TOLD: usize = 64;
+pub const MAX_TOLD: usize = 64;
 /// Maximum number of characters of a value in a report.
 const SHOWN: usize = 60;
 
@@ -144,8 +144,8 @@
 /// Returns why the text is not a document.
 pub fn read(text: &[u8]) -> Result<Value, Vec<Fault>> {
     let whole = |value: String, expected: &str| vec![Fault::new("", value, expected)];
-    if text.len() > LARGEST {
-        return Err(whole(format!("{} bytes", text.len()), &format!("at most {LARGEST} bytes")));
+    if text.len() > MAX_DOCUMENT_BYTES {
+        return Err(whole(format!("{} bytes", text.len()), &format!("at most {MAX_DOCUMENT_BYTES} bytes")));
     }
     if text.iter().all(u8::is_ascii_whitespace) {
         return Err(whole("nothing".into(), "a JSON object"));
@@ -161,7 +161,7 @@
     if !document.is_object() {
         return Err(whole(shown(&document), "a JSON object"));
     }
-    let twice = twice.into_inner().into_iter().take(MOST_TOLD);
+    let twice = twice.into_inner().into_iter().take(MAX_TOLD);
     let twice: Vec<Fault> = twice.map(|key| Fault::new(key, "given twice", "each key once")).collect();
     if twice.is_empty() { Ok(document) } else { Err(twice) }
 }
@@ -332,7 +332,7 @@
 ];
 const REPORT: &[(&str, Is, Need)] = &[("fields", Texts, May)];
 const CHARGES: &[(&str, Is, Need)] = &[("probe", Figure, May)];
-const DRAINING: &[(&str, Is, Need)] = &[("max_marks", Whole(1, crate::drain::MOST_MARKS as u64), May)];
+const DRAINING: &[(&str, Is, Need)] = &[("max_marks", Whole(1, crate::drain::MAX_MARKS as u64), May)];
 const MEMBERSHIP: &[(&str, Is, Need)] = &[
     ("period_ms", Whole(crate::membership::PERIODS_MS.0 as u64, crate::membership::PERIODS_MS.1 as u64), May),
     ("tier", Text, May),
@@ -362,7 +362,11 @@
 const START: &[(&str, Is, Need)] = &[
     ("tier", Text, May),
     ("source", OneOf(&["agent", "service"]), May),
-    ("bears_per_s", Whole(crate::start::BEARS.0 as u64, crate::start::BEARS.1 as u64), Null),
+    (
+        "bears_per_s",
+        Whole(crate::start::CAPACITY_PER_S.0 as u64, crate::start::CAPACITY_PER_S.1 as u64),
+        Null,
+    ),
 ];
 type Keys = &'static [(&'static str, Is, Need)];
 /// Sections of optional components, and their keys.
@@ -433,7 +437,7 @@
         unheard_of(&mut faults, &path, plan, PLAN);
     }
     if let Some(plans) = document.get("plans").and_then(Value::as_object)
-        && plans.len() > crate::plans::MOST_PLANS
+        && plans.len() > crate::plans::MAX_PLANS
     {
         faults.push(Fault::new("plans", plans.len().to_string(), "at most 256 plans"));
     }
@@ -466,13 +470,13 @@
     for (section, keys) in SECTIONS {
         unheard_of(&mut faults, section, &document[*section], keys);
     }
-    faults.truncate(MOST_TOLD);
+    faults.truncate(MAX_TOLD);
     faults
 }
 
 /// Keys that the document in force has and this one lacks. List entries may come and go; a class is compared
 /// with the one of the same name, unless its effect changed, and with it the keys that it needs.
-pub fn lacking(document: &Value, in_force: &Value) -> Vec<Fault> {
+pub fn missing_keys(document: &Value, in_force: &Value) -> Vec<Fault> {
     fn walk(path: &str, here: &Value, there: &Value, faults: &mut Vec<Fault>) {
         match (here, there) {
             (Value::Object(here), Value::Object(there)) => {
@@ -501,7 +505,7 @@
     }
     let mut faults = Vec::new();
     walk("", document, in_force, &mut faults);
-    faults.truncate(MOST_TOLD);
+    faults.truncate(MAX_TOLD);
     faults
 }
 
@@ -547,7 +551,7 @@
     }
     let mut changes = Vec::new();
     walk("", Some(before), Some(after), &mut changes);
-    changes.truncate(MOST_TOLD);
+    changes.truncate(MAX_TOLD);
     changes
 }
 
--- a/src/check/apart.rs
+++ b/src/check/split.rs
@@ -1,6 +1,6 @@
 //! A configuration with a long list of endpoints. The list is cut out of the text, so that the size limit
 //! applies to the rest of the document, which is checked like any other; the list is parsed like discovery's
-//! lists. In memory are the text, once, and a copy of the rest, of at most [`LARGEST`] bytes.
+//! lists. In memory are the text, once, and a copy of the rest, of at most [`MAX_DOCUMENT_BYTES`] bytes.
 
 use std::borrow::Cow;
 use std::io::{Cursor, Read};
@@ -9,17 +9,17 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-use super::{Fault, LARGEST};
+use super::{Fault, MAX_DOCUMENT_BYTES};
 use crate::endpoints::reader::{self, List};
 use crate::endpoints::{Bounds, ListError};
-use crate::told::Told;
+use crate::error_code::CodedError;
 
 /// Path of the list in the document.
 const KEY: &str = "known.endpoints";
 
 /// A document's text, and its list if that was cut out.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Apart<'a> {
+pub struct SplitDocument<'a> {
     /// The text; its list is empty if it was cut out.
     pub text: Cow<'a, [u8]>,
     /// The list's text, if it was cut out.
@@ -39,36 +39,36 @@
 }
 
 /// Maximum size of a document with its list, in bytes.
-pub fn most_bytes(bounds: &Bounds) -> u64 {
-    bounds.bytes.saturating_add(LARGEST as u64)
+pub fn max_bytes(bounds: &Bounds) -> u64 {
+    bounds.bytes.saturating_add(MAX_DOCUMENT_BYTES as u64)
 }
 
-/// Cuts the list out of a text of more than [`LARGEST`] bytes; any other text is left as it is.
+/// Cuts the list out of a text of more than [`MAX_DOCUMENT_BYTES`] bytes; any other text is left as it is.
 ///
 /// # Errors
 /// Fails if a long text is not JSON, too long as a whole, or too long without its list.
-pub fn apart<'a>(text: &'a [u8], bounds: &Bounds) -> Result<Apart<'a>, Vec<Fault>> {
-    if text.len() <= LARGEST {
-        return Ok(Apart { text: text.into(), list: None });
+pub fn split<'a>(text: &'a [u8], bounds: &Bounds) -> Result<SplitDocument<'a>, Vec<Fault>> {
+    if text.len() <= MAX_DOCUMENT_BYTES {
+        return Ok(SplitDocument { text: text.into(), list: None });
     }
     let whole = |value: String, expected: String| vec![Fault::new("", value, expected)];
-    if text.len() as u64 > most_bytes(bounds) {
-        let (value, most) = (format!("over {} bytes", most_bytes(bounds)), most_bytes(bounds));
+    if text.len() as u64 > max_bytes(bounds) {
+        let (value, most) = (format!("over {} bytes", max_bytes(bounds)), max_bytes(bounds));
         return Err(whole(value, format!("at most {most} bytes with its list {KEY}")));
     }
     let list = place(text).map_err(|e| whole(e.to_string(), "JSON".to_owned()))?;
     let length = text.len() - list.as_ref().map_or(0, Range::len);
-    if length > LARGEST {
+    if length > MAX_DOCUMENT_BYTES {
         return Err(whole(
             format!("{length} bytes"),
-            format!("at most {LARGEST} bytes without its list {KEY}"),
+            format!("at most {MAX_DOCUMENT_BYTES} bytes without its list {KEY}"),
         ));
     }
     Ok(match list {
-        None => Apart { text: text.into(), list: None },
+        None => SplitDocument { text: text.into(), list: None },
         Some(place) => {
             let rest = [&text[..place.start], b"[]", &text[place.end..]].concat();
-            Apart { text: rest.into(), list: Some(&text[place]) }
+            SplitDocument { text: rest.into(), list: Some(&text[place]) }
         }
     })
 }
--- a/src/drain.rs
+++ b/src/drain.rs
@@ -6,16 +6,16 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::coded_error;
+use crate::error_code::CodedError;
 use crate::interface::{Listing, Micros};
-use crate::told;
-use crate::told::Told;
 
 /// Maximum number of marks, whatever the configuration says.
-pub const MOST_MARKS: usize = 256;
+pub const MAX_MARKS: usize = 256;
 /// Maximum length of a marked name, as JSON.
-pub const LONGEST_NAME: usize = 128;
+pub const MAX_NAME_LEN: usize = 128;
 /// Maximum size of a stored mark, in bytes.
-const MARK_BYTES: u64 = LONGEST_NAME as u64 + 64;
+const MARK_BYTES: u64 = MAX_NAME_LEN as u64 + 64;
 
 /// An operator's mark on an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -54,7 +54,7 @@
     TooMany(usize),
 }
 
-told! { Refusal {
+coded_error! { Refusal {
     Nothing => "draining.nothing", "name at least one endpoint of /control/endpoints in names";
     Unknown => "draining.unknown", "take the names from /control/endpoints at this sender";
     Last => "draining.last", "put another endpoint back first, or add \"force\": true";
@@ -64,9 +64,9 @@
 /// The stored marks cannot be read; operators must set them again.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
-pub struct Unread(#[from] serde_json::Error);
+pub struct MarksUnreadable(#[from] serde_json::Error);
 
-impl Told for Unread {
+impl CodedError for MarksUnreadable {
     const CODES: &'static [&'static str] = &["draining.unread"];
 
     fn code(&self) -> &'static str {
@@ -92,19 +92,19 @@
 impl Marks {
     /// An empty set of at most `most` marks.
     pub fn new(most: usize) -> Self {
-        Self { most: most.min(MOST_MARKS), marks: BTreeMap::new() }
+        Self { most: most.min(MAX_MARKS), marks: BTreeMap::new() }
     }
 
     /// Maximum disk usage in bytes: the old and the new file coexist while the marks are written.
-    pub fn room(most: usize) -> u64 {
-        2 * (most.min(MOST_MARKS) as u64 * MARK_BYTES + 1024)
+    pub fn max_bytes(most: usize) -> u64 {
+        2 * (most.min(MAX_MARKS) as u64 * MARK_BYTES + 1024)
     }
 
     /// Decodes stored marks; those beyond `most` are dropped.
     ///
     /// # Errors
     /// Fails when the text is not valid.
-    pub fn read(most: usize, text: &[u8]) -> Result<Self, Unread> {
+    pub fn read(most: usize, text: &[u8]) -> Result<Self, MarksUnreadable> {
         let marks: BTreeMap<String, Mark> = serde_json::from_slice(text)?;
         let mut read = Self::new(most);
         read.marks = marks.into_iter().take(read.most).collect();
@@ -112,7 +112,7 @@
     }
 
     /// Encodes the marks for storage.
-    pub fn written(&self) -> Vec<u8> {
+    pub fn to_json(&self) -> Vec<u8> {
         serde_json::to_vec(&self.marks).unwrap_or_default()
     }
 
@@ -122,12 +122,12 @@
     }
 
     /// The mark on an endpoint.
-    pub fn on(&self, name: &str) -> Option<Mark> {
+    pub fn get(&self, name: &str) -> Option<Mark> {
         self.marks.get(name).copied()
     }
 
     /// The listing of an endpoint with its mark applied.
-    pub fn over(&self, name: &str, listing: Listing) -> Listing {
+    pub fn apply_to(&self, name: &str, listing: Listing) -> Listing {
         match listing {
             Listing::Ready if self.marks.contains_key(name) => Listing::Draining,
             other => other,
@@ -150,9 +150,9 @@
             return Err(Refusal::Nothing);
         }
         let there: BTreeSet<&str> = list.iter().map(|listed| listed.name).collect();
-        let long = |name: &str| serde_json::to_vec(name).is_ok_and(|text| text.len() > LONGEST_NAME);
+        let long = |name: &str| serde_json::to_vec(name).is_ok_and(|text| text.len() > MAX_NAME_LEN);
         let unknown = names.iter().filter(|name| !there.contains(name.as_str()) || long(name));
-        let unknown: Vec<String> = unknown.map(|name| name.chars().take(LONGEST_NAME).collect()).collect();
+        let unknown: Vec<String> = unknown.map(|name| name.chars().take(MAX_NAME_LEN).collect()).collect();
         if !unknown.is_empty() {
             return Err(Refusal::Unknown(unknown));
         }
@@ -164,7 +164,11 @@
         if with.marks.len() > self.most {
             return Err(Refusal::TooMany(self.most));
         }
-        let last: Vec<u32> = with.bare(list).difference(&self.bare(list)).copied().collect();
+        let last: Vec<u32> = with
+            .destinations_without_active(list)
+            .difference(&self.destinations_without_active(list))
+            .copied()
+            .collect();
         if !force && !last.is_empty() {
             return Err(Refusal::Last(last));
         }
@@ -179,14 +183,14 @@
     }
 
     /// The marks on endpoints that are still listed.
-    pub fn kept(&self, there: impl Fn(&str) -> bool) -> Self {
+    pub fn retain_listed(&self, there: impl Fn(&str) -> bool) -> Self {
         let mut kept = self.clone();
         kept.marks.retain(|name, _| there(name));
         kept
     }
 
     /// Listed destinations without an active endpoint, whether by discovery or by marks.
-    pub fn bare(&self, list: &[Listed]) -> BTreeSet<u32> {
+    pub fn destinations_without_active(&self, list: &[Listed]) -> BTreeSet<u32> {
         let usable = |listed: &&Listed| listed.active && !self.marks.contains_key(listed.name);
         let usable: BTreeSet<u32> = list.iter().filter(usable).map(|listed| listed.destination).collect();
         list.iter().map(|listed| listed.destination).filter(|d| !usable.contains(d)).collect()
@@ -207,7 +211,7 @@
 
 /// The work that a process has left.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
-pub struct Left {
+pub struct RemainingWork {
     /// Messages whose final outcome, or its notice, is still owed.
     pub owed: usize,
     /// Calls to endpoints that are in progress.
@@ -218,7 +222,7 @@
     pub unwritten: usize,
 }
 
-impl Left {
+impl RemainingWork {
     /// The service state, given whether the process is to serve.
     pub fn state(&self, serving: bool) -> State {
         match (serving, *self == Self::default()) {
--- a/src/drain/tests.rs
+++ b/src/drain/tests.rs
@@ -19,8 +19,8 @@
     let one = none.with(&names(&["a"]), false, 1, &list).unwrap();
     assert_eq!(one.with(&names(&["b"]), false, 2, &list), Err(Refusal::Last(vec![7])));
     let both = one.with(&names(&["b"]), true, 2, &list).unwrap();
-    assert_eq!(both.on("b"), Some(Mark { since: 2, forced: true }));
-    assert_eq!(both.bare(&list), BTreeSet::from([7, 9]));
+    assert_eq!(both.get("b"), Some(Mark { since: 2, forced: true }));
+    assert_eq!(both.destinations_without_active(&list), BTreeSet::from([7, 9]));
     // An endpoint that discovery already took out can be drained, and a marked one can be marked again.
     assert!(both.with(&names(&["a", "c", "e"]), false, 3, &list).is_ok());
 }
@@ -41,20 +41,20 @@
 fn a_mark_is_laid_over_the_list_and_never_brings_back_what_discovery_took_out() {
     let marks =
         Marks::new(8).with(&names(&["a"]), false, 1, &list(&[("a", 7, true), ("b", 7, true)])).unwrap();
-    assert_eq!(marks.over("a", Listing::Ready), Listing::Draining);
-    assert_eq!(marks.over("a", Listing::Draining), Listing::Draining);
-    assert_eq!(marks.over("a", Listing::Gone), Listing::Gone);
-    assert_eq!(marks.over("b", Listing::Ready), Listing::Ready);
-    assert_eq!(marks.kept(|name| name == "b"), Marks::new(8));
+    assert_eq!(marks.apply_to("a", Listing::Ready), Listing::Draining);
+    assert_eq!(marks.apply_to("a", Listing::Draining), Listing::Draining);
+    assert_eq!(marks.apply_to("a", Listing::Gone), Listing::Gone);
+    assert_eq!(marks.apply_to("b", Listing::Ready), Listing::Ready);
+    assert_eq!(marks.retain_listed(|name| name == "b"), Marks::new(8));
 }
 
 #[test]
 fn marks_are_read_back_as_they_were_written() {
     let marks =
         Marks::new(8).with(&names(&["a", "b"]), true, 5, &list(&[("a", 7, true), ("b", 8, true)])).unwrap();
-    assert_eq!(Marks::read(8, &marks.written()).unwrap(), marks);
-    assert_eq!(Marks::read(1, &marks.written()).unwrap().iter().count(), 1, "at most as many as allowed");
-    let written = marks.written();
+    assert_eq!(Marks::read(8, &marks.to_json()).unwrap(), marks);
+    assert_eq!(Marks::read(1, &marks.to_json()).unwrap().iter().count(), 1, "at most as many as allowed");
+    let written = marks.to_json();
     for end in 0..written.len() {
         assert!(Marks::read(8, &written[..end]).is_err(), "{end}");
     }
@@ -62,13 +62,13 @@
 
 #[test]
 fn the_verdict_names_what_stands_in_the_way() {
-    let left = Left { owed: 3, calls_out: 1, clients: 2, unwritten: 0 };
+    let left = RemainingWork { owed: 3, calls_out: 1, clients: 2, unwritten: 0 };
     assert_eq!(left.verdict(true), "not yet: it is serving, 1 calls out, 2 clients connected");
     assert_eq!(left.state(false), State::Draining);
-    let left = Left { owed: 3, ..Left::default() };
+    let left = RemainingWork { owed: 3, ..RemainingWork::default() };
     assert!(left.verdict(false).starts_with("safe to stop: 3 messages"));
     assert_eq!(left.state(false), State::Draining);
-    assert_eq!(Left::default().verdict(false), "safe to lose the machine");
-    assert_eq!(Left::default().state(false), State::Drained);
-    assert_eq!(Left::default().state(true), State::Serving);
+    assert_eq!(RemainingWork::default().verdict(false), "safe to lose the machine");
+    assert_eq!(RemainingWork::default().state(false), State::Drained);
+    assert_eq!(RemainingWork::default().state(true), State::Serving);
 }
--- a/src/endpoints/mod.rs
+++ b/src/endpoints/mod.rs
@@ -5,7 +5,7 @@
 pub mod reader;
 pub mod table;
 
-use crate::told;
+use crate::coded_error;
 
 /// Bounds on what is taken for a list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,13 +39,13 @@
     Malformed(String),
     /// It did not come in the time that a list of its length may take.
     #[error("the list broke off after {0} bytes, or came too slowly")]
-    Cut(u64),
+    Truncated(u64),
 }
 
-told! { ListError {
+coded_error! { ListError {
     Endpoints => "list.endpoints", "split the deployment, or have discovery list fewer endpoints to this sender";
     Bytes => "list.bytes", "have discovery write the list without indentation, or list fewer endpoints";
     Changes => "list.changes", "nothing: the sender asks for the whole list";
     Malformed => "list.malformed", "look at what discovery answers to GET /v1/endpoints";
-    Cut => "list.cut", "look at discovery's load, and at the way to it";
+    Truncated => "list.cut", "look at discovery's load, and at the way to it";
 } }
--- a/src/endpoints/reader.rs
+++ b/src/endpoints/reader.rs
@@ -3,16 +3,16 @@
 //! The text is one object with the members of [`ListBody`], each at most once, in any order; others are passed over.
 //! Nothing but white space may stand behind it.
 
-mod counted;
-mod gathered;
+mod counting;
+mod visitor;
 
 use std::io::{BufReader, ErrorKind, Read};
 
 use serde::de::DeserializeSeed;
 use serde_json::error::Category;
 
-use self::counted::{Counted, Progress};
-use self::gathered::Gathered;
+use self::counting::{CountingReader, Progress};
+use self::visitor::ListVisitor;
 use super::listing::ListBody;
 use super::table::Table;
 use super::{Bounds, ListError};
@@ -58,8 +58,8 @@
 /// [`STRETCH`]; nothing of it is to be used then.
 pub fn read(source: impl Read, bounds: &Bounds) -> Result<List, ListError> {
     let progress = Progress::default();
-    let counted = Counted { source, progress: &progress, most: bounds.bytes, most_unmarked: STRETCH };
-    let mut gathered = Gathered::new(bounds.endpoints, &progress);
+    let counted = CountingReader { source, progress: &progress, most: bounds.bytes, most_unmarked: STRETCH };
+    let mut gathered = ListVisitor::new(bounds.endpoints, &progress);
     let pieces = BufReader::with_capacity(PIECE, counted);
     let mut json = serde_json::Deserializer::from_reader(pieces);
     let outcome = gathered.deserialize(&mut json).and_then(|()| json.end());
@@ -78,7 +78,7 @@
         return ListError::Malformed(format!("over {STRETCH} bytes came without an entry or a member"));
     }
     let broke_off = why.classify() == Category::Eof || why.io_error_kind() == Some(ErrorKind::UnexpectedEof);
-    if broke_off { ListError::Cut(progress.read()) } else { ListError::Malformed(told(why)) }
+    if broke_off { ListError::Truncated(progress.read()) } else { ListError::Malformed(told(why)) }
 }
 
 /// What is wrong with the JSON, and where. The text may be quoted in it, at any length.
--- a/src/endpoints/reader/counted.rs
+++ b/src/endpoints/reader/counting.rs
@@ -31,7 +31,7 @@
 
 /// A stream that fails once more bytes came than may.
 #[derive(Debug)]
-pub struct Counted<'progress, R> {
+pub struct CountingReader<'progress, R> {
     /// Where bytes come from.
     pub source: R,
     /// How far it was read.
@@ -42,7 +42,7 @@
     pub most_unmarked: u64,
 }
 
-impl<R: Read> Read for Counted<'_, R> {
+impl<R: Read> Read for CountingReader<'_, R> {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         let read = self.source.read(buffer)?;
         self.progress.read.set(self.progress.read() + read as u64);
--- a/src/endpoints/reader/tests.rs
+++ b/src/endpoints/reader/tests.rs
@@ -135,9 +135,9 @@
     for text in [&serde_json::to_vec(&list(true, 3)).unwrap()[..], &spread, unknown] {
         for cut in 0..text.len() {
             let cut_off = &text[..cut];
-            assert_eq!(taken(cut_off).unwrap_err(), ListError::Cut(cut as u64));
+            assert_eq!(taken(cut_off).unwrap_err(), ListError::Truncated(cut as u64));
             let broken = read(Broken(cut_off, ErrorKind::UnexpectedEof), &Bounds::default());
-            assert_eq!(broken.unwrap_err(), ListError::Cut(cut as u64));
+            assert_eq!(broken.unwrap_err(), ListError::Truncated(cut as u64));
             let broken = read(Broken(cut_off, ErrorKind::ConnectionReset), &Bounds::default());
             assert!(matches!(broken, Err(ListError::Malformed(_))), "{broken:?}");
         }
@@ -150,7 +150,7 @@
 fn a_long_list_cut_at_any_byte_of_its_end_is_none() {
     let text = serde_json::to_vec(&list(true, ENTRIES + 3)).unwrap();
     for cut in text.len() - 1000..text.len() {
-        assert_eq!(taken(&text[..cut]).unwrap_err(), ListError::Cut(cut as u64));
+        assert_eq!(taken(&text[..cut]).unwrap_err(), ListError::Truncated(cut as u64));
     }
 }
 
@@ -159,7 +159,7 @@
 fn a_stream_that_fails_behind_the_list_gives_none() {
     let text = serde_json::to_vec(&list(true, 3)).unwrap();
     let broken = read(Broken(&text, ErrorKind::UnexpectedEof), &Bounds::default());
-    assert_eq!(broken.unwrap_err(), ListError::Cut(text.len() as u64));
+    assert_eq!(broken.unwrap_err(), ListError::Truncated(text.len() as u64));
 }
 
 #[test]
--- a/src/endpoints/reader/gathered.rs
+++ b/src/endpoints/reader/visitor.rs
@@ -8,12 +8,12 @@
 use super::super::ListError;
 use super::super::listing::{ListBody, Listing};
 use super::super::table::Builder;
-use super::counted::Progress;
+use super::counting::Progress;
 use super::{CHANGES, ENTRIES, List, NAME_BYTES};
 
 /// What was read of a list so far.
 #[derive(Debug)]
-pub struct Gathered<'progress> {
+pub struct ListVisitor<'progress> {
     progress: &'progress Progress,
     /// Endpoints at most.
     most: usize,
@@ -29,7 +29,7 @@
     refused: Option<ListError>,
 }
 
-impl<'progress> Gathered<'progress> {
+impl<'progress> ListVisitor<'progress> {
     /// Nothing yet, of a list of at most so many endpoints.
     pub fn new(most: usize, progress: &'progress Progress) -> Self {
         Self {
@@ -107,7 +107,7 @@
     Other,
 }
 
-impl<'json> DeserializeSeed<'json> for &mut Gathered<'_> {
+impl<'json> DeserializeSeed<'json> for &mut ListVisitor<'_> {
     type Value = ();
 
     fn deserialize<D: Deserializer<'json>>(self, deserializer: D) -> Result<(), D::Error> {
@@ -115,7 +115,7 @@
     }
 }
 
-impl<'json> Visitor<'json> for &mut Gathered<'_> {
+impl<'json> Visitor<'json> for &mut ListVisitor<'_> {
     type Value = ();
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -145,7 +145,7 @@
 }
 
 /// The member `endpoints`, entry by entry.
-struct Entries<'gathered, 'progress>(&'gathered mut Gathered<'progress>);
+struct Entries<'gathered, 'progress>(&'gathered mut ListVisitor<'progress>);
 
 impl<'json> DeserializeSeed<'json> for Entries<'_, '_> {
     type Value = ();
--- a/src/endpoints/table.rs
+++ b/src/endpoints/table.rs
@@ -2,9 +2,9 @@
 //! made of stays as it is, sorted; changes lie on top.
 
 mod builder;
+mod capacity;
 mod name_index;
 mod overlay;
-mod room;
 mod shapes;
 mod store;
 mod texts;
@@ -19,10 +19,10 @@
 use super::listing::Listing;
 
 /// Up to so many changes wear no table.
-pub const WORN_LEAST: usize = 4096;
+pub const MIN_CHANGES_FOR_REBUILD: usize = 4096;
 
 /// A larger table is worn by changes of one in so many of its endpoints.
-pub const WORN_SHARE: usize = 16;
+pub const REBUILD_SHARE: usize = 16;
 
 /// The status of an endpoint that is no longer there.
 const LEFT: &str = "left";
@@ -153,8 +153,8 @@
     }
 
     /// Whether so much was changed since it was made that the whole list should be asked for anew: more than
-    /// [`WORN_LEAST`] names, and more than one for each [`WORN_SHARE`] of its endpoints when it was made.
-    pub fn worn(&self) -> bool {
+    /// [`MIN_CHANGES_FOR_REBUILD`] names, and more than one for each [`REBUILD_SHARE`] of its endpoints when it was made.
+    pub fn needs_rebuild(&self) -> bool {
         self.overlay.changes() > self.bound()
     }
 
@@ -165,7 +165,7 @@
 
     /// Changes that do not wear it yet.
     fn bound(&self) -> usize {
-        WORN_LEAST.max(self.base.store.rows.len() / WORN_SHARE)
+        MIN_CHANGES_FOR_REBUILD.max(self.base.store.rows.len() / REBUILD_SHARE)
     }
 
     fn find(&self, name: &str) -> Option<(&Store, &Row)> {
--- a/src/endpoints/table/builder.rs
+++ b/src/endpoints/table/builder.rs
@@ -57,13 +57,13 @@
         let has_name = |other: u32| store.name(&rows[other as usize]) == name;
         let before = index.insert(name, number as u32, has_name);
         if let Some(before) = before {
-            rows[before as usize].strike();
+            rows[before as usize].mark_deleted();
         }
         if store.left(&rows[number]) {
-            rows[number].strike();
+            rows[number].mark_deleted();
         }
     }
-    rows.retain(|row| !row.struck());
+    rows.retain(|row| !row.is_deleted());
     store.rows = rows;
 }
 
--- a/src/endpoints/table/name_index.rs
+++ b/src/endpoints/table/name_index.rs
@@ -2,7 +2,7 @@
 
 use std::hash::{BuildHasher, RandomState};
 
-use super::room;
+use super::capacity;
 
 /// A place with no row.
 const EMPTY: u32 = u32::MAX;
@@ -27,7 +27,7 @@
         let row_mask = u32::MAX >> bits.leading_zeros();
         let length = rows + rows / (EMPTY_SHARE - 1) + 1;
         let mut places = Vec::new();
-        room::reserve(&mut places, length);
+        capacity::reserve(&mut places, length);
         places.resize(length, EMPTY);
         Self { places, row_mask, hashes: RandomState::new() }
     }
--- a/src/endpoints/table/store.rs
+++ b/src/endpoints/table/store.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddrV4;
 
 use super::super::listing::Listing;
-use super::room;
+use super::capacity;
 use super::shapes::Shapes;
 use super::texts::Texts;
 
@@ -34,12 +34,12 @@
 
 impl Row {
     /// Marks it as one to be taken out.
-    pub fn strike(&mut self) {
+    pub fn mark_deleted(&mut self) {
         self.shape = STRUCK;
     }
 
     /// Whether it is one to be taken out.
-    pub fn struck(&self) -> bool {
+    pub fn is_deleted(&self) -> bool {
         self.shape == STRUCK
     }
 }
@@ -63,7 +63,7 @@
         let name = self.texts.put(entry.name.as_bytes())?;
         let row = self.row(name, entry)?;
         let number = u32::try_from(self.rows.len()).ok()?;
-        room::reserve(&mut self.rows, 1);
+        capacity::reserve(&mut self.rows, 1);
         self.rows.push(row);
         Some(number)
     }
--- a/src/endpoints/table/tests.rs
+++ b/src/endpoints/table/tests.rs
@@ -209,23 +209,23 @@
 #[test]
 fn changes_wear_a_table_and_a_new_one_is_fresh() {
     let mut table = Table::new([entry("a", 1)]);
-    for number in 0..WORN_LEAST {
-        assert!(!table.worn());
+    for number in 0..MIN_CHANGES_FOR_REBUILD {
+        assert!(!table.needs_rebuild());
         table.change(entry(&format!("n{number}"), 1), usize::MAX).unwrap();
     }
-    assert!(!table.worn());
+    assert!(!table.needs_rebuild());
     table.change(left("a", 1), usize::MAX).unwrap();
-    assert!(table.worn());
-    assert!(!Table::new(table.iter()).worn());
+    assert!(table.needs_rebuild());
+    assert!(!Table::new(table.iter()).needs_rebuild());
 
-    let size = (WORN_LEAST + 10) * WORN_SHARE;
+    let size = (MIN_CHANGES_FOR_REBUILD + 10) * REBUILD_SHARE;
     let mut large = Table::new((0..size).map(|number| entry(&format!("n{number}"), 1)));
-    for number in 0..WORN_LEAST + 10 {
+    for number in 0..MIN_CHANGES_FOR_REBUILD + 10 {
         large.change(left(&format!("n{number}"), 1), usize::MAX).unwrap();
     }
-    assert!(!large.worn());
+    assert!(!large.needs_rebuild());
     large.change(entry("new", 1), usize::MAX).unwrap();
-    assert!(large.worn());
+    assert!(large.needs_rebuild());
 }
 
 /// Guards the memory under an endpoint that changes all the time: its name is kept once.
@@ -238,12 +238,12 @@
         table.change(Listing { since_ms: number, ..entry("a", 1) }, 1).unwrap();
     }
     assert_eq!(table.heap_bytes(), held);
-    assert!(!table.worn());
-    let longest = WORN_LEAST * 10;
+    assert!(!table.needs_rebuild());
+    let longest = MIN_CHANGES_FOR_REBUILD * 10;
     let text = |number| Listing { address: format!("{number:064}"), ..entry("a", 1) };
     let worn = (0..longest).position(|number| {
         table.change(text(number), 1).unwrap();
-        table.worn()
+        table.needs_rebuild()
     });
     assert!(worn.is_some());
 }
@@ -275,12 +275,12 @@
         assert!(table.of(expected.group).contains(&expected));
     }
     let fresh = table.heap_bytes();
-    for number in 0..=endpoints / WORN_SHARE as u32 {
-        assert!(!table.worn());
+    for number in 0..=endpoints / REBUILD_SHARE as u32 {
+        assert!(!table.needs_rebuild());
         let entry = Listing { weight: 0.5, ..design_size(number * 7 % endpoints) };
         table.change(entry, usize::MAX).unwrap();
     }
-    assert!(table.worn());
+    assert!(table.needs_rebuild());
     // A worn table takes a tenth more.
     assert!(table.heap_bytes() - fresh <= most / 10, "{} on top of {fresh}", table.heap_bytes() - fresh);
 }
--- a/src/endpoints/table/texts.rs
+++ b/src/endpoints/table/texts.rs
@@ -1,6 +1,6 @@
 //! Byte strings packed one behind the other, found by a position of four bytes.
 
-use super::room;
+use super::capacity;
 
 /// A length of this or more is written in the four bytes behind it.
 const LONG: u8 = u8::MAX;
@@ -20,7 +20,7 @@
     pub fn put(&mut self, text: &[u8]) -> Option<u32> {
         let position = u32::try_from(self.bytes.len()).ok()?;
         let length = u32::try_from(text.len()).ok()?;
-        room::reserve(&mut self.bytes, LENGTH + text.len());
+        capacity::reserve(&mut self.bytes, LENGTH + text.len());
         match u8::try_from(length) {
             Ok(short) if short < LONG => self.bytes.push(short),
             _ => {
--- a/src/told.rs
+++ b/src/error_code.rs
@@ -4,7 +4,7 @@
 use std::fmt::Display;
 
 /// An error as operators see it: in an answer of the management address, in the log, on the command line.
-pub trait Told: Display {
+pub trait CodedError: Display {
     /// The codes of all variants. `docs/operations.md` lists each, and tests compare the page with them.
     const CODES: &'static [&'static str];
 
@@ -15,25 +15,25 @@
     fn remedy(&self) -> &'static str;
 }
 
-/// Implements [`Told`] for an error type from one table: a line for each variant, and `..Variant;` for one
+/// Implements [`CodedError`] for an error type from one table: a line for each variant, and `..Variant;` for one
 /// that forwards to the error it wraps. A variant without a line does not compile.
 #[macro_export]
-macro_rules! told {
+macro_rules! coded_error {
     ($type:ty { $($variant:ident => $code:literal, $remedy:literal;)+ $(..$inner:ident;)* }) => {
-        impl $crate::told::Told for $type {
+        impl $crate::error_code::CodedError for $type {
             const CODES: &'static [&'static str] = &[$($code),+];
 
             fn code(&self) -> &'static str {
                 match self {
                     $(Self::$variant { .. } => $code,)+
-                    $(Self::$inner(why) => $crate::told::Told::code(why),)*
+                    $(Self::$inner(why) => $crate::error_code::CodedError::code(why),)*
                 }
             }
 
             fn remedy(&self) -> &'static str {
                 match self {
                     $(Self::$variant { .. } => $remedy,)+
-                    $(Self::$inner(why) => $crate::told::Told::remedy(why),)*
+                    $(Self::$inner(why) => $crate::error_code::CodedError::remedy(why),)*
                 }
             }
         }
@@ -42,7 +42,7 @@
 
 /// The codes in a page's table: the first column of the rows below the heading `Codes`.
 #[cfg(test)]
-pub fn listed(page: &str) -> Vec<&str> {
+pub fn documented_codes(page: &str) -> Vec<&str> {
     let (_, table) = page.split_once("\n## Codes\n").unwrap_or_default();
     let (table, _) = table.split_once("\n## ").unwrap_or((table, ""));
     table.lines().filter_map(|line| line.strip_prefix("| `")?.split('`').next()).collect()
--- a/src/estimate/lend.rs
+++ b/src/estimate/budget_lease.rs
@@ -4,7 +4,7 @@
 //! - *Who lends*: one living member for each tenant, by rendezvous hashing (Thaler and Ravishankar, 1998).
 //! - *How much*: what it lent within the last [`WINDOW`] never exceeds the budget. The window is a minute and a piece's
 //!   life by the lender's clock, so that what is *used* in any minute does not either.
-//! - *A piece* lapses [`LIFE`] after its borrower asked, by the borrower's clock; for the lender it lasts a quarter
+//! - *A piece* lapses [`LEASE_TIME`] after its borrower asked, by the borrower's clock; for the lender it lasts a quarter
 //!   longer, counted from later. Clocks may differ by any offset, and by a quarter in pace. Only clocks that never go
 //!   back are used.
 //! - *A new lender* does not know what the one before it lent: what it may have lent grows from an eighth of the budget
@@ -22,29 +22,29 @@
 
 use super::Reason;
 use crate::interface::Micros;
-use crate::membership::{Fact, Facts, Rank, State};
+use crate::membership::{MemberView, MembershipView, Rank, State};
 use crate::plans::Plan;
 
 /// A piece's life for its borrower, from when it asked.
-pub const LIFE: Micros = 10_000_000;
+pub const LEASE_TIME: Micros = 10_000_000;
 /// The same for the lender, from when it lent.
-pub const LENT: Micros = LIFE / 4 * 5;
+pub const LENDER_LEASE_TIME: Micros = LEASE_TIME / 4 * 5;
 /// What was lent within it is within the budget.
-pub const WINDOW: Micros = 60_000_000 + LENT;
+pub const WINDOW: Micros = 60_000_000 + LENDER_LEASE_TIME;
 /// Part of the budget that a new lender may lend at once.
-pub const FIRST: u64 = 8;
+pub const FIRST_PART: u64 = 8;
 /// A borrower asks for one tenant so often at most.
-pub const ASK_EVERY: Micros = 200_000;
+pub const REQUEST_INTERVAL: Micros = 200_000;
 /// Tenants that a sender borrows or lends for at most.
-pub const MOST_TENANTS: usize = 512;
+pub const MAX_TENANTS: usize = 512;
 /// Pieces of one tenant that count in a window at most.
-pub const MOST_PIECES: usize = 4_096;
+pub const MAX_PIECES: usize = 4_096;
 /// Pieces of one tenant that a borrower has at most.
-const MOST_OWNED: usize = 16;
+const MAX_LEASES: usize = 16;
 /// Changes of who is there that are looked back at; with more, the time before them counts for unknown.
-const MOST_CHANGES: usize = 16;
+const MAX_CHANGES: usize = 16;
 /// A longer name is no tenant's.
-const LONGEST_NAME: usize = 255;
+const MAX_NAME_LEN: usize = 255;
 
 /// What something costs, or how much there is.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -92,9 +92,10 @@
 
 /// What senders say to each other of budgets.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Note {
+pub enum BudgetMessage {
     /// A piece is wanted.
-    Ask {
+    #[serde(rename = "Ask")]
+    Request {
         /// For whose queries.
         tenant: String,
         /// Tells this ask from others of this borrower.
@@ -105,7 +106,8 @@
         wanted: Cost,
     },
     /// A piece, less than what was wanted or nothing.
-    Lend {
+    #[serde(rename = "Lend")]
+    Grant {
         /// For whose queries.
         tenant: String,
         /// The ask that it answers.
@@ -116,7 +118,8 @@
         after: Micros,
     },
     /// What is not needed of a piece; it is not used any more.
-    Back {
+    #[serde(rename = "Back")]
+    Return {
         /// Whose queries it was for.
         tenant: String,
         /// Which one.
@@ -128,7 +131,7 @@
 
 /// There is not enough now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Short {
+pub struct Insufficient {
     /// When there may be, microseconds from now.
     pub after: Micros,
     /// What is short.
@@ -143,7 +146,7 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Piece {
+struct Lease {
     serial: u64,
     left: Cost,
     until: Micros,
@@ -151,8 +154,8 @@
 
 /// What a borrower has of one tenant's budget.
 #[derive(Debug, Default)]
-struct Purse {
-    pieces: Vec<Piece>,
+struct BorrowerAccount {
+    leases: Vec<Lease>,
     /// What it asked for last, and when.
     asked: Option<(u64, Micros)>,
     /// Nothing more is there before then.
@@ -182,7 +185,7 @@
 pub struct Budgets {
     own: Rank,
     serial: u64,
-    purses: BTreeMap<String, Purse>,
+    accounts: BTreeMap<String, BorrowerAccount>,
     ledgers: BTreeMap<String, Ledger>,
     /// Since when it is known who was there.
     since: Micros,
@@ -190,12 +193,12 @@
     living: Vec<Rank>,
     /// Who was there before, within a window, and until when.
     before: VecDeque<(Micros, Vec<Rank>)>,
-    out: Vec<(Rank, Note)>,
+    out: Vec<(Rank, BudgetMessage)>,
 }
 
 /// Members that may lend: this one, and those that are not held for gone.
-fn living(facts: &Facts) -> Vec<Rank> {
-    let there = |(rank, fact): &(usize, &Fact)| {
+fn living(facts: &MembershipView) -> Vec<Rank> {
+    let there = |(rank, fact): &(usize, &MemberView)| {
         *rank == usize::from(facts.own) || matches!(fact.state, State::Alive | State::Suspect)
     };
     facts.members.iter().enumerate().filter(there).map(|(rank, _)| rank as Rank).collect()
@@ -218,7 +221,7 @@
         Self {
             own,
             serial: fastrand::Rng::with_seed(seed).u64(1..u64::MAX / 2),
-            purses: BTreeMap::new(),
+            accounts: BTreeMap::new(),
             ledgers: BTreeMap::new(),
             since: now,
             living: vec![own],
@@ -228,13 +231,13 @@
     }
 
     /// Looks who is there.
-    fn look(&mut self, now: Micros, facts: &Facts) {
+    fn look(&mut self, now: Micros, facts: &MembershipView) {
         let living = living(facts);
         if living != self.living {
             self.before.push_back((now, std::mem::replace(&mut self.living, living)));
         }
         let old = |until: Micros| now >= until.saturating_add(WINDOW);
-        while self.before.front().is_some_and(|(until, _)| old(*until)) || self.before.len() > MOST_CHANGES {
+        while self.before.front().is_some_and(|(until, _)| old(*until)) || self.before.len() > MAX_CHANGES {
             if let Some((until, _)) = self.before.pop_front() {
                 self.since = self.since.max(if old(until) { self.since } else { until });
             }
@@ -248,113 +251,120 @@
     }
 
     /// What is to be said since the last call. The receiver hears it once, or never.
-    pub fn said(&mut self) -> Vec<(Rank, Note)> {
+    pub fn take_messages(&mut self) -> Vec<(Rank, BudgetMessage)> {
         std::mem::take(&mut self.out)
     }
 
     /// What is left here of a tenant's budget.
-    pub fn left(&self, now: Micros, tenant: &str) -> Cost {
-        let pieces = self.purses.get(tenant).into_iter().flat_map(|purse| &purse.pieces);
-        let live = pieces.filter(|piece| now < piece.until);
-        live.fold(Cost::default(), |sum, piece| sum.plus(piece.left))
+    pub fn remaining(&self, now: Micros, tenant: &str) -> Cost {
+        let leases = self.accounts.get(tenant).into_iter().flat_map(|account| &account.leases);
+        let live = leases.filter(|lease| now < lease.until);
+        live.fold(Cost::default(), |sum, lease| sum.plus(lease.left))
     }
 
     /// Has a piece of a tenant's budget there for a query of that cost, or asks for one. Whether it is there.
     ///
     /// # Errors
     /// Says when there may be enough, and what is short.
-    pub fn want(
+    pub fn reserve(
         &mut self,
         now: Micros,
-        facts: &Facts,
+        facts: &MembershipView,
         tenant: &str,
         plan: &Plan,
         cost: Cost,
-    ) -> Result<(), Short> {
-        let left = self.left(now, tenant);
-        let lasts = self.left(now.saturating_add(LIFE / 4), tenant);
-        if let Some(purse) = self.purses.get_mut(tenant) {
-            purse.touched = now;
+    ) -> Result<(), Insufficient> {
+        let left = self.remaining(now, tenant);
+        let lasts = self.remaining(now.saturating_add(LEASE_TIME / 4), tenant);
+        if let Some(account) = self.accounts.get_mut(tenant) {
+            account.touched = now;
         }
         if !lasts.covers(cost) {
             // What lapses soon is asked for anew before queries wait for it.
             let asked = self.borrow(now, facts, tenant, plan, cost.less(lasts));
-            if !self.left(now, tenant).covers(cost) {
+            if !self.remaining(now, tenant).covers(cost) {
                 let reason = if left.queries < cost.queries { Reason::Queries } else { Reason::Budget };
-                return Err(Short { after: asked, reason });
+                return Err(Insufficient { after: asked, reason });
             }
         }
         Ok(())
     }
 
     /// Asks for a piece that covers the need, unless it was just asked for. When there may be one, microseconds from now.
-    fn borrow(&mut self, now: Micros, facts: &Facts, tenant: &str, plan: &Plan, need: Cost) -> Micros {
-        let known = self.purses.contains_key(tenant);
-        if tenant.len() > LONGEST_NAME || (!known && self.purses.len() >= MOST_TENANTS) {
-            return LIFE;
+    fn borrow(
+        &mut self,
+        now: Micros,
+        facts: &MembershipView,
+        tenant: &str,
+        plan: &Plan,
+        need: Cost,
+    ) -> Micros {
+        let known = self.accounts.contains_key(tenant);
+        if tenant.len() > MAX_NAME_LEN || (!known && self.accounts.len() >= MAX_TENANTS) {
+            return LEASE_TIME;
         }
         self.look(now, facts);
-        let Some(to) = lender(tenant, &self.living) else { return ASK_EVERY };
-        let purse = self.purses.entry(tenant.to_owned()).or_default();
-        purse.touched = now;
-        purse.pieces.retain(|piece| now < piece.until);
-        if now < purse.short_until {
-            return purse.short_until - now;
+        let Some(to) = lender(tenant, &self.living) else { return REQUEST_INTERVAL };
+        let account = self.accounts.entry(tenant.to_owned()).or_default();
+        account.touched = now;
+        account.leases.retain(|lease| now < lease.until);
+        if now < account.short_until {
+            return account.short_until - now;
         }
-        if purse.asked.is_some_and(|(_, at)| now < at.saturating_add(ASK_EVERY)) {
-            return ASK_EVERY;
+        if account.asked.is_some_and(|(_, at)| now < at.saturating_add(REQUEST_INTERVAL)) {
+            return REQUEST_INTERVAL;
         }
         self.serial = self.serial.wrapping_add(1);
         let serial = self.serial;
-        purse.asked = Some((serial, now));
+        account.asked = Some((serial, now));
         // As much again as since the last piece, and a hundredth of all, so that few asks are needed.
-        let wanted = need.plus(purse.used).plus(Cost::of_plan(plan).part(1, 100));
-        purse.used = Cost::default();
+        let wanted = need.plus(account.used).plus(Cost::of_plan(plan).part(1, 100));
+        account.used = Cost::default();
         if to == self.own {
             let (cost, after) = self.lend(now, facts, to, tenant, serial, (need, wanted), plan);
             self.lent(now, tenant, serial, cost, after);
         } else {
             let tenant = tenant.to_owned();
-            self.out.push((to, Note::Ask { tenant, serial, cost: need, wanted }));
+            self.out.push((to, BudgetMessage::Request { tenant, serial, cost: need, wanted }));
         }
-        let until = self.purses.get(tenant).map_or(0, |purse| purse.short_until);
-        until.saturating_sub(now).max(ASK_EVERY)
+        let until = self.accounts.get(tenant).map_or(0, |account| account.short_until);
+        until.saturating_sub(now).max(REQUEST_INTERVAL)
     }
 
     /// Whether there is enough for a query of that cost, or may be once it is asked for. Asks nobody.
     ///
     /// # Errors
     /// Says when there may be enough, and what is short.
-    pub fn foresee(&self, now: Micros, tenant: &str, cost: Cost) -> Result<(), Short> {
-        let left = self.left(now, tenant);
-        let until = self.purses.get(tenant).map_or(0, |purse| purse.short_until);
+    pub fn check(&self, now: Micros, tenant: &str, cost: Cost) -> Result<(), Insufficient> {
+        let left = self.remaining(now, tenant);
+        let until = self.accounts.get(tenant).map_or(0, |account| account.short_until);
         if left.covers(cost) || now >= until {
             return Ok(());
         }
         let reason = if left.queries < cost.queries { Reason::Queries } else { Reason::Budget };
-        Err(Short { after: until - now, reason })
+        Err(Insufficient { after: until - now, reason })
     }
 
     /// Takes a query's cost out of what is left here.
     ///
     /// # Errors
     /// Says what is short; [`Budgets::want`] has it brought.
-    pub fn charge(&mut self, now: Micros, tenant: &str, cost: Cost) -> Result<Charge, Short> {
-        let left = self.left(now, tenant);
+    pub fn charge(&mut self, now: Micros, tenant: &str, cost: Cost) -> Result<Charge, Insufficient> {
+        let left = self.remaining(now, tenant);
         if !left.covers(cost) {
             let reason = if left.queries < cost.queries { Reason::Queries } else { Reason::Budget };
-            return Err(Short { after: ASK_EVERY, reason });
+            return Err(Insufficient { after: REQUEST_INTERVAL, reason });
         }
         let mut charge = Charge { tenant: tenant.to_owned(), taken: Vec::new() };
-        let Some(purse) = self.purses.get_mut(tenant) else { return Ok(charge) };
-        purse.used = purse.used.plus(cost);
-        purse.pieces.sort_by_key(|piece| piece.until);
+        let Some(account) = self.accounts.get_mut(tenant) else { return Ok(charge) };
+        account.used = account.used.plus(cost);
+        account.leases.sort_by_key(|lease| lease.until);
         let mut rest = cost;
-        for piece in purse.pieces.iter_mut().filter(|piece| now < piece.until) {
-            let taken = piece.left.least(rest);
+        for lease in account.leases.iter_mut().filter(|lease| now < lease.until) {
+            let taken = lease.left.least(rest);
             if taken != Cost::default() {
-                (piece.left, rest) = (piece.left.less(taken), rest.less(taken));
-                charge.taken.push((piece.serial, taken));
+                (lease.left, rest) = (lease.left.less(taken), rest.less(taken));
+                charge.taken.push((lease.serial, taken));
             }
         }
         Ok(charge)
@@ -363,37 +373,37 @@
     /// A query that was charged has ended: what it did not use goes back to its pieces, as far as they live; what it used
     /// beyond its charge is taken out of those that are here.
     pub fn settle(&mut self, now: Micros, charge: Charge, used: Cost) {
-        let Some(purse) = self.purses.get_mut(&charge.tenant) else { return };
+        let Some(account) = self.accounts.get_mut(&charge.tenant) else { return };
         let all = charge.taken.iter().fold(Cost::default(), |sum, (_, taken)| sum.plus(*taken));
         let mut over = all.less(used);
         // What it took beyond its charge is the next ones' loss, as far as anything is here.
         let mut more = used.less(all);
-        purse.used = purse.used.plus(more);
-        for piece in purse.pieces.iter_mut().filter(|piece| now < piece.until) {
-            let taken = piece.left.least(more);
-            (piece.left, more) = (piece.left.less(taken), more.less(taken));
+        account.used = account.used.plus(more);
+        for lease in account.leases.iter_mut().filter(|lease| now < lease.until) {
+            let taken = lease.left.least(more);
+            (lease.left, more) = (lease.left.less(taken), more.less(taken));
         }
-        purse.used = purse.used.less(over);
+        account.used = account.used.less(over);
         for (serial, taken) in charge.taken {
             let back = taken.least(over);
             over = over.less(back);
-            let live = purse.pieces.iter_mut().find(|piece| piece.serial == serial && now < piece.until);
-            if let Some(piece) = live {
-                piece.left = piece.left.plus(back);
+            let live = account.leases.iter_mut().find(|lease| lease.serial == serial && now < lease.until);
+            if let Some(lease) = live {
+                lease.left = lease.left.plus(back);
             }
         }
     }
 
     /// A piece has come, or nothing.
     fn lent(&mut self, now: Micros, tenant: &str, serial: u64, cost: Cost, after: Micros) {
-        let Some(purse) = self.purses.get_mut(tenant) else { return };
-        let Some((_, at)) = purse.asked.take_if(|(asked, _)| *asked == serial) else { return };
-        let until = at.saturating_add(LIFE);
+        let Some(account) = self.accounts.get_mut(tenant) else { return };
+        let Some((_, at)) = account.asked.take_if(|(asked, _)| *asked == serial) else { return };
+        let until = at.saturating_add(LEASE_TIME);
         if after > 0 {
-            purse.short_until = now.saturating_add(after.min(WINDOW));
+            account.short_until = now.saturating_add(after.min(WINDOW));
         }
-        if cost != Cost::default() && now < until && purse.pieces.len() < MOST_OWNED {
-            purse.pieces.push(Piece { serial, left: cost, until });
+        if cost != Cost::default() && now < until && account.leases.len() < MAX_LEASES {
+            account.leases.push(Lease { serial, left: cost, until });
         }
     }
 
@@ -402,7 +412,7 @@
     fn lend(
         &mut self,
         now: Micros,
-        facts: &Facts,
+        facts: &MembershipView,
         to: Rank,
         tenant: &str,
         serial: u64,
@@ -411,7 +421,7 @@
     ) -> (Cost, Micros) {
         let known = self.ledgers.contains_key(tenant);
         self.look(now, facts);
-        if lender(tenant, &self.living) != Some(self.own) || (!known && self.ledgers.len() >= MOST_TENANTS) {
+        if lender(tenant, &self.living) != Some(self.own) || (!known && self.ledgers.len() >= MAX_TENANTS) {
             return (Cost::default(), 0);
         }
         let tenure = self.tenure(now, tenant);
@@ -427,17 +437,17 @@
             budget = budget.part(living as u64, facts.members.len() as u64);
         }
         if tenure < WINDOW {
-            budget = budget.part(tenure.max(WINDOW / FIRST), WINDOW);
+            budget = budget.part(tenure.max(WINDOW / FIRST_PART), WINDOW);
         }
         let left = budget.less(ledger.lent);
-        if !left.covers(need) || ledger.loans.len() >= MOST_PIECES {
+        if !left.covers(need) || ledger.loans.len() >= MAX_PIECES {
             let first = ledger
                 .loans
                 .front()
-                .map_or(WINDOW / FIRST, |loan| (loan.at.saturating_add(WINDOW)).saturating_sub(now));
+                .map_or(WINDOW / FIRST_PART, |loan| (loan.at.saturating_add(WINDOW)).saturating_sub(now));
             // While what may be lent grows, there is more before the first piece counts no longer.
-            let after = if tenure < WINDOW { first.min(ASK_EVERY * 5) } else { first };
-            return (Cost::default(), after.max(ASK_EVERY));
+            let after = if tenure < WINDOW { first.min(REQUEST_INTERVAL * 5) } else { first };
+            return (Cost::default(), after.max(REQUEST_INTERVAL));
         }
         let cost = wanted.least(left);
         ledger.loans.push_back(Loan { at: now, to, serial, cost });
@@ -449,22 +459,24 @@
     pub fn receive(
         &mut self,
         now: Micros,
-        facts: &Facts,
+        facts: &MembershipView,
         from: Rank,
-        note: Note,
+        note: BudgetMessage,
         plan: impl Fn(&str) -> Plan,
     ) {
         match note {
-            Note::Ask { tenant, serial, cost, wanted } => {
-                if tenant.len() > LONGEST_NAME {
+            BudgetMessage::Request { tenant, serial, cost, wanted } => {
+                if tenant.len() > MAX_NAME_LEN {
                     return;
                 }
                 let plan = plan(&tenant);
                 let (cost, after) = self.lend(now, facts, from, &tenant, serial, (cost, wanted), &plan);
-                self.out.push((from, Note::Lend { tenant, serial, cost, after }));
+                self.out.push((from, BudgetMessage::Grant { tenant, serial, cost, after }));
+            }
+            BudgetMessage::Grant { tenant, serial, cost, after } => {
+                self.lent(now, &tenant, serial, cost, after)
             }
-            Note::Lend { tenant, serial, cost, after } => self.lent(now, &tenant, serial, cost, after),
-            Note::Back { tenant, serial, cost } => {
+            BudgetMessage::Return { tenant, serial, cost } => {
                 if let Some(ledger) = self.ledgers.get_mut(&tenant) {
                     ledger.back(from, serial, cost);
                 }
@@ -473,29 +485,31 @@
     }
 
     /// Now and then: what is not used goes back, and what has lapsed is forgotten.
-    pub fn tick(&mut self, now: Micros, facts: &Facts) {
+    pub fn tick(&mut self, now: Micros, facts: &MembershipView) {
         self.look(now, facts);
-        for (tenant, purse) in &mut self.purses {
-            purse.pieces.retain(|piece| now < piece.until);
-            if now < purse.touched.saturating_add(LIFE / 2) {
+        for (tenant, account) in &mut self.accounts {
+            account.leases.retain(|lease| now < lease.until);
+            if now < account.touched.saturating_add(LEASE_TIME / 2) {
                 continue;
             }
             let to = lender(tenant, &self.living);
-            for Piece { serial, left: cost, .. } in purse.pieces.drain(..) {
+            for Lease { serial, left: cost, .. } in account.leases.drain(..) {
                 match to {
                     Some(to) if to == self.own => {
                         let ledger = self.ledgers.get_mut(tenant);
                         ledger.into_iter().for_each(|ledger| ledger.back(to, serial, cost));
                     }
                     Some(to) if cost != Cost::default() => {
-                        self.out.push((to, Note::Back { tenant: tenant.clone(), serial, cost }));
+                        self.out.push((to, BudgetMessage::Return { tenant: tenant.clone(), serial, cost }));
                     }
                     _ => {}
                 }
             }
         }
-        let idle = |purse: &Purse| now >= purse.touched.saturating_add(WINDOW) && now >= purse.short_until;
-        self.purses.retain(|_, purse| !idle(purse));
+        let idle = |account: &BorrowerAccount| {
+            now >= account.touched.saturating_add(WINDOW) && now >= account.short_until
+        };
+        self.accounts.retain(|_, account| !idle(account));
         self.ledgers.values_mut().for_each(|ledger| ledger.fade(now));
         self.ledgers.retain(|_, ledger| !ledger.loans.is_empty());
     }
--- a/src/estimate/charged.rs
+++ b/src/estimate/charged.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use super::decide::{Cut, Decided, Running};
+use super::decide::{Decided, LimitExceeded, RunningQuery};
 use super::estimator::Estimator;
 use super::learned::{FIGURES, Touched};
 use crate::channel::SEGMENT;
@@ -15,10 +15,10 @@
 
 /// See the module.
 #[derive(Debug)]
-pub struct Charged {
+pub struct ChargedQuery {
     /// What was decided, and on what.
     pub decided: Decided,
-    running: Running,
+    running: RunningQuery,
     /// Shards and bytes that it may read.
     bound: (u64, u64),
     /// What each log took.
@@ -27,7 +27,7 @@
     figures: [u64; FIGURES],
 }
 
-impl Charged {
+impl ChargedQuery {
     /// Decides a read, and charges its tenant's budget. Time is not looked at: such a read ends by itself at its
     /// deadline, and tells what is late, whereas one that is refused teaches nobody that it would be faster now.
     ///
@@ -65,13 +65,13 @@
     ///
     /// # Errors
     /// Says by what.
-    pub fn check(&self) -> Result<(), Cut> {
+    pub fn check(&self) -> Result<(), LimitExceeded> {
         let sum = |of: fn(&(u64, u64)) -> u64| self.logs.values().map(of).fold(0, u64::saturating_add);
         let (shards, bytes) = (sum(|log| log.0), sum(|log| log.1));
         if shards > self.bound.0 {
-            return Err(Cut::Shards(shards));
+            return Err(LimitExceeded::Shards(shards));
         }
-        if bytes > self.bound.1 { Err(Cut::Bytes(bytes)) } else { Ok(()) }
+        if bytes > self.bound.1 { Err(LimitExceeded::Bytes(bytes)) } else { Ok(()) }
     }
 
     /// Shards and bytes that were read so far, at all senders.
@@ -80,7 +80,12 @@
     }
 
     /// It has ended, however it did: its charge is corrected. What a whole one took is learned: rows and microseconds.
-    pub fn end(self, estimator: &mut Estimator, now: Micros, whole: Result<Option<(u64, Micros)>, Cut>) {
+    pub fn end(
+        self,
+        estimator: &mut Estimator,
+        now: Micros,
+        whole: Result<Option<(u64, Micros)>, LimitExceeded>,
+    ) {
         let mut figures = self.figures;
         let whole = whole.map(|whole| {
             whole.map(|(rows, took)| {
--- a/src/estimate/decide.rs
+++ b/src/estimate/decide.rs
@@ -11,16 +11,16 @@
 //! The first rule that applies is told. A query is made less by a later `from`: the newest messages are kept. One for
 //! ids, or that goes on after a row, is never made less, since what is left out would be what it asks for.
 
-use super::lend::{Budgets, Charge, Cost, Short};
+use super::budget_lease::{Budgets, Charge, Cost, Insufficient};
 use super::predict::Estimate;
 use super::{Decision, Reason};
+use crate::coded_error;
 use crate::interface::Micros;
 use crate::plans::Plan;
 use crate::status::Query;
-use crate::told;
 
 /// Predictions that finding a smaller query takes at most.
-pub const MOST_TRIES: u32 = 24;
+pub const MAX_TRIES: u32 = 24;
 
 /// What a query is up against.
 #[derive(Debug, Clone, Copy)]
@@ -60,21 +60,23 @@
 pub fn decide(
     query: &Query,
     limits: Limits<'_>,
-    left: Result<(), Short>,
+    left: Result<(), Insufficient>,
     predict: &mut dyn FnMut(&Query) -> Estimate,
 ) -> Decided {
     let whole = predict(query);
     let Some(reason) = limits.against(&whole) else {
         let decision = match left {
             Ok(()) => Decision::Run,
-            Err(Short { after, reason }) => Decision::Later { after, reason },
+            Err(Insufficient { after, reason }) => Decision::Later { after, reason },
         };
         return Decided { decision, estimate: whole };
     };
     match narrowed(query, limits, predict) {
         Some((from, estimate)) => match left {
             Ok(()) => Decided { decision: Decision::Narrowed { from, reason }, estimate },
-            Err(Short { after, reason }) => Decided { decision: Decision::Later { after, reason }, estimate },
+            Err(Insufficient { after, reason }) => {
+                Decided { decision: Decision::Later { after, reason }, estimate }
+            }
         },
         None => Decided { decision: Decision::Refused { reason }, estimate: whole },
     }
@@ -94,7 +96,7 @@
     let mut late = query.to.min(limits.unix);
     let mut found = None;
     let mut back = Some(1_000_000);
-    for _ in 0..MOST_TRIES {
+    for _ in 0..MAX_TRIES {
         // Steps of under a millisecond leave nothing more in.
         if late.saturating_sub(too_early) < 1_000 {
             break;
@@ -118,7 +120,7 @@
 
 /// A query that is under way: what it was charged, and how far it may go.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Running {
+pub struct RunningQuery {
     charge: Charge,
     shards: u64,
     bytes: u64,
@@ -127,7 +129,7 @@
 
 /// A query went past its bound and is cut: its answer has what was read so far, and says so.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Cut {
+pub enum LimitExceeded {
     /// In shards.
     #[error(
         "cut after {0} shards: no more were predicted, or the plan allows no more; ask for a shorter time or fewer ids"
@@ -140,12 +142,12 @@
     Bytes(u64),
 }
 
-told! { Cut {
+coded_error! { LimitExceeded {
     Shards => "estimate.cut-shards", "ask for a shorter time or fewer states, or ask for an estimate again first";
     Bytes => "estimate.cut-bytes", "ask for a shorter time or fewer states, or ask for an estimate again first";
 } }
 
-impl Running {
+impl RunningQuery {
     /// Charges a query at the upper end of what it will touch.
     ///
     /// # Errors
@@ -155,7 +157,7 @@
         now: Micros,
         tenant: &str,
         estimate: &Estimate,
-    ) -> Result<Self, Short> {
+    ) -> Result<Self, Insufficient> {
         let (shards, bytes) = (estimate.prediction.shards.most, estimate.prediction.bytes.most);
         let charge = budgets.charge(now, tenant, Cost { queries: 1, bytes })?;
         Ok(Self { charge, shards: 0, bytes: 0, most: (shards, bytes) })
@@ -165,9 +167,9 @@
     ///
     /// # Errors
     /// Says that it must not be, since the query is at its bound.
-    pub fn shard(&mut self) -> Result<(), Cut> {
+    pub fn shard(&mut self) -> Result<(), LimitExceeded> {
         if self.shards >= self.most.0 {
-            return Err(Cut::Shards(self.shards));
+            return Err(LimitExceeded::Shards(self.shards));
         }
         self.shards += 1;
         Ok(())
@@ -177,10 +179,10 @@
     ///
     /// # Errors
     /// Says that it must not be, since the query is at its bound.
-    pub fn read(&mut self, bytes: u64) -> Result<(), Cut> {
+    pub fn read(&mut self, bytes: u64) -> Result<(), LimitExceeded> {
         match self.bytes.checked_add(bytes).filter(|sum| *sum <= self.most.1) {
             Some(sum) => self.bytes = sum,
-            None => return Err(Cut::Bytes(self.bytes)),
+            None => return Err(LimitExceeded::Bytes(self.bytes)),
         }
         Ok(())
     }
--- a/src/estimate/estimator.rs
+++ b/src/estimate/estimator.rs
@@ -5,26 +5,26 @@
 
 use serde::Serialize;
 
-use super::decide::{self, Cut, Decided, Limits, Running};
-use super::known::{self, Catalogue, Known};
-use super::learned::{Figure, Learned, Touched};
-use super::lend::{self, Budgets, Cost, Note, Short};
-use super::predict::{Estimate, TRIP, predict, priced};
+use super::budget_lease::{self, BudgetMessage, Budgets, Cost, Insufficient};
+use super::decide::{self, Decided, LimitExceeded, Limits, RunningQuery};
+use super::learned::{Calibration, Figure, Touched};
+use super::predict::{DEFAULT_ROUND_TRIP, Estimate, predict, priced};
 use super::sending::Runs;
 use super::summary::{Summary, Version};
+use super::summary_cache::{self, Catalogue, SummaryCache};
 use super::{Decision, Prediction, Reason};
 use crate::channel::ESTIMATE;
+use crate::coded_error;
 use crate::interface::Micros;
-use crate::membership::{Facts, Out, Rank};
+use crate::membership::{MembershipView, Outgoing, Rank};
 use crate::mesh::{self, Mesh};
 use crate::plans::{self, Plan};
 use crate::status::{self, Entry, LogId, Query, ShardId};
-use crate::told;
 
 /// Own summaries are made anew so often at most.
 pub const MAKE_EVERY: Micros = 2_000_000;
 /// Entries that are summarised at a time at most, beyond those of one shard; the rest is for the next time.
-pub const MOST_ENTRIES: usize = 10_000;
+pub const MAX_ENTRIES: usize = 10_000;
 /// Messages begin with what they are about.
 const SUMMARIES: u8 = 1;
 /// See [`SUMMARIES`].
@@ -32,7 +32,7 @@
 
 /// Why a query can't be estimated.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum NoEstimate {
+pub enum EstimateError {
     /// Too many ids.
     #[error("{0} ids")]
     Ids(usize),
@@ -44,7 +44,7 @@
     Rows(u32),
 }
 
-told! { NoEstimate {
+coded_error! { EstimateError {
     Ids => "estimate.ids", "name 256 ids at most, and ask again for the others";
     Times => "estimate.times", "have \"from\" before \"to\", both in Unix microseconds";
     Rows => "estimate.rows", "have \"limit\" from 1 to 1000, and go on with \"after\"";
@@ -54,22 +54,22 @@
 ///
 /// # Errors
 /// Says what is beyond them.
-pub fn check(query: &Query) -> Result<(), NoEstimate> {
-    if query.ids.len() > status::MOST_IDS {
-        return Err(NoEstimate::Ids(query.ids.len()));
+pub fn check(query: &Query) -> Result<(), EstimateError> {
+    if query.ids.len() > status::MAX_IDS {
+        return Err(EstimateError::Ids(query.ids.len()));
     }
     if query.from >= query.to {
-        return Err(NoEstimate::Times(query.from, query.to));
+        return Err(EstimateError::Times(query.from, query.to));
     }
-    if !(1..=status::MOST_ROWS as u32).contains(&query.limit) {
-        return Err(NoEstimate::Rows(query.limit));
+    if !(1..=status::MAX_ROWS as u32).contains(&query.limit) {
+        return Err(EstimateError::Rows(query.limit));
     }
     Ok(())
 }
 
 /// What operators are told of a query.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Told {
+pub struct QueryEstimate {
     /// What it will touch as it is to run.
     pub prediction: Prediction,
     /// What is to be done with it.
@@ -95,14 +95,14 @@
     plans: plans::Config,
     mesh: Mesh,
     /// What is held of all shards.
-    pub known: Known,
+    pub known: SummaryCache,
     /// What queries really took.
-    pub learned: Learned,
+    pub learned: Calibration,
     /// What runs really took.
     pub runs: Runs,
     /// Tenants' budgets.
     pub budgets: Budgets,
-    facts: Option<Facts>,
+    facts: Option<MembershipView>,
     /// Own shards as last summarised, with the version of what is to be known of them.
     prints: BTreeMap<u32, (Print, Version)>,
     made: u64,
@@ -150,8 +150,8 @@
             length: span.max(1),
             plans,
             mesh: Mesh::new(ESTIMATE, own, size, tier, seed),
-            known: Known::new(own, size, seed, now),
-            learned: Learned::default(),
+            known: SummaryCache::new(own, size, seed, now),
+            learned: Calibration::default(),
             runs: Runs::default(),
             budgets: Budgets::new(own, seed, now),
             facts: None,
@@ -176,16 +176,16 @@
     }
 
     /// The view as it is now.
-    pub fn look(&mut self, facts: Facts) {
+    pub fn set_view(&mut self, facts: MembershipView) {
         self.facts = Some(facts);
     }
 
     /// Whether own summaries may be made anew.
-    pub fn makes(&self, now: Micros) -> bool {
+    pub fn summaries_due(&self, now: Micros) -> bool {
         now >= self.makes_at
     }
 
-    /// Makes own summaries: of all shards that have changed, the newest first, as far as [`MOST_ENTRIES`] go.
+    /// Makes own summaries: of all shards that have changed, the newest first, as far as [`MAX_ENTRIES`] go.
     /// `entries` gives all own ones by when they were taken on, `upto` is the last change that they have, `unix` the
     /// time by which new messages get their `taken_at`.
     pub fn summarise<'a, I: Iterator<Item = (ShardId, &'a Entry)>>(
@@ -221,7 +221,7 @@
                 continue;
             }
             // What is not made now is listed as newer than its summary.
-            if work > 0 && work + print.entries as usize > MOST_ENTRIES {
+            if work > 0 && work + print.entries as usize > MAX_ENTRIES {
                 let unmade = Print { entries: 0, ..*print };
                 self.prints.insert(*span, (unmade, version));
                 continue;
@@ -249,7 +249,7 @@
             spans: self.prints.iter().map(|(span, (_, version))| (*span, *version)).collect(),
             older: false,
         };
-        self.known.tell(now, catalogue, summaries);
+        self.known.publish(now, catalogue, summaries);
     }
 
     /// What a query will touch.
@@ -258,30 +258,30 @@
     }
 
     /// What would become of a query that has to be answered within that time, without running or charging it.
-    pub fn told(&self, now: Micros, unix: Micros, query: &Query, within: Micros) -> Told {
+    pub fn estimate(&self, now: Micros, unix: Micros, query: &Query, within: Micros) -> QueryEstimate {
         let plan = self.plan(&query.tenant);
         let mut predicted = |query: &Query| self.predict(now, query);
         let limits = Limits { plan: &plan, within, unix };
         let Decided { mut decision, estimate } = decide::decide(query, limits, Ok(()), &mut predicted);
         let cost = Cost { queries: 1, bytes: estimate.prediction.bytes.most };
         if !matches!(decision, Decision::Refused { .. })
-            && let Err(Short { after, reason }) = self.budgets.foresee(now, &query.tenant, cost)
+            && let Err(Insufficient { after, reason }) = self.budgets.check(now, &query.tenant, cost)
         {
             decision = Decision::Later { after, reason };
         }
-        let held = self.learned.held(estimate.basis.shape, Figure::Bytes);
-        Told { prediction: estimate.prediction, decision, held }
+        let held = self.learned.hit_rate(estimate.basis.shape, Figure::Bytes);
+        QueryEstimate { prediction: estimate.prediction, decision, held }
     }
 
-    /// Decides a query that is to run now, and charges it. It runs as the decision says if [`Running`] comes along. One
-    /// that is for later may be tried again soon; [`Estimator::put_off`] counts it once it is told so.
+    /// Decides a query that is to run now, and charges it. It runs as the decision says if [`RunningQuery`] comes along. One
+    /// that is for later may be tried again soon; [`Estimator::count_later`] counts it once it is told so.
     pub fn begin(
         &mut self,
         now: Micros,
         unix: Micros,
         query: &Query,
         within: Micros,
-    ) -> (Decided, Option<Running>) {
+    ) -> (Decided, Option<RunningQuery>) {
         let plan = self.plan(&query.tenant);
         let limits = Limits { plan: &plan, within, unix };
         let mut decided = decide::decide(query, limits, Ok(()), &mut |query| self.predict(now, query));
@@ -290,13 +290,13 @@
             return (decided, None);
         }
         let cost = Cost { queries: 1, bytes: decided.estimate.prediction.bytes.most };
-        let later = Err(Short { after: lend::ASK_EVERY, reason: Reason::Budget });
+        let later = Err(Insufficient { after: budget_lease::REQUEST_INTERVAL, reason: Reason::Budget });
         let had = self
             .facts
             .as_ref()
-            .map_or(later, |facts| self.budgets.want(now, facts, &query.tenant, &plan, cost));
+            .map_or(later, |facts| self.budgets.reserve(now, facts, &query.tenant, &plan, cost));
         let begun =
-            had.and_then(|()| Running::begin(&mut self.budgets, now, &query.tenant, &decided.estimate));
+            had.and_then(|()| RunningQuery::begin(&mut self.budgets, now, &query.tenant, &decided.estimate));
         match begun {
             Ok(running) => {
                 let narrowed = matches!(decided.decision, Decision::Narrowed { .. });
@@ -304,7 +304,7 @@
                 self.counts.charged = self.counts.charged.saturating_add(cost.bytes);
                 (decided, Some(running))
             }
-            Err(Short { after, reason }) => {
+            Err(Insufficient { after, reason }) => {
                 decided.decision = Decision::Later { after, reason };
                 (decided, None)
             }
@@ -312,7 +312,13 @@
     }
 
     /// A query has ended, whole or cut: its charge is corrected, and what it touched is learned if it was whole.
-    pub fn end(&mut self, now: Micros, decided: &Decided, running: Running, touched: Result<Touched, Cut>) {
+    pub fn end(
+        &mut self,
+        now: Micros,
+        decided: &Decided,
+        running: RunningQuery,
+        touched: Result<Touched, LimitExceeded>,
+    ) {
         self.settle(now, running);
         match touched {
             Ok(touched) => self.learned.learn(&decided.estimate.basis, &touched),
@@ -321,26 +327,26 @@
     }
 
     /// A query has ended with less than all: its charge is corrected, and nothing is learned.
-    pub fn settle(&mut self, now: Micros, running: Running) {
+    pub fn settle(&mut self, now: Micros, running: RunningQuery) {
         let (_, bytes) = running.end(&mut self.budgets, now);
         self.counts.read = self.counts.read.saturating_add(bytes);
     }
 
     /// Somebody was told to ask again later.
-    pub fn put_off(&mut self) {
+    pub fn count_later(&mut self) {
         self.counts.later += 1;
     }
 
     /// What reading a log at a sender costs, microseconds: what its part of an answer took of late, and what is added for
     /// one that is suspected, cut off or starting. Reads by plan go to the least.
     pub fn price(&self, now: Micros, server: Rank) -> Micros {
-        let trip = if server == self.own { 0.0 } else { self.learned.trip(server, TRIP) };
+        let trip = if server == self.own { 0.0 } else { self.learned.round_trip(server, DEFAULT_ROUND_TRIP) };
         (trip as Micros).saturating_add(priced(server, self.facts.as_ref(), now))
     }
 
     /// Whether a datagram is for this.
-    pub fn claims(&self, bytes: &[u8]) -> bool {
-        self.mesh.claims(bytes)
+    pub fn accepts(&self, bytes: &[u8]) -> bool {
+        self.mesh.accepts(bytes)
     }
 
     /// A datagram of another sender has come, which [`Estimator::claims`].
@@ -349,7 +355,8 @@
             match message.split_first() {
                 Some((&SUMMARIES, rest)) => self.known.receive(now, from, rest),
                 Some((&BUDGETS, rest)) => {
-                    let (Ok(note), Some(facts)) = (postcard::from_bytes::<Note>(rest), &self.facts) else {
+                    let (Ok(note), Some(facts)) = (postcard::from_bytes::<BudgetMessage>(rest), &self.facts)
+                    else {
                         self.known.counts.unreadable += 1;
                         continue;
                     };
@@ -366,7 +373,7 @@
     }
 
     /// Does what is due, and sends.
-    pub fn tick(&mut self, now: Micros, out: &mut Out) {
+    pub fn tick(&mut self, now: Micros, out: &mut Outgoing) {
         let mesh = &mut self.mesh;
         let mut send = |to: Rank, bytes: &[u8]| mesh.send(now, to, &[&[SUMMARIES], bytes].concat()).is_ok();
         self.known.tick(now, self.facts.as_ref(), &mut send);
@@ -377,8 +384,8 @@
     }
 
     /// Sends what queries and datagrams brought about.
-    pub fn flush(&mut self, now: Micros, out: &mut Out) {
-        for (to, note) in self.budgets.said() {
+    pub fn flush(&mut self, now: Micros, out: &mut Outgoing) {
+        for (to, note) in self.budgets.take_messages() {
             // What does not go is asked for again, or lapses.
             if let Ok(bytes) = postcard::to_allocvec(&note) {
                 let _ = self.mesh.send(now, to, &[&[BUDGETS], &bytes[..]].concat());
@@ -388,7 +395,7 @@
     }
 
     /// What passed between senders.
-    pub fn traffic(&self) -> (known::Counts, mesh::Counts) {
+    pub fn traffic(&self) -> (summary_cache::Counts, mesh::Counts) {
         (self.known.counts, self.mesh.counts)
     }
 }
--- a/src/estimate/learned.rs
+++ b/src/estimate/learned.rs
@@ -9,17 +9,17 @@
 
 use super::Interval;
 use crate::interface::Micros;
-use crate::membership::{MOST_MEMBERS, Rank};
+use crate::membership::{MAX_MEMBERS, Rank};
 use crate::status::Query;
 
 /// Outcomes of a shape that are looked back at.
 pub const WINDOW: u32 = 100;
 /// Of them so many must have been within, or the intervals widen.
-pub const HOLD: u32 = 88;
+pub const TARGET_HIT_RATE: u32 = 88;
 /// Outcomes from which on what was learned counts.
-pub const ENOUGH: u32 = 20;
+pub const MIN_SAMPLES: u32 = 20;
 /// The quantiles that are followed. Nine in ten are to hold: with a little more, a window of [`WINDOW`] outcomes seldom
-/// falls below [`HOLD`] by chance.
+/// falls below [`TARGET_HIT_RATE`] by chance.
 pub(super) const BAND: [f64; 3] = [0.04, 0.5, 0.96];
 /// The widest that intervals get, as a factor to their logarithm.
 const WIDEST: f64 = 8.0;
@@ -84,7 +84,7 @@
     /// As the summaries alone have it.
     pub raw: [f64; FIGURES],
     /// As it was told.
-    pub told: [Interval; FIGURES],
+    pub predicted: [Interval; FIGURES],
     /// Microseconds, as the links alone have it.
     pub raw_time: f64,
 }
@@ -132,14 +132,14 @@
             self.quantiles.iter_mut().for_each(|quantile| quantile.at = seen);
         }
         let off = (seen - self.quantiles[1].at).abs();
-        self.spread += (off - self.spread) * if self.seen < ENOUGH { 0.2 } else { FADE };
+        self.spread += (off - self.spread) * if self.seen < MIN_SAMPLES { 0.2 } else { FADE };
         self.quantiles.iter_mut().for_each(|quantile| quantile.learn(seen, STEP * self.spread));
         self.seen = self.seen.saturating_add(1);
         self.within = self.within << 1 | u128::from(within);
         let hits = self.hits();
-        if self.seen >= WINDOW && hits < HOLD && !within {
+        if self.seen >= WINDOW && hits < TARGET_HIT_RATE && !within {
             self.wider = (self.wider * 1.1).min(WIDEST);
-        } else if hits > HOLD + 2 {
+        } else if hits > TARGET_HIT_RATE + 2 {
             self.wider = (self.wider * 0.99).max(1.0);
         }
     }
@@ -147,7 +147,7 @@
     /// What a figure is told as, when others than what was learned say so much.
     pub(super) fn interval(&self, raw: Interval, expected: f64, doubt: f64) -> Interval {
         let said = log(expected);
-        if self.seen < ENOUGH {
+        if self.seen < MIN_SAMPLES {
             let most = raw.most.max(whole(said + std::f64::consts::LN_2 + doubt));
             return Interval { least: raw.least.min(raw.expected), expected: raw.expected, most };
         }
@@ -175,7 +175,7 @@
     }
 
     fn missed(&self) -> bool {
-        self.seen >= WINDOW && self.hits() < HOLD
+        self.seen >= WINDOW && self.hits() < TARGET_HIT_RATE
     }
 }
 
@@ -188,7 +188,7 @@
 
 /// All that was learned; bounded by the number of shapes, of sizes and of members.
 #[derive(Debug, Default)]
-pub struct Learned {
+pub struct Calibration {
     figures: BTreeMap<Shape, [Option<Track>; FIGURES]>,
     /// By shape and logarithm of the number of shards.
     times: BTreeMap<(Shape, u32), Track>,
@@ -205,7 +205,7 @@
     (figure.exp() - 1.0).max(0.0) as u64
 }
 
-impl Learned {
+impl Calibration {
     /// What a figure is told as: `doubt` widens it further.
     pub fn interval(
         &self,
@@ -225,14 +225,14 @@
     }
 
     /// Of the last [`WINDOW`] outcomes of a shape, how many were within what was told of a figure.
-    pub fn held(&self, shape: Shape, figure: Figure) -> Option<u32> {
+    pub fn hit_rate(&self, shape: Shape, figure: Figure) -> Option<u32> {
         let track = self.figures.get(&shape)?[figure as usize].as_ref()?;
         (track.seen >= WINDOW).then(|| track.hits())
     }
 
     /// The time for a query, microseconds: median and 99th percentile.
     pub fn time(&self, shape: Shape, shards: u64, raw: f64) -> (Micros, Micros) {
-        match self.times.get(&(shape, size(shards))).filter(|track| track.seen >= ENOUGH) {
+        match self.times.get(&(shape, size(shards))).filter(|track| track.seen >= MIN_SAMPLES) {
             Some(track) => {
                 let [_, middle, high] = track.quantiles.map(|quantile| quantile.at);
                 (whole(log(raw) + middle), whole(log(raw) + high.max(middle)))
@@ -246,18 +246,18 @@
     pub fn learn(&mut self, basis: &Basis, touched: &Touched) {
         let tracks = self.figures.entry(basis.shape).or_insert([None; FIGURES]);
         for (at, track) in tracks.iter_mut().enumerate() {
-            let (raw, told, found) = (basis.raw[at], basis.told[at], touched.figures[at]);
+            let (raw, told, found) = (basis.raw[at], basis.predicted[at], touched.figures[at]);
             let track = track.get_or_insert_with(|| Track::new(BAND));
             track.learn(log(found as f64) - log(raw), told.holds(found));
         }
-        let key = (basis.shape, size(basis.told[Figure::Shards as usize].expected));
+        let key = (basis.shape, size(basis.predicted[Figure::Shards as usize].expected));
         let track = self.times.entry(key).or_insert_with(|| Track::new([BAND[0], 0.5, 0.99]));
         track.learn(log(touched.took as f64) - log(basis.raw_time), true);
     }
 
     /// An owner's or replica's part of an answer took so long.
     pub fn link(&mut self, rank: Rank, took: Micros) {
-        if usize::from(rank) >= MOST_MEMBERS {
+        if usize::from(rank) >= MAX_MEMBERS {
             return;
         }
         let took = took as f64;
@@ -267,7 +267,7 @@
     }
 
     /// What a sender's part of an answer takes, microseconds; `otherwise` where nothing is known.
-    pub fn trip(&self, rank: Rank, otherwise: f64) -> f64 {
+    pub fn round_trip(&self, rank: Rank, otherwise: f64) -> f64 {
         self.links.get(&rank).map_or(otherwise, |link| link.trip.0 + link.trip.1)
     }
 }
--- a/src/estimate/mod.rs
+++ b/src/estimate/mod.rs
@@ -5,15 +5,15 @@
 //! A prediction is made from summaries that shards' owners make of themselves. It never says that a shard is not touched
 //! which holds a row within what its summary covers.
 
+pub mod budget_lease;
 pub mod charged;
 pub mod decide;
 pub mod estimator;
-pub mod known;
 pub mod learned;
-pub mod lend;
 pub mod predict;
 pub mod sending;
 pub mod summary;
+pub mod summary_cache;
 
 use serde::{Deserialize, Serialize};
 
--- a/src/estimate/predict.rs
+++ b/src/estimate/predict.rs
@@ -6,16 +6,16 @@
 //! nothing that is asked for may be newer than they are) `most` is a bound; otherwise it is the upper end of nine in
 //! ten. What may have been written since is added at the rate at which the owner's newest spans grew.
 
-use super::known::{Held, Known};
-use super::learned::{Basis, FIGURES, Figure, Learned, Shape};
+use super::learned::{Basis, Calibration, FIGURES, Figure, Shape};
+use super::summary_cache::{CachedCatalogue, SummaryCache};
 use super::{Doubt, Interval, Prediction};
 use crate::channel::SEGMENT;
 use crate::interface::Micros;
-use crate::membership::{Facts, Rank, State};
+use crate::membership::{MembershipView, Rank, State};
 use crate::status::Query;
 
 /// From that age on a catalogue counts for old.
-pub const OLD: Micros = 30_000_000;
+pub const STALE_AFTER: Micros = 30_000_000;
 /// A member that is there for less than that counts for starting.
 pub const STARTING: Micros = 10_000_000;
 /// Added to the tail of a query that hits a sender which is suspected or cut off.
@@ -23,13 +23,13 @@
 /// The same for one that starts.
 pub const STARTING_TAIL: Micros = 100_000;
 /// Doubts that are told at most.
-pub const MOST_DOUBTS: usize = 64;
+pub const MAX_DOUBTS: usize = 64;
 /// A question to one sender, and its part of the answer beside rows: bytes.
 const CALL: u64 = 128;
 /// Datagram bytes beside a segment's.
 const AROUND: u64 = 256 - SEGMENT as u64;
 /// Until a link is known, microseconds.
-pub const TRIP: f64 = 2_000.0;
+pub const DEFAULT_ROUND_TRIP: f64 = 2_000.0;
 /// Reading one entry, microseconds, until more is learned.
 const READ: f64 = 0.5;
 /// How much further intervals go for each owner in doubt, as part of all owners.
@@ -68,7 +68,7 @@
 
 impl Sum {
     fn doubt(&mut self, doubt: Doubt, unsure: bool) {
-        if self.doubts.len() < MOST_DOUBTS && !self.doubts.contains(&doubt) {
+        if self.doubts.len() < MAX_DOUBTS && !self.doubts.contains(&doubt) {
             self.doubts.push(doubt);
         }
         if unsure {
@@ -81,15 +81,15 @@
 /// What a query will touch. `own` is read without a datagram; `now` is the clock by which `known` was told of things.
 pub fn predict(
     query: &Query,
-    known: &Known,
-    facts: Option<&Facts>,
-    learned: &Learned,
+    known: &SummaryCache,
+    facts: Option<&MembershipView>,
+    learned: &Calibration,
     own: Rank,
     now: Micros,
 ) -> Estimate {
     let mut sum = Sum::default();
     let members = facts.map_or(0, |facts| facts.members.len());
-    for owner in (0..members).map(|rank| rank as Rank).filter(|owner| known.present(*owner).is_none()) {
+    for owner in (0..members).map(|rank| rank as Rank).filter(|owner| known.current(*owner).is_none()) {
         // One that was never heard of may be cut off and hold much.
         let gone = known.all().any(|held| held.catalogue.log.owner == owner);
         let doubt = if gone { Doubt::Gone { owner } } else { Doubt::Missing { owner } };
@@ -116,7 +116,7 @@
 }
 
 /// One log's shards.
-fn log(query: &Query, held: &Held, facts: Option<&Facts>, now: Micros, sum: &mut Sum) {
+fn log(query: &Query, held: &CachedCatalogue, facts: Option<&MembershipView>, now: Micros, sum: &mut Sum) {
     let catalogue = &held.catalogue;
     let owner = catalogue.log.owner;
     let length = catalogue.length.max(1);
@@ -164,7 +164,7 @@
     if dead || held.over.is_some() {
         sum.doubt(Doubt::Gone { owner }, true);
     } else {
-        if age >= OLD {
+        if age >= STALE_AFTER {
             sum.doubt(Doubt::Old { owner, age }, true);
         }
         sum.unsure |= since(query, held, age, &mut own, &mut wanted.0);
@@ -192,7 +192,7 @@
 }
 
 /// What may have been written since the catalogue was made; whether anything may have.
-fn since(query: &Query, held: &Held, age: Micros, own: &mut Sum, wanted: &mut f64) -> bool {
+fn since(query: &Query, held: &CachedCatalogue, age: Micros, own: &mut Sum, wanted: &mut f64) -> bool {
     let catalogue = &held.catalogue;
     if query.to <= catalogue.as_of.saturating_sub(catalogue.slack) {
         return false;
@@ -236,15 +236,15 @@
 fn told(
     query: &Query,
     mut sum: Sum,
-    (facts, now): (Option<&Facts>, Micros),
-    learned: &Learned,
+    (facts, now): (Option<&MembershipView>, Micros),
+    learned: &Calibration,
     own: Rank,
 ) -> Estimate {
     let shape = Shape::of(query);
     let ids: u64 = query.ids.iter().map(|id| id.len() as u64 + 1).sum();
     let row = if sum.entries > 0.0 { sum.bytes / sum.entries } else { 0.0 };
     let (mut wire, mut datagrams) = ((0.0, 0), (0.0, 0));
-    let (mut time, mut tail) = (TRIP / 4.0 + sum.entries * READ, 0);
+    let (mut time, mut tail) = (DEFAULT_ROUND_TRIP / 4.0 + sum.entries * READ, 0);
     let limit = f64::from(query.limit);
     for (rank, shards, most, rows) in &sum.asked {
         if *rank == own {
@@ -260,7 +260,7 @@
         let packets = least.div_ceil(SEGMENT as u64) + 1;
         datagrams.1 = packets.saturating_mul(4).saturating_add(datagrams.1);
         wire.1 = packets.saturating_mul(4 * 256).saturating_add(wire.1);
-        time = f64::max(time, learned.trip(*rank, TRIP) + sum.entries * READ);
+        time = f64::max(time, learned.round_trip(*rank, DEFAULT_ROUND_TRIP) + sum.entries * READ);
         tail = tail.max(priced(*rank, facts, now));
     }
     let wider = learned.missed(shape);
@@ -300,11 +300,11 @@
     let doubts = sum.doubts;
     let prediction =
         Prediction { shards, entries, bytes, wire_bytes, datagrams, rows, time: time_told, bound, doubts };
-    Estimate { prediction, basis: Basis { shape, raw, told, raw_time: time } }
+    Estimate { prediction, basis: Basis { shape, raw, predicted: told, raw_time: time } }
 }
 
 /// What hitting a sender adds to the tail.
-pub(super) fn priced(rank: Rank, facts: Option<&Facts>, now: Micros) -> Micros {
+pub(super) fn priced(rank: Rank, facts: Option<&MembershipView>, now: Micros) -> Micros {
     let Some(facts) = facts else { return 0 };
     let Some(fact) = facts.members.get(usize::from(rank)) else { return SUSPECT_TAIL };
     match fact.state {
--- a/src/estimate/sending.rs
+++ b/src/estimate/sending.rs
@@ -11,13 +11,13 @@
 
 use super::learned::{BAND, Track, log};
 use super::{Doubt, Interval};
-use crate::interface::{DestinationId, Micros, Outlook, RouteOutlook, Settings};
-use crate::told;
+use crate::coded_error;
+use crate::interface::{DestinationId, DestinationSummary, Micros, RouteSummary, Settings};
 
 /// Destinations that one run names at most.
-pub const MOST_DESTINATIONS: usize = 1_024;
+pub const MAX_DESTINATIONS: usize = 1_024;
 /// Classes whose runs are learned from at most.
-const MOST_CLASSES: usize = 64;
+const MAX_CLASSES: usize = 64;
 /// Bytes of a call's head and its answer, about.
 const CALL: u64 = 320;
 /// Bytes of a message in a batch beside its body, about; the body goes in base64, four for three.
@@ -52,7 +52,7 @@
 
 /// Why a run can't be estimated.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum NoRun {
+pub enum RunError {
     /// The class is not one of the settings'.
     #[error("there is no class {0}")]
     Class(String),
@@ -67,7 +67,7 @@
     Nowhere(u32),
 }
 
-told! { NoRun {
+coded_error! { RunError {
     Class => "estimate.class", "name one of settings.classes";
     Tenant => "estimate.tenant", "name one of settings.realms";
     Destinations => "estimate.destinations", "name between 1 and 1024 destinations, or split the run";
@@ -120,7 +120,7 @@
 
 /// What a run really took.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Took {
+pub struct RunTimes {
     /// Calls, attempts, bytes on the wire, microseconds.
     pub figures: [u64; 4],
 }
@@ -131,8 +131,8 @@
 
 impl Runs {
     /// A run has ended. `raw` is what [`plan`] gave with it, `told` its intervals in the same order.
-    pub fn learn(&mut self, class: &str, raw: [f64; 4], told: &Planned, took: Took) {
-        if !self.0.contains_key(class) && self.0.len() >= MOST_CLASSES {
+    pub fn learn(&mut self, class: &str, raw: [f64; 4], told: &Planned, took: RunTimes) {
+        if !self.0.contains_key(class) && self.0.len() >= MAX_CLASSES {
             return;
         }
         let tracks = self.0.entry(class.to_owned()).or_insert([Track::new(BAND); 4]);
@@ -144,8 +144,8 @@
 }
 
 /// Calls a second that a route takes from this sender: at worst, about, at best.
-fn rates(route: &RouteOutlook, settings: &Settings) -> [f64; 3] {
-    let took = route.took.map_or(TOOK, |(mean, _)| mean.max(1.0));
+fn rates(route: &RouteSummary, settings: &Settings) -> [f64; 3] {
+    let took = route.answer_time.map_or(TOOK, |(mean, _)| mean.max(1.0));
     let slots = (settings.slots * 3 / 4).max(1) as f64 * 1e6 / took;
     let senders = settings.senders.max(1) as f64;
     let mut rates = match route.limit {
@@ -160,8 +160,9 @@
     rates[0] = rates[0].min(bound);
     rates[1] = rates[1].min(bound).min(slots);
     rates[2] = rates[2].min(slots);
-    if let Some(share) = route.cold {
-        let ramp = (settings.rules.fall_multiple * share * route.served.max(route.limit / senders)).max(0.1);
+    if let Some(share) = route.cold_share {
+        let ramp =
+            (settings.rules.fall_multiple * share * route.served_rate.max(route.limit / senders)).max(0.1);
         rates = [rates[0].min(ramp), rates[1].min(ramp), rates[2]];
     }
     rates.map(|rate| rate.max(0.01))
@@ -175,14 +176,14 @@
     shut: Micros,
 }
 
-fn leg(outlook: &Outlook, messages: f64, now: Micros, settings: &Settings) -> Leg {
-    let bundle = outlook.bundle.max(1) as f64;
+fn leg(outlook: &DestinationSummary, messages: f64, now: Micros, settings: &Settings) -> Leg {
+    let bundle = outlook.max_batch.max(1) as f64;
     let each = outlook.routes.iter().map(|route| rates(route, settings));
     let rate = each.fold([0.0; 3], |sum, rate| [sum[0] + rate[0], sum[1] + rate[1], sum[2] + rate[2]]);
     let rate = if outlook.routes.is_empty() { [1.0, 4.0, 16.0] } else { rate };
-    let shut = outlook.routes.iter().map(|route| route.shut_until.saturating_sub(now)).min().unwrap_or(0);
+    let shut = outlook.routes.iter().map(|route| route.blocked_until.saturating_sub(now)).min().unwrap_or(0);
     let deviations = |times: f64| {
-        let took = outlook.routes.iter().map(|route| route.took.unwrap_or((TOOK, TOOK)));
+        let took = outlook.routes.iter().map(|route| route.answer_time.unwrap_or((TOOK, TOOK)));
         took.map(|(mean, off)| mean + times * off).fold(0.0, f64::max) / 1e6
     };
     let filled = (bundle * FILLED).max(1.0);
@@ -212,17 +213,17 @@
     settings: &Settings,
     runs: &Runs,
     now: Micros,
-    outlook: impl Fn(DestinationId) -> Outlook,
-) -> Result<(Planned, [f64; 4]), NoRun> {
+    outlook: impl Fn(DestinationId) -> DestinationSummary,
+) -> Result<(Planned, [f64; 4]), RunError> {
     let class = class.and_then(|class| settings.classes.get(class));
-    let class = class.ok_or_else(|| NoRun::Class(run.class.clone()))?;
-    if !(1..=MOST_DESTINATIONS).contains(&run.destinations.len()) {
-        return Err(NoRun::Destinations(run.destinations.len()));
+    let class = class.ok_or_else(|| RunError::Class(run.class.clone()))?;
+    if !(1..=MAX_DESTINATIONS).contains(&run.destinations.len()) {
+        return Err(RunError::Destinations(run.destinations.len()));
     }
     let quota = match tenant.and_then(|tenant| settings.tenants.get(tenant)) {
         _ if run.tenant.is_empty() => None,
         Some(tenant) => Some(tenant.quota),
-        None => return Err(NoRun::Tenant(run.tenant.clone())),
+        None => return Err(RunError::Tenant(run.tenant.clone())),
     };
     let each = run.messages as f64 / run.destinations.len() as f64;
     let (mut endpoints, mut calls, mut connections) = (0u64, [0.0; 3], 0.0);
@@ -232,7 +233,7 @@
     for to in &run.destinations {
         let outlook = outlook(DestinationId(*to));
         if outlook.endpoints == 0 {
-            return Err(NoRun::Nowhere(*to));
+            return Err(RunError::Nowhere(*to));
         }
         endpoints = endpoints.saturating_add(outlook.endpoints as u64);
         tenant_rate = outlook.tenant_rate;
@@ -245,7 +246,7 @@
         if leg.shut > 0 {
             shut.insert(*to, leg.shut);
         }
-        let message = if outlook.bundle > 1 { in_batch } else { body };
+        let message = if outlook.max_batch > 1 { in_batch } else { body };
         bytes += leg.calls[1] * CALL as f64 + each * message;
         least_bytes += leg.calls[2] * CALL as f64 + each * body;
         most_bytes += (leg.calls[0] * CALL as f64 + each * message) * f64::from(settings.try_limit.max(1));
--- a/src/estimate/summary.rs
+++ b/src/estimate/summary.rs
@@ -8,12 +8,12 @@
 use fastbloom::BloomFilter;
 use serde::{Deserialize, Serialize};
 
+use crate::error_code::CodedError;
 use crate::interface::Micros;
 use crate::status::{Entry, LogId, Query, State};
-use crate::told::Told;
 
 /// Tenants and classes that one summary tells apart, in pairs; the smallest ones beyond it count together.
-pub const MOST_CELLS: usize = 64;
+pub const MAX_CELLS: usize = 64;
 /// Bits of the filter for ids at most.
 pub const ID_BITS: usize = 16_384;
 /// Bits of the filter for destinations at most.
@@ -68,12 +68,12 @@
 /// What can't be a filter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("a filter of {bytes} bytes and {hashes} hashes is none; that sender runs another program")]
-pub struct NoFilter {
+pub struct FilterError {
     bytes: usize,
     hashes: u32,
 }
 
-impl Told for NoFilter {
+impl CodedError for FilterError {
     const CODES: &'static [&'static str] = &["estimate.filter"];
 
     fn code(&self) -> &'static str {
@@ -91,13 +91,13 @@
 pub struct Filter(BloomFilter);
 
 impl TryFrom<Bits> for Filter {
-    type Error = NoFilter;
+    type Error = FilterError;
 
-    fn try_from(bits: Bits) -> Result<Self, NoFilter> {
+    fn try_from(bits: Bits) -> Result<Self, FilterError> {
         let (words, rest) = bits.bytes.as_chunks::<8>();
         let fits = !words.is_empty() && rest.is_empty() && bits.bytes.len() <= ID_BITS / 8;
         if !fits || !(1..=8).contains(&bits.hashes) {
-            return Err(NoFilter { bytes: bits.bytes.len(), hashes: bits.hashes });
+            return Err(FilterError { bytes: bits.bytes.len(), hashes: bits.hashes });
         }
         let words = words.iter().map(|word| u64::from_le_bytes(*word)).collect();
         Ok(Self(BloomFilter::from_vec(words).seed(&0).hashes(bits.hashes)))
@@ -158,7 +158,8 @@
     fn add(&mut self, entry: &Entry) {
         self.entries = self.entries.saturating_add(1);
         self.bytes = self.bytes.saturating_add(weight(entry));
-        let told = entry.states.told().and_then(|told| State::ALL.iter().position(|state| *state == told));
+        let told =
+            entry.states.reported().and_then(|told| State::ALL.iter().position(|state| *state == told));
         if let Some(count) = told.and_then(|at| self.told.get_mut(at)) {
             *count = count.saturating_add(1);
         }
@@ -191,7 +192,7 @@
     pub span: u32,
     /// As of which position.
     pub version: Version,
-    /// Entries by tenant and class, [`MOST_CELLS`] at most.
+    /// Entries by tenant and class, [`MAX_CELLS`] at most.
     pub cells: Vec<Cell>,
     /// Those of all others together.
     pub rest: Option<Cell>,
@@ -245,7 +246,7 @@
         }
         let mut cells: Vec<Cell> = cells.into_values().collect();
         cells.sort_by_key(|cell| std::cmp::Reverse(cell.entries));
-        let rest = cells.split_off(cells.len().min(MOST_CELLS)).into_iter().reduce(|mut all, cell| {
+        let rest = cells.split_off(cells.len().min(MAX_CELLS)).into_iter().reduce(|mut all, cell| {
             all.join(&cell);
             all
         });
@@ -296,7 +297,7 @@
             .filter(class)
             .for_each(|cell| count(cell, share));
         // Any of those that are counted together may be the tenant's, and few are.
-        self.rest.iter().for_each(|cell| count(cell, share / MOST_CELLS as f64));
+        self.rest.iter().for_each(|cell| count(cell, share / MAX_CELLS as f64));
         if query.ids.is_empty() {
             (part.most, part.most_bytes) = self.all();
             part.entries = part.most as f64 * share;
--- a/src/estimate/known.rs
+++ b/src/estimate/summary_cache.rs
@@ -13,7 +13,7 @@
 
 use super::summary::{Summary, Version};
 use crate::interface::Micros;
-use crate::membership::{Facts, Rank, State};
+use crate::membership::{MembershipView, Rank, State};
 use crate::status::{LogId, ShardId};
 
 /// Bytes a second that a sender gives to summaries, those that it passes on among them.
@@ -23,17 +23,17 @@
 /// One digest goes in so long.
 pub const ROUND: Micros = 1_000_000;
 /// Owners in one digest at most; the next one goes on from there.
-pub const MOST_LINES: usize = 128;
+pub const MAX_LINES: usize = 128;
 /// Messages that wait for the budget at most; more are dropped, and asked for again.
-pub const MOST_QUEUED: usize = 256;
+pub const MAX_QUEUED: usize = 256;
 /// Spans in one catalogue at most; older ones are [`Catalogue::older`].
-pub const MOST_SPANS: usize = 512;
+pub const MAX_SPANS: usize = 512;
 /// Bytes of summaries that are held at most. The oldest spans go first; their catalogue stays.
-pub const MOST_HELD: usize = 4 << 20;
+pub const MAX_HELD: usize = 4 << 20;
 /// How long what a life that is over, or a sender that is gone, left is held.
 pub const OVER: Micros = 600_000_000;
 /// Summaries that are asked for in one message at most.
-const MOST_WANTED: usize = 16;
+const MAX_WANTED: usize = 16;
 
 /// All shards of one log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -58,7 +58,7 @@
 
 /// A catalogue as it is held.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Held {
+pub struct CachedCatalogue {
     /// The catalogue.
     pub catalogue: Catalogue,
     /// How old it was when it came, and when that was by this sender's clock.
@@ -69,7 +69,7 @@
     pub over: Option<Micros>,
 }
 
-impl Held {
+impl CachedCatalogue {
     /// How old it is.
     pub fn age(&self, now: Micros) -> Micros {
         self.came.0.saturating_add(now.saturating_sub(self.came.1))
@@ -90,7 +90,7 @@
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-enum Say {
+enum GossipMessage {
     /// What the sender has.
     Digest(Vec<Line>),
     /// Its age, and the catalogue.
@@ -114,17 +114,17 @@
     pub dropped: u64,
     /// Messages that could not be read or meant nothing.
     pub unreadable: u64,
-    /// Summaries let go at [`MOST_HELD`].
+    /// Summaries let go at [`MAX_HELD`].
     pub let_go: u64,
 }
 
 /// What is held.
 #[derive(Debug)]
-pub struct Known {
+pub struct SummaryCache {
     own: Rank,
     size: usize,
     rng: fastrand::Rng,
-    held: BTreeMap<LogId, Held>,
+    held: BTreeMap<LogId, CachedCatalogue>,
     bytes: usize,
     queue: VecDeque<(Rank, Vec<u8>)>,
     /// Bytes that may go, and as of when.
@@ -136,7 +136,7 @@
     pub counts: Counts,
 }
 
-impl Known {
+impl SummaryCache {
     /// Nothing is known yet.
     pub fn new(own: Rank, size: usize, seed: u64, now: Micros) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -156,18 +156,18 @@
     }
 
     /// This sender's own catalogue and those summaries that have changed.
-    pub fn tell(&mut self, now: Micros, catalogue: Catalogue, summaries: Vec<Summary>) {
+    pub fn publish(&mut self, now: Micros, catalogue: Catalogue, summaries: Vec<Summary>) {
         self.take_catalogue(now, 0, catalogue);
         summaries.into_iter().for_each(|summary| self.take_summary(summary));
     }
 
     /// All that is held.
-    pub fn all(&self) -> impl Iterator<Item = &Held> {
+    pub fn all(&self) -> impl Iterator<Item = &CachedCatalogue> {
         self.held.values()
     }
 
     /// The life of an owner that is not over, as far as is known.
-    pub fn present(&self, owner: Rank) -> Option<&Held> {
+    pub fn current(&self, owner: Rank) -> Option<&CachedCatalogue> {
         self.held.values().find(|held| held.catalogue.log.owner == owner && held.over.is_none())
     }
 
@@ -183,12 +183,12 @@
             self.counts.unreadable += 1;
             return false;
         }
-        if catalogue.spans.len() > MOST_SPANS {
+        if catalogue.spans.len() > MAX_SPANS {
             catalogue.spans.sort_unstable();
-            catalogue.spans.drain(..catalogue.spans.len() - MOST_SPANS);
+            catalogue.spans.drain(..catalogue.spans.len() - MAX_SPANS);
             catalogue.older = true;
         }
-        let newer = |held: &Held| {
+        let newer = |held: &CachedCatalogue| {
             (catalogue.incarnation, catalogue.version) > (held.catalogue.incarnation, held.catalogue.version)
         };
         let over = match self.held.get(&log) {
@@ -218,7 +218,7 @@
         let (summaries, gone): (BTreeMap<_, _>, BTreeMap<_, _>) =
             before.into_iter().partition(|(span, _)| listed.contains(span));
         self.bytes -= gone.values().map(|(_, bytes)| bytes).sum::<usize>();
-        self.held.insert(log, Held { catalogue, came: (age, now), summaries, over });
+        self.held.insert(log, CachedCatalogue { catalogue, came: (age, now), summaries, over });
         self.bound(log.owner);
         true
     }
@@ -249,7 +249,7 @@
         let size = postcard::to_allocvec(&summary).map_or(0, |bytes| bytes.len());
         let before = held.summaries.insert(summary.span, (summary, size));
         self.bytes = (self.bytes + size).saturating_sub(before.map_or(0, |(_, bytes)| bytes));
-        while self.bytes > MOST_HELD {
+        while self.bytes > MAX_HELD {
             let oldest = self.held.iter().filter_map(|(log, held)| {
                 let span = *held.summaries.keys().next()?;
                 Some((u64::from(span).saturating_mul(held.catalogue.length), *log, span))
@@ -262,9 +262,9 @@
         }
     }
 
-    fn say(&mut self, to: Rank, say: &Say) {
+    fn say(&mut self, to: Rank, say: &GossipMessage) {
         match postcard::to_allocvec(say) {
-            Ok(bytes) if self.queue.len() < MOST_QUEUED => self.queue.push_back((to, bytes)),
+            Ok(bytes) if self.queue.len() < MAX_QUEUED => self.queue.push_back((to, bytes)),
             _ => self.counts.dropped += 1,
         }
     }
@@ -272,36 +272,36 @@
     /// Another sender has said something.
     pub fn receive(&mut self, now: Micros, from: Rank, bytes: &[u8]) {
         match postcard::from_bytes(bytes) {
-            Ok(Say::Digest(lines)) => self.compare(now, from, &lines),
-            Ok(Say::Catalogue(age, catalogue)) => {
+            Ok(GossipMessage::Digest(lines)) => self.compare(now, from, &lines),
+            Ok(GossipMessage::Catalogue(age, catalogue)) => {
                 let log = catalogue.log;
                 // What this sender says of itself it knows best.
                 if log.owner != self.own && self.take_catalogue(now, age, catalogue) {
                     self.want(from, log);
                 }
             }
-            Ok(Say::Ask(logs)) => {
-                for log in logs.into_iter().take(MOST_LINES) {
+            Ok(GossipMessage::Ask(logs)) => {
+                for log in logs.into_iter().take(MAX_LINES) {
                     self.give(now, from, log);
                 }
             }
-            Ok(Say::Want(log, spans)) => {
-                for span in spans.into_iter().take(MOST_WANTED) {
+            Ok(GossipMessage::Want(log, spans)) => {
+                for span in spans.into_iter().take(MAX_WANTED) {
                     let summary = self.held.get(&log).and_then(|held| held.summaries.get(&span));
                     if let Some(summary) = summary.map(|(summary, _)| Box::new(summary.clone())) {
-                        self.say(from, &Say::Summary(summary));
+                        self.say(from, &GossipMessage::Summary(summary));
                     }
                 }
             }
-            Ok(Say::Summary(summary)) if summary.log.owner != self.own => {
+            Ok(GossipMessage::Summary(summary)) if summary.log.owner != self.own => {
                 let log = summary.log;
                 self.take_summary(*summary);
                 // Those that did not fit into what was asked for before.
-                if self.queue.len() < MOST_QUEUED / 2 && self.asked_all(log) {
+                if self.queue.len() < MAX_QUEUED / 2 && self.asked_all(log) {
                     self.want(from, log);
                 }
             }
-            Ok(Say::Summary(_)) => {}
+            Ok(GossipMessage::Summary(_)) => {}
             Err(_) => self.counts.unreadable += 1,
         }
     }
@@ -319,26 +319,26 @@
     /// Whether a batch of what was wanted is through.
     fn asked_all(&self, log: LogId) -> bool {
         let lacking = self.lacking(log).count();
-        lacking > 0 && lacking.is_multiple_of(MOST_WANTED)
+        lacking > 0 && lacking.is_multiple_of(MAX_WANTED)
     }
 
     fn want(&mut self, from: Rank, log: LogId) {
-        let spans: Vec<u32> = self.lacking(log).take(MOST_WANTED).collect();
+        let spans: Vec<u32> = self.lacking(log).take(MAX_WANTED).collect();
         if !spans.is_empty() {
-            self.say(from, &Say::Want(log, spans));
+            self.say(from, &GossipMessage::Want(log, spans));
         }
     }
 
     fn give(&mut self, now: Micros, to: Rank, log: LogId) {
         if let Some(held) = self.held.get(&log) {
-            let say = Say::Catalogue(held.age(now), held.catalogue.clone());
+            let say = GossipMessage::Catalogue(held.age(now), held.catalogue.clone());
             self.say(to, &say);
         }
     }
 
     fn compare(&mut self, now: Micros, from: Rank, lines: &[Line]) {
         let (mut ask, size) = (Vec::new(), self.size);
-        for line in lines.iter().take(MOST_LINES).filter(|line| usize::from(line.log.owner) < size) {
+        for line in lines.iter().take(MAX_LINES).filter(|line| usize::from(line.log.owner) < size) {
             let theirs = (line.incarnation, line.version);
             let own = self.held.get(&line.log);
             let own = own.map(|held| (held.catalogue.incarnation, held.catalogue.version));
@@ -349,7 +349,7 @@
             }
         }
         if !ask.is_empty() {
-            self.say(from, &Say::Ask(ask));
+            self.say(from, &GossipMessage::Ask(ask));
         }
     }
 
@@ -360,14 +360,19 @@
     }
 
     /// A round, if it is time, and what the budget lets go; each to one sender. Ends what is over for long.
-    pub fn tick(&mut self, now: Micros, facts: Option<&Facts>, send: &mut dyn FnMut(Rank, &[u8]) -> bool) {
+    pub fn tick(
+        &mut self,
+        now: Micros,
+        facts: Option<&MembershipView>,
+        send: &mut dyn FnMut(Rank, &[u8]) -> bool,
+    ) {
         if now >= self.next_round {
             self.next_round = now + ROUND;
             let gone = |owner: Rank| {
                 let fact = facts.and_then(|facts| facts.members.get(usize::from(owner)));
                 fact.is_some_and(|fact| matches!(fact.state, State::Dead | State::Left))
             };
-            let done = |held: &Held| {
+            let done = |held: &CachedCatalogue| {
                 let over = held.over.is_some_and(|over| now >= over.saturating_add(OVER));
                 over || (held.age(now) >= OVER && gone(held.catalogue.log.owner))
             };
@@ -397,7 +402,7 @@
         }
     }
 
-    fn round(&mut self, facts: Option<&Facts>) {
+    fn round(&mut self, facts: Option<&MembershipView>) {
         let there = |rank: usize| {
             let state = facts.and_then(|facts| facts.members.get(rank)).map(|fact| fact.state);
             !matches!(state, Some(State::Dead | State::Left | State::Joining))
@@ -407,22 +412,22 @@
             .map(|r| r as Rank)
             .collect();
         let Some(to) = self.rng.choice(others) else { return };
-        let line = |(log, held): (&LogId, &Held)| Line {
+        let line = |(log, held): (&LogId, &CachedCatalogue)| Line {
             log: *log,
             incarnation: held.catalogue.incarnation,
             version: held.catalogue.version,
         };
         let from = self.from.take();
         let later = self.held.iter().filter(|(log, _)| from.is_none_or(|from| **log > from));
-        let lines: Vec<Line> = later.map(line).take(MOST_LINES).collect();
-        if lines.len() == MOST_LINES {
+        let lines: Vec<Line> = later.map(line).take(MAX_LINES).collect();
+        if lines.len() == MAX_LINES {
             self.from = lines.last().map(|line| line.log);
         }
-        self.say(to, &Say::Digest(lines));
+        self.say(to, &GossipMessage::Digest(lines));
     }
 
     /// Whether a shard is known to be there without a summary of it.
-    pub fn lacks(&self, shard: ShardId) -> bool {
+    pub fn lacks_summary(&self, shard: ShardId) -> bool {
         let held = self.held.values().filter(|held| held.catalogue.log.owner == shard.owner);
         held.flat_map(|held| held.catalogue.spans.iter().map(move |(span, _)| (held, *span)))
             .any(|(held, span)| span == shard.span && !held.summaries.contains_key(&span))
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -27,7 +27,7 @@
 
 /// The endpoints among which a repeat of a key is recognised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Group {
+pub enum DedupScope {
     /// All endpoints of the destination.
     All,
     /// The endpoints of one zone.
@@ -44,7 +44,7 @@
     /// The destination drops repeats for a while after the first attempt that may have run.
     Keyed {
         /// Which endpoints drop repeats.
-        group: Group,
+        group: DedupScope,
         /// For how long they do.
         window: Micros,
     },
@@ -61,9 +61,9 @@
             (Self::Repeatable, effect) | (effect, Self::Repeatable) => effect,
             (Self::Keyed { group: a, window }, Self::Keyed { group: b, window: other }) => {
                 let group = match (a, b) {
-                    (Group::Endpoint, _) | (_, Group::Endpoint) => Group::Endpoint,
-                    (Group::Zone, _) | (_, Group::Zone) => Group::Zone,
-                    (Group::All, Group::All) => Group::All,
+                    (DedupScope::Endpoint, _) | (_, DedupScope::Endpoint) => DedupScope::Endpoint,
+                    (DedupScope::Zone, _) | (_, DedupScope::Zone) => DedupScope::Zone,
+                    (DedupScope::All, DedupScope::All) => DedupScope::All,
                 };
                 Self::Keyed { group, window: window.min(other) }
             }
@@ -76,9 +76,11 @@
 pub enum Decay {
     /// Linearly, down to the late worth at the deadline.
     #[default]
-    Line,
+    #[serde(rename = "Line")]
+    Linear,
     /// By half with each further aim, but not below the late worth.
-    Halves,
+    #[serde(rename = "Halves")]
+    Exponential,
 }
 
 /// A class of message.
@@ -112,15 +114,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Kind {
     /// Each endpoint is a route, with its own limit, pace and outages.
-    pub routes_apart: bool,
+    #[serde(rename = "routes_apart")]
+    pub route_per_endpoint: bool,
     /// Maximum number of messages in one call.
-    pub bundle: usize,
+    #[serde(rename = "bundle")]
+    pub max_batch: usize,
 }
 
 impl Default for Kind {
     /// One route for all endpoints, and one message per call.
     fn default() -> Self {
-        Self { routes_apart: false, bundle: 1 }
+        Self { route_per_endpoint: false, max_batch: 1 }
     }
 }
 
@@ -199,7 +203,8 @@
     /// Maximum Retry-After that clients observe.
     pub max_retry_after: Micros,
     /// The list of endpoints is only sent on request.
-    pub must_ask: bool,
+    #[serde(rename = "must_ask")]
+    pub list_on_request: bool,
     /// Meaning of an endpoint's weight.
     pub weights: Weights,
     /// Share of its worth that a message beyond its tenant's share keeps.
@@ -233,7 +238,7 @@
     /// Where the list is only sent on request: the time in which every sender requests it once. All senders
     /// share one discovery service, which takes few calls at a time and must serve each sender once within
     /// `ask_every`, including the time of its answer.
-    pub fn ask_round(&self) -> Micros {
+    pub fn list_request_round(&self) -> Micros {
         let every = self.rules.ask_every.unwrap_or(0);
         (every / 140 * self.senders as Micros).clamp(every / 10, every / 10 * 7)
     }
@@ -352,7 +357,7 @@
         until: Option<Micros>,
     },
     /// An endpoint requested a wait (Retry-After) in some answer.
-    Wait {
+    RetryAfter {
         /// The endpoint.
         endpoint: EndpointId,
         /// Time for which nothing may be sent to its destination.
@@ -381,7 +386,7 @@
         message: MessageId,
     },
     /// The client has withdrawn the message.
-    Left(MessageId),
+    Withdrawn(MessageId),
     /// The whole list of endpoints; an endpoint that is not in it is gone.
     List(Vec<Entry>),
     /// Changed entries of the list.
@@ -399,7 +404,7 @@
     },
     /// A destination has returned from an outage, as this or another sender saw. A hint gives this sender its
     /// part of the calls that the destination can take from all senders while it is cold.
-    Cold {
+    ReturnedCold {
         /// The destination.
         destination: DestinationId,
         /// Time since it returned.
@@ -414,8 +419,8 @@
         /// The encoded note.
         content: Vec<u8>,
     },
-    /// A timer set by [`Action::Remind`] went off, with its token.
-    Reminder(u64),
+    /// A timer set by [`Action::SetTimer`] went off, with its token.
+    Timer(u64),
 }
 
 /// An action that the sender has to carry out.
@@ -455,14 +460,14 @@
     /// Request the whole list once.
     FetchList,
     /// Send a note to one other sender, or to all.
-    Tell {
+    SendNote {
         /// Rank of the receiver; `None` for all.
         to: Option<u16>,
         /// The encoded note, at most 256 bytes.
         content: Vec<u8>,
     },
-    /// Set a timer that causes an [`Event::Reminder`].
-    Remind {
+    /// Set a timer that causes an [`Event::Timer`].
+    SetTimer {
         /// When it goes off.
         at: Micros,
         /// Identifies the timer; chosen by the module.
@@ -474,45 +479,45 @@
 
 /// Summary of the state of one route, for estimates.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RouteOutlook {
+pub struct RouteSummary {
     /// Advertised limit in calls per second from all senders together; 0 if there is none.
     pub limit: f64,
     /// Maximum calls per second of this sender; infinite until the first refusal.
     pub pace: f64,
     /// Calls per second that were served while the route was healthy.
-    pub served: f64,
+    pub served_rate: f64,
     /// Nothing is sent before this time.
-    pub shut_until: Micros,
+    pub blocked_until: Micros,
     /// The share of its capacity to count on, if it may be cold.
-    pub cold: Option<f64>,
+    pub cold_share: Option<f64>,
     /// Mean answer time and its mean deviation, in microseconds.
-    pub took: Option<(f64, f64)>,
+    pub answer_time: Option<(f64, f64)>,
 }
 
-impl RouteOutlook {
+impl RouteSummary {
     /// Creates a summary from the limit, the pace and the served rate, in calls per second, and the other
     /// fields.
     pub fn new(
-        [limit, pace, served]: [f64; 3],
-        shut_until: Micros,
-        cold: Option<f64>,
-        took: Option<(f64, f64)>,
+        [limit, pace, served_rate]: [f64; 3],
+        blocked_until: Micros,
+        cold_share: Option<f64>,
+        answer_time: Option<(f64, f64)>,
     ) -> Self {
-        Self { limit, pace, served, shut_until, cold, took }
+        Self { limit, pace, served_rate, blocked_until, cold_share, answer_time }
     }
 }
 
 /// Summary of the state of a destination and of a tenant's traffic, for estimates.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Outlook {
+pub struct DestinationSummary {
     /// Number of listed endpoints; filled in by the owner of the list, as is the next field.
     pub endpoints: usize,
     /// Maximum number of messages in one call.
-    pub bundle: usize,
+    pub max_batch: usize,
     /// Number of messages held for the destination.
     pub backlog: usize,
     /// Recent rate of messages per second that the tenant submitted to this sender.
     pub tenant_rate: f64,
     /// Routes of the destination: one, or one for each endpoint where each endpoint is a route.
-    pub routes: Vec<RouteOutlook>,
+    pub routes: Vec<RouteSummary>,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -31,7 +31,7 @@
 //!         Action::Attempt { message, endpoint, timeout } => {
 //!             println!("call {endpoint:?} with {message:?}, wait {timeout} microseconds at most");
 //!         }
-//!         Action::Remind { at, token } => println!("send Event::Reminder({token}) at {at}"),
+//!         Action::SetTimer { at, token } => println!("send Event::Timer({token}) at {at}"),
 //!         other => println!("{other:?}"),
 //!     }
 //! }
@@ -53,6 +53,7 @@
 pub mod check;
 pub mod drain;
 pub mod endpoints;
+pub mod error_code;
 pub mod estimate;
 pub mod interface;
 pub mod membership;
@@ -63,5 +64,4 @@
 pub mod start;
 pub mod status;
 pub mod takeover;
-pub mod told;
 pub mod wire;
--- a/src/main.rs
+++ b/src/main.rs
@@ -16,9 +16,9 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, watch};
 
-use myrtleyard::told::Told;
-use net::config::Wrong;
-use net::refusals::NoStart;
+use myrtleyard::error_code::CodedError;
+use net::config::ConfigError;
+use net::errors::StartError;
 use net::{Inbound, config, driver, log};
 
 fn main() -> ExitCode {
@@ -57,25 +57,25 @@
 
 /// The listening socket for clients, if the platform holds it and every process of the sender inherits it.
 #[allow(unsafe_code)]
-fn inherited() -> Result<Option<TcpListener>, NoStart> {
+fn inherited() -> Result<Option<TcpListener>, StartError> {
     let Some(number) = config::listening()? else { return Ok(None) };
     // SAFETY: by setting its number the platform passes ownership of the descriptor to this process.
     // This is called once, before the process has opened any descriptor of its own.
     let listener = unsafe { TcpListener::from_raw_fd(number) };
-    listener.set_nonblocking(true).map_err(|why| NoStart::Inherited { number, why })?;
+    listener.set_nonblocking(true).map_err(|why| StartError::Inherited { number, why })?;
     Ok(Some(listener))
 }
 
-fn run() -> Result<(), NoStart> {
+fn run() -> Result<(), StartError> {
     let inherited = inherited()?;
     let config = config::read()?;
     log::start(&config.name)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(NoStart::Runtime)?;
+    let runtime = runtime.map_err(StartError::Runtime)?;
     let ended = tokio::task::LocalSet::new().block_on(&runtime, async {
         let (inbound, events) = mpsc::unbounded_channel();
         for kind in [SignalKind::terminate(), SignalKind::interrupt()] {
-            let mut asked = signal(kind).map_err(NoStart::Signals)?;
+            let mut asked = signal(kind).map_err(StartError::Signals)?;
             let inbound = inbound.clone();
             tokio::task::spawn_local(async move {
                 if asked.recv().await.is_some() {
@@ -86,13 +86,13 @@
         let (moves, discovery) = watch::channel(config.discovery);
         let in_force = Rc::new(RefCell::new(Arc::new(config.document.clone())));
         let (checked, reloaded) = (in_force.clone(), inbound.clone());
-        let mut reload = signal(SignalKind::hangup()).map_err(NoStart::Signals)?;
+        let mut reload = signal(SignalKind::hangup()).map_err(StartError::Signals)?;
         tokio::task::spawn_local(async move {
             while reload.recv().await.is_some() {
                 // A file that cannot be applied as a whole changes nothing; the old configuration stays.
                 let before = checked.borrow().clone();
                 let read = tokio::task::spawn_blocking(move || config::reread(&before)).await;
-                let read = read.map_err(Wrong::from).and_then(|read| read);
+                let read = read.map_err(ConfigError::from).and_then(|read| read);
                 if let Ok(config) = &read {
                     checked.replace(Arc::new(config.document.clone()));
                     moves.send_replace(config.discovery);
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -28,9 +28,9 @@
 pub type Rank = u16;
 
 /// Maximum number of members of a tier.
-pub const MOST_MEMBERS: usize = 1024;
+pub const MAX_MEMBERS: usize = 1024;
 /// Maximum length of a datagram.
-pub const LONGEST: usize = 256;
+pub const MAX_DATAGRAM_LEN: usize = 256;
 /// First byte of a datagram; the senders' short notes begin with another one.
 pub const MAGIC: u8 = 0xa7;
 /// Observers of each member, if the tier is large enough.
@@ -40,7 +40,7 @@
 /// Datagrams per period sent to random members, dead ones included.
 const TO_ANY: usize = 2;
 /// Datagrams that a member sends per period.
-pub const SENDS: usize = TO_OBSERVERS + TO_ANY;
+pub const DATAGRAMS_PER_PERIOD: usize = TO_OBSERVERS + TO_ANY;
 /// Heartbeats that must be lost, over nearly all observers together, before a member is declared dead: at 40%
 /// loss, 0.4 to this power is 2e-13.
 const LOST_BEATS: usize = 32;
@@ -48,11 +48,11 @@
 /// that a tier that has lost many members sends as much as before.
 const TO_DEAD: u32 = 4;
 /// Maximum factor by which the suspicion timeout of a member that came and went is extended.
-const MOST_PATIENCE: u32 = 8;
+const MAX_PATIENCE: u32 = 8;
 /// After this many stable periods the factor is halved.
 const CALM_PERIODS: Micros = 60;
 /// Maximum number of replies that a member sends per period, however many ask.
-const ANSWERS: u32 = 4 * SENDS as u32;
+const ANSWERS: u32 = 4 * DATAGRAMS_PER_PERIOD as u32;
 /// Number of view changes kept.
 pub const HISTORY: usize = 256;
 /// A record may be at most this many incarnations ahead of the known one, and no incarnation may reach
@@ -66,7 +66,7 @@
 /// Minimum and maximum encoded length of a record.
 const RECORD: (usize, usize) = (5, 15);
 /// Maximum number of records in a datagram.
-pub const MOST_RECORDS: usize = (LONGEST - HEAD) / RECORD.0;
+pub const MAX_RECORDS: usize = (MAX_DATAGRAM_LEN - HEAD) / RECORD.0;
 /// A member's heartbeat, to an observer or to any member.
 const BEAT: u8 = 1;
 /// Informs a member of a later incarnation of its own, or has the records that it asked for. It is not
@@ -126,9 +126,9 @@
     /// When it entered that state.
     pub since: Micros,
     /// When a datagram of the member itself last arrived.
-    pub heard: Option<Micros>,
+    pub last_heard: Option<Micros>,
     /// When its record last advanced, directly or through gossip.
-    pub seen: Micros,
+    pub last_updated: Micros,
     /// Number of its observers that suspect it.
     pub accusers: u8,
     /// How many more times its record is sent as an update.
@@ -151,7 +151,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Length of a period, in which each member sends [`SENDS`] datagrams.
+    /// Length of a period, in which each member sends [`DATAGRAMS_PER_PERIOD`] datagrams.
     #[serde(default = "one_second")]
     pub period_ms: u32,
     /// The tier's name, which distinguishes tiers that were configured with the same addresses by mistake.
@@ -204,7 +204,7 @@
 
 /// A member as other components see it: a hint for their choices, never a proof.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Fact {
+pub struct MemberView {
     /// The member's state.
     pub state: State,
     /// When it entered that state.
@@ -212,16 +212,16 @@
     /// Its incarnation.
     pub incarnation: u32,
     /// It is in this member's zone.
-    pub near: bool,
+    pub same_zone: bool,
 }
 
 /// The membership view as other components see it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Facts {
+pub struct MembershipView {
     /// This member.
     pub own: Rank,
     /// All members, by rank.
-    pub members: Vec<Fact>,
+    pub members: Vec<MemberView>,
     /// No other member is heard: the states of the others are outdated.
     pub isolated: bool,
     /// Fewer than half are alive: this may be the smaller side of a split.
@@ -244,7 +244,7 @@
 }
 
 /// Datagrams to send, each to one member.
-pub type Out = Vec<(Rank, Vec<u8>)>;
+pub type Outgoing = Vec<(Rank, Vec<u8>)>;
 
 /// One member's protocol state, and its view.
 #[derive(Debug, Clone)]
@@ -313,15 +313,15 @@
         let Place { own, size, tier, zone } = place;
         let mut rng = fastrand::Rng::with_seed(seed);
         let period = Micros::from(config.period_ms.clamp(PERIODS_MS.0, PERIODS_MS.1)) * 1000;
-        let size = size.min(MOST_MEMBERS);
+        let size = size.min(MAX_MEMBERS);
         let member = |rank: usize| {
             let own = rank == usize::from(own);
             Member {
                 record: if own { Record { incarnation: 1, zone, ..Record::NONE } } else { Record::NONE },
                 state: if own { State::Alive } else { State::Joining },
                 since: now,
-                heard: None,
-                seen: now,
+                last_heard: None,
+                last_updated: now,
                 accusers: 0,
                 retell: 0,
             }
@@ -343,9 +343,9 @@
             news: BTreeSet::new(),
             wanted: (rng.usize(0..size.max(1)), now, true),
             fill: rng.usize(0..size.max(1)),
-            slot: rng.usize(0..SENDS),
+            slot: rng.usize(0..DATAGRAMS_PER_PERIOD),
             // Members that start together do not send in lockstep.
-            next: now + rng.u64(0..period / SENDS as Micros + 1),
+            next: now + rng.u64(0..period / DATAGRAMS_PER_PERIOD as Micros + 1),
             heard_any: now,
             answered: (now, 0),
             dirty: false,
@@ -372,9 +372,9 @@
         self.own
     }
 
-    /// Time between two datagrams; a period has [`SENDS`] of them.
+    /// Time between two datagrams; a period has [`DATAGRAMS_PER_PERIOD`] of them.
     fn step(&self) -> Micros {
-        self.period / SENDS as Micros
+        self.period / DATAGRAMS_PER_PERIOD as Micros
     }
 
     /// The period, in microseconds.
@@ -383,15 +383,15 @@
     }
 
     /// The view for other components.
-    pub fn facts(&self, now: Micros) -> Facts {
+    pub fn view(&self, now: Micros) -> MembershipView {
         let zone = self.members[usize::from(self.own)].record.zone;
-        let fact = |member: &Member| Fact {
+        let fact = |member: &Member| MemberView {
             state: member.state,
             since: member.since,
             incarnation: member.record.incarnation,
-            near: member.record.zone == zone,
+            same_zone: member.record.zone == zone,
         };
-        Facts {
+        MembershipView {
             own: self.own,
             members: self.members.iter().map(fact).collect(),
             isolated: self.isolated(now),
@@ -402,7 +402,7 @@
     /// Whether nothing has been heard for so long that this member's opinion of others means nothing. It then
     /// declares nobody dead.
     pub fn isolated(&self, now: Micros) -> bool {
-        self.members.len() > 1 && now >= self.heard_any + self.patience()
+        self.members.len() > 1 && now >= self.heard_any + self.suspicion_timeout()
     }
 
     /// Whether at most half of the members that were ever heard of and have not left are alive or suspect.
@@ -413,7 +413,7 @@
     }
 
     /// How often this member found that it had been paused, and when last.
-    pub fn stops(&self) -> (u64, Option<Micros>) {
+    pub fn pauses(&self) -> (u64, Option<Micros>) {
         self.stops
     }
 
@@ -446,7 +446,7 @@
     }
 
     /// The observers that do not hear a member, as far as is known here.
-    pub fn accused_by(&self, rank: Rank) -> impl Iterator<Item = Rank> + '_ {
+    pub fn suspected_by(&self, rank: Rank) -> impl Iterator<Item = Rank> + '_ {
         let observers = self.observers(rank).enumerate();
         observers
             .filter(|(place, o)| self.members[*o].record.silent & 1 << place != 0)
@@ -454,7 +454,7 @@
     }
 
     /// How long an observer waits for a heartbeat before it suspects the member.
-    pub fn patience(&self) -> Micros {
+    pub fn suspicion_timeout(&self) -> Micros {
         let observers = self.strides.len().max(1);
         let beats = LOST_BEATS.div_ceil(Self::deadly(observers).max(1)) as Micros;
         // With few observers, each is sent several heartbeats per period.
@@ -474,7 +474,7 @@
     }
 
     /// Updates the view and sends the next datagram, if that is due.
-    pub fn tick(&mut self, now: Micros, out: &mut Out) {
+    pub fn tick(&mut self, now: Micros, out: &mut Outgoing) {
         if now < self.next {
             return;
         }
@@ -485,7 +485,7 @@
             self.observed
                 .iter_mut()
                 .for_each(|observed| observed.since = observed.since.map(|at| at + missed));
-            self.members.iter_mut().for_each(|member| member.seen += missed);
+            self.members.iter_mut().for_each(|member| member.last_updated += missed);
             self.heard_any += missed;
         }
         self.next = now + self.step();
@@ -504,7 +504,7 @@
             Some(_) => self.there(),
             None => self.any(),
         };
-        self.slot = (self.slot + 1) % SENDS;
+        self.slot = (self.slot + 1) % DATAGRAMS_PER_PERIOD;
         if let Some(to) = to {
             self.write(to, BEAT, None, out);
         }
@@ -545,7 +545,7 @@
 
     /// Suspects the observed members that have not been heard for too long.
     fn observe(&mut self, now: Micros) {
-        let patience = self.patience();
+        let patience = self.suspicion_timeout();
         let mut silent = 0;
         for (place, observed) in self.observed.iter_mut().enumerate() {
             let member = &self.members[usize::from(observed.rank)];
@@ -590,7 +590,7 @@
             .map(|rank| {
                 let member = &self.members[rank];
                 let there = member.record.incarnation > 0 && !member.record.left;
-                let fresh = rank == usize::from(self.own) || now < member.seen + stale;
+                let fresh = rank == usize::from(self.own) || now < member.last_updated + stale;
                 there && fresh && (usize::from(accusers[rank]) < half || rank == usize::from(self.own))
             })
             .collect();
@@ -603,7 +603,7 @@
                 there += 1;
                 against += usize::from(accused(observer, place));
             }
-            let stale = now >= member.seen + stale;
+            let stale = now >= member.last_updated + stale;
             let gone = match there {
                 // All of its observers are gone too.
                 0 => stale,
@@ -649,7 +649,7 @@
     }
 
     /// Announces that this member leaves, so that it is not declared dead.
-    pub fn leave(&mut self, now: Micros, out: &mut Out) {
+    pub fn leave(&mut self, now: Micros, out: &mut Outgoing) {
         self.members[usize::from(self.own)].record.left = true;
         self.dirty = true;
         self.judge(now);
@@ -662,7 +662,7 @@
 
     /// Cancels the leave with a new incarnation: perhaps nobody heard that the member left, and nobody is
     /// certain to hear that it did not.
-    pub fn stay(&mut self, now: Micros) {
+    pub fn rejoin(&mut self, now: Micros) {
         let own = &mut self.members[usize::from(self.own)];
         if own.record.left {
             own.record =
@@ -673,7 +673,7 @@
     }
 
     /// Handles a datagram that came from a member's address.
-    pub fn receive(&mut self, now: Micros, from: Rank, datagram: &[u8], out: &mut Out) {
+    pub fn receive(&mut self, now: Micros, from: Rank, datagram: &[u8], out: &mut Outgoing) {
         self.counts.received += 1;
         self.counts.received_bytes += datagram.len() as u64;
         let Some(read) = Datagram::read(datagram) else {
@@ -691,7 +691,7 @@
             return;
         }
         self.heard_any = now;
-        self.members[usize::from(from)].heard = Some(now);
+        self.members[usize::from(from)].last_heard = Some(now);
         let lacked = if read.kind == REPLY { self.lacking(now) } else { 0 };
         if usize::from(read.size) == self.members.len() {
             read.records.iter().for_each(|(member, record)| self.learn(*member, *record, now));
@@ -702,21 +702,22 @@
             let first = read.records[0].1;
             self.learn(from, Record { silent: 0, ..first }, now);
         }
-        let patience = self.patience();
+        let patience = self.suspicion_timeout();
         for (place, observed) in self.observed.iter_mut().enumerate().filter(|(_, o)| o.rank == from) {
             if observed.since.is_some_and(|since| now >= since + patience) {
                 // The timeout of a member that comes and goes stays extended for as long as it does.
                 observed.patient_since = now;
             }
             if self.members[usize::from(self.own)].record.silent & 1 << place != 0 {
-                observed.patience = (observed.patience * 2).min(MOST_PATIENCE);
+                observed.patience = (observed.patience * 2).min(MAX_PATIENCE);
                 self.dirty = true;
             }
             observed.since = Some(now);
         }
         let (said, known) = (read.records[0].1, self.members[usize::from(from)].record);
-        let newborn =
-            known.incarnation == said.incarnation && known.beat > said.beat && said.beat < SENDS as u32;
+        let newborn = known.incarnation == said.incarnation
+            && known.beat > said.beat
+            && said.beat < DATAGRAMS_PER_PERIOD as u32;
         match read.kind {
             ASK => self.answer(from, Some(usize::from(read.wanted)), now, out),
             // It does not know its earlier incarnations yet.
@@ -729,7 +730,7 @@
         }
     }
 
-    fn answer(&mut self, to: Rank, wanted: Option<usize>, now: Micros, out: &mut Out) {
+    fn answer(&mut self, to: Rank, wanted: Option<usize>, now: Micros, out: &mut Outgoing) {
         if now >= self.answered.0 + self.period {
             self.answered = (now, 0);
         }
@@ -742,7 +743,7 @@
     /// Whether a member's record has not advanced for so long that another member may have a later one.
     fn lacks(&self, rank: usize, now: Micros) -> bool {
         let member = &self.members[rank];
-        let old = member.record.incarnation == 0 || now >= member.seen + self.patience();
+        let old = member.record.incarnation == 0 || now >= member.last_updated + self.suspicion_timeout();
         old && !member.record.left && rank != usize::from(self.own)
     }
 
@@ -751,7 +752,7 @@
     }
 
     /// Asks a live member for missing records: once per period, or once per step while that brings something.
-    fn ask(&mut self, from: Rank, now: Micros, out: &mut Out) {
+    fn ask(&mut self, from: Rank, now: Micros, out: &mut Outgoing) {
         let rest = if self.wanted.2 { self.step() } else { self.period };
         if now < self.wanted.1 + rest {
             return;
@@ -791,7 +792,7 @@
         }
         let before = known.record;
         known.record = record;
-        known.seen = now;
+        known.last_updated = now;
         let state = known.state;
         let same = Record { beat: record.beat, ..before } == record;
         if !same {
@@ -808,7 +809,7 @@
     /// Writes a datagram: the member's own record, the reader's record, updates, and as much of the
     /// round-robin over all records as fits. A reply to an ask has the records from the wanted member on
     /// instead.
-    fn write(&mut self, to: Rank, kind: u8, wanted: Option<usize>, out: &mut Out) {
+    fn write(&mut self, to: Rank, kind: u8, wanted: Option<usize>, out: &mut Outgoing) {
         let size = self.members.len();
         let asked = if kind == REPLY { wanted } else { None };
         let mut datagram =
@@ -849,7 +850,7 @@
             }
         }
         let datagram = datagram.finished();
-        assert!(datagram.len() <= LONGEST, "a datagram's length is bounded");
+        assert!(datagram.len() <= MAX_DATAGRAM_LEN, "a datagram's length is bounded");
         self.counts.sent += 1;
         self.counts.sent_bytes += datagram.len() as u64;
         out.push((to, datagram));
@@ -881,7 +882,7 @@
 impl Datagram {
     /// Decodes a datagram. The checksum detects bytes that were changed in transit.
     pub fn read(bytes: &[u8]) -> Option<Self> {
-        if bytes.len() > LONGEST || bytes.len() < HEAD + RECORD.0 {
+        if bytes.len() > MAX_DATAGRAM_LEN || bytes.len() < HEAD + RECORD.0 {
             return None;
         }
         let (head, mut body) = bytes.split_at(HEAD);
@@ -890,7 +891,7 @@
             return None;
         }
         let two = |at: usize| u16::from_le_bytes([said[at], said[at + 1]]);
-        let mut records = Vec::with_capacity(MOST_RECORDS);
+        let mut records = Vec::with_capacity(MAX_RECORDS);
         for _ in 0..said[10] {
             let ((rank, life, beat, silent, zone), rest): (Written, _) =
                 postcard::take_from_bytes(body).ok()?;
@@ -926,7 +927,7 @@
 impl Writer {
     /// A datagram without records.
     pub fn new(kind: u8, tier: u32, size: u16, wanted: u16) -> Self {
-        let mut bytes = Vec::with_capacity(LONGEST);
+        let mut bytes = Vec::with_capacity(MAX_DATAGRAM_LEN);
         bytes.extend([MAGIC, VERSION << 4 | kind]);
         bytes.extend(tier.to_le_bytes());
         bytes.extend(size.to_le_bytes());
@@ -941,7 +942,7 @@
         let written: Written = (rank, life, record.beat, record.silent, record.zone);
         let mut room = [0; RECORD.1];
         let Ok(bytes) = postcard::to_slice(&written, &mut room) else { return false };
-        let fits = self.bytes.len() + bytes.len() <= LONGEST;
+        let fits = self.bytes.len() + bytes.len() <= MAX_DATAGRAM_LEN;
         if fits {
             self.bytes.extend_from_slice(bytes);
             self.bytes[HEAD - 5] += 1;
--- a/src/mesh.rs
+++ b/src/mesh.rs
@@ -10,14 +10,14 @@
 use serde::Serialize;
 
 use crate::channel::{Came, Channel};
+use crate::coded_error;
 use crate::interface::Micros;
-use crate::membership::{Out, Rank};
-use crate::told;
+use crate::membership::{Outgoing, Rank};
 
 /// Maximum number of channels; beyond it, the one that was heard or used the longest ago is closed.
-pub const MOST_CHANNELS: usize = 64;
+pub const MAX_CHANNELS: usize = 64;
 /// Maximum number of bytes queued in all channels together.
-pub const MOST_WAITING: usize = 4 << 20;
+pub const MAX_WAITING: usize = 4 << 20;
 /// Time without an answer after which a channel with queued messages is closed.
 pub const GIVEN_UP: Micros = 10_000_000;
 /// Time after which an unused channel is closed.
@@ -25,17 +25,17 @@
 
 /// Why a message was not queued. Nothing of it is sent; the caller may send it again later, or not at all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum SendError {
     /// The tier has no such sender, or it is this one.
     #[error("sender {0} is not another sender of this tier")]
-    Nobody(Rank),
-    /// [`MOST_WAITING`] or the channel's own limit is reached.
+    UnknownPeer(Rank),
+    /// [`MAX_WAITING`] or the channel's own limit is reached.
     #[error("the send queue for sender {0}, or for all senders together, is full")]
     Full(Rank),
 }
 
-told! { Refused {
-    Nobody => "mesh.nobody", "compare the lists of peers of all senders";
+coded_error! { SendError {
+    UnknownPeer => "mesh.nobody", "compare the lists of peers of all senders";
     Full => "mesh.full", "check whether that sender is down or its link too slow";
 } }
 
@@ -62,11 +62,11 @@
 
 /// The result of receiving a datagram.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Arrived {
+pub struct Received {
     /// Whole messages, in order.
     pub messages: Vec<Vec<u8>>,
     /// The sender restarted, or had closed its channel: messages queued or in flight may be lost.
-    pub anew: bool,
+    pub peer_restarted: bool,
 }
 
 /// One sender's channels.
@@ -78,7 +78,7 @@
     tier: u32,
     rng: fastrand::Rng,
     peers: BTreeMap<Rank, Peer>,
-    /// Senders whose channels were closed with messages queued; reported once by [`Mesh::lost`].
+    /// Senders whose channels were closed with messages queued; reported once by [`Mesh::take_dropped_peers`].
     lost: Vec<Rank>,
     /// Counters for operators.
     pub counts: Counts,
@@ -101,7 +101,7 @@
     }
 
     /// Whether a datagram is for this mesh, by its first byte.
-    pub fn claims(&self, bytes: &[u8]) -> bool {
+    pub fn accepts(&self, bytes: &[u8]) -> bool {
         bytes.first() == Some(&self.magic)
     }
 
@@ -124,7 +124,7 @@
         if rank == self.own || usize::from(rank) >= self.size {
             return None;
         }
-        if !self.peers.contains_key(&rank) && self.peers.len() >= MOST_CHANNELS {
+        if !self.peers.contains_key(&rank) && self.peers.len() >= MAX_CHANNELS {
             let oldest = self.peers.iter().min_by_key(|(_, peer)| peer.heard.max(peer.used)).map(|p| *p.0);
             oldest.into_iter().for_each(|oldest| self.forget(oldest));
         }
@@ -144,16 +144,16 @@
         }
     }
 
-    /// Queues a message of at most [`crate::channel::MOST_BYTES`] bytes.
+    /// Queues a message of at most [`crate::channel::MAX_MESSAGE_BYTES`] bytes.
     ///
     /// # Errors
     /// Returns why the message was not queued.
-    pub fn send(&mut self, now: Micros, to: Rank, message: &[u8]) -> Result<(), Refused> {
-        if self.waiting() + message.len() > MOST_WAITING {
-            return Err(Refused::Full(to));
+    pub fn send(&mut self, now: Micros, to: Rank, message: &[u8]) -> Result<(), SendError> {
+        if self.waiting() + message.len() > MAX_WAITING {
+            return Err(SendError::Full(to));
         }
         let challenge = self.rng.u32(1..);
-        let peer = self.peer(to, now).ok_or(Refused::Nobody(to))?;
+        let peer = self.peer(to, now).ok_or(SendError::UnknownPeer(to))?;
         if !peer.queued {
             // The time-out starts when there is something to answer.
             peer.heard = peer.heard.max(now);
@@ -161,18 +161,18 @@
         peer.channel.greet(challenge);
         if !peer.channel.send(message) {
             self.forget(to);
-            return Err(Refused::Full(to));
+            return Err(SendError::Full(to));
         }
         (peer.used, peer.queued) = (now, true);
         Ok(())
     }
 
-    /// Handles a datagram of another sender that [`Mesh::claims`].
-    pub fn receive(&mut self, now: Micros, from: Rank, bytes: &[u8]) -> Arrived {
+    /// Handles a datagram of another sender that [`Mesh::accepts`].
+    pub fn receive(&mut self, now: Micros, from: Rank, bytes: &[u8]) -> Received {
         let challenge = self.rng.u32(1..);
         let Some(peer) = self.peer(from, now) else {
             self.counts.dropped += 1;
-            return Arrived::default();
+            return Received::default();
         };
         let Came { messages, anew, heard, dropped } = peer.channel.receive(now, bytes, challenge);
         if heard {
@@ -182,11 +182,11 @@
             peer.used = now;
         }
         self.counts.dropped += u64::from(dropped);
-        Arrived { messages, anew }
+        Received { messages, peer_restarted: anew }
     }
 
     /// Senders whose channels were closed with messages queued since the last call.
-    pub fn lost(&mut self) -> Vec<Rank> {
+    pub fn take_dropped_peers(&mut self) -> Vec<Rank> {
         std::mem::take(&mut self.lost)
     }
 
@@ -196,7 +196,7 @@
     }
 
     /// Sends what is due, and closes channels that are unused or not answered.
-    pub fn flush(&mut self, now: Micros, out: &mut Out) {
+    pub fn flush(&mut self, now: Micros, out: &mut Outgoing) {
         let counts = &mut self.counts;
         for (rank, peer) in &mut self.peers {
             peer.channel.flush(now, &mut |bytes| {
--- a/src/mesh/tests.rs
+++ b/src/mesh/tests.rs
@@ -6,7 +6,7 @@
     let (mut said, mut sent) = (Vec::new(), 0);
     for now in (from..until).step_by(1_000) {
         for side in 0..2 {
-            let mut out = Out::new();
+            let mut out = Outgoing::new();
             sides[side].flush(now, &mut out);
             for (to, bytes) in out {
                 sent += 1;
@@ -31,7 +31,7 @@
         assert_eq!(sides[0].send(0, 1, message), Ok(()));
     }
     assert_eq!(play(&mut sides, 0, 5_000_000, |sent| sent % 3 == 0), messages);
-    assert_eq!((sides[0].waiting(), sides[0].lost()), (0, vec![]));
+    assert_eq!((sides[0].waiting(), sides[0].take_dropped_peers()), (0, vec![]));
 }
 
 #[test]
@@ -39,23 +39,26 @@
     let mut sides = pair();
     assert_eq!(sides[0].send(0, 1, b"anybody"), Ok(()));
     assert_eq!(play(&mut sides, 0, GIVEN_UP + 2_000, |_| true), Vec::<Vec<u8>>::new());
-    assert_eq!((sides[0].lost(), sides[0].lost(), sides[0].waiting()), (vec![1], vec![], 0));
+    assert_eq!(
+        (sides[0].take_dropped_peers(), sides[0].take_dropped_peers(), sides[0].waiting()),
+        (vec![1], vec![], 0)
+    );
 }
 
 #[test]
 fn what_is_beyond_the_bounds_is_refused_and_named() {
     let mut mesh = Mesh::new(STATUS, 0, 300, 9, 1);
-    assert_eq!(mesh.send(0, 0, b"own"), Err(Refused::Nobody(0)));
-    assert_eq!(mesh.send(0, 300, b"none"), Err(Refused::Nobody(300)));
+    assert_eq!(mesh.send(0, 0, b"own"), Err(SendError::UnknownPeer(0)));
+    assert_eq!(mesh.send(0, 300, b"none"), Err(SendError::UnknownPeer(300)));
     let message = vec![0; 70_000];
     let told: Vec<_> = (1..300).map(|rank| mesh.send(0, rank, &message)).collect();
     let queued = told.iter().filter(|told| told.is_ok()).count();
-    assert!(queued > 0 && queued * message.len() <= MOST_WAITING, "{queued}");
-    assert_eq!(told.last(), Some(&Err(Refused::Full(299))));
+    assert!(queued > 0 && queued * message.len() <= MAX_WAITING, "{queued}");
+    assert_eq!(told.last(), Some(&Err(SendError::Full(299))));
     // Short messages: the number of channels is the limit.
     (1..300).for_each(|rank| {
         let _ = mesh.send(1, rank, b"short");
     });
-    assert!(mesh.waiting() <= MOST_WAITING);
-    assert!((1..300).filter(|rank| mesh.heard(*rank).is_some()).count() <= MOST_CHANNELS);
+    assert!(mesh.waiting() <= MAX_WAITING);
+    assert!((1..300).filter(|rank| mesh.heard(*rank).is_some()).count() <= MAX_CHANNELS);
 }
--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -29,8 +29,8 @@
 use tokio::sync::{mpsc::UnboundedSender, oneshot};
 use tokio::time::{Instant, timeout, timeout_at};
 
-use super::figures::Figures;
-use super::{AttemptOver, Inbound};
+use super::counters::Counters;
+use super::{AttemptEnd, Inbound};
 
 /// Response bodies longer than this are not read, in bytes.
 const ANSWER_LIMIT: usize = 1 << 20;
@@ -62,7 +62,7 @@
     before: u64,
     /// The length of its body.
     length: u64,
-    figures: Rc<Figures>,
+    counters: Rc<Counters>,
 }
 
 impl Traffic {
@@ -71,7 +71,7 @@
     fn flushed(&self) {
         let whole = |due: &mut Due| self.written.get() > due.before + due.length;
         if let Some(due) = self.due.borrow_mut().take_if(whole) {
-            due.figures.sent(due.messages);
+            due.counters.count_sent(due.messages);
             if let Some(load) = self.load.borrow().upgrade() {
                 load.whole.set(true);
             }
@@ -133,7 +133,9 @@
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         let load = self.traffic.load.borrow().upgrade();
         if load.as_ref().is_some_and(|load| load.stale()) {
-            return Poll::Ready(Err(io::Error::other("a message in the request was given up or is too late")));
+            return Poll::Ready(Err(io::Error::other(
+                "a message in the request was given up or is too late",
+            )));
         }
         let poll = Pin::new(&mut self.stream).poll_write(cx, buf);
         if let Poll::Ready(Ok(n)) = &poll {
@@ -432,7 +434,7 @@
 
 struct Shared {
     limits: RefCell<Limits>,
-    figures: Rc<Figures>,
+    counters: Rc<Counters>,
     inbound: UnboundedSender<Inbound>,
     idle: RefCell<HashMap<Line, Vec<Idle>>>,
     /// Number of connections in use.
@@ -464,11 +466,11 @@
 
 impl Calls {
     /// Creates an empty set of calls, and a task that closes idle connections in time.
-    pub fn new(limits: Limits, figures: Rc<Figures>, inbound: UnboundedSender<Inbound>) -> Self {
+    pub fn new(limits: Limits, counters: Rc<Counters>, inbound: UnboundedSender<Inbound>) -> Self {
         let limits = RefCell::new(limits);
         let (idle, busy, out) = (RefCell::default(), Cell::new(0), RefCell::default());
         let waits = RefCell::default();
-        let calls = Self(Rc::new(Shared { limits, figures, inbound, idle, busy, waits, out }));
+        let calls = Self(Rc::new(Shared { limits, counters, inbound, idle, busy, waits, out }));
         let swept = calls.clone();
         tokio::task::spawn_local(async move {
             let mut tick = tokio::time::interval(Duration::from_millis(250));
@@ -496,11 +498,11 @@
     }
 
     /// Number of attempts in flight.
-    pub fn out(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.0.out.borrow().len()
     }
 
-    /// Starts a call with one or more messages; its end is reported as [`Inbound::CallOver`]. Until its last
+    /// Starts a call with one or more messages; its end is reported as [`Inbound::CallEnded`]. Until its last
     /// byte is written, each message may be given up and then never runs.
     pub fn start(&self, line: Line, parts: Vec<Part>) {
         let shared = self.0.clone();
@@ -713,8 +715,8 @@
             };
             let traffic = conn.0.traffic.clone();
             let before = traffic.written.get();
-            let figures = self.figures.clone();
-            traffic.due.replace(Some(Due { messages, before, length: length as u64, figures }));
+            let counters = self.counters.clone();
+            traffic.due.replace(Some(Due { messages, before, length: length as u64, counters }));
             traffic.load.replace(Rc::downgrade(load));
             load.messages.set(messages);
             load.traffic.replace(Some(traffic.clone()));
@@ -747,7 +749,7 @@
         let (report, wait) = (self.report(&head.headers), told_wait(&head.headers));
         if let Some(wait) = wait {
             // The wait binds from here on, even if the rest of the response is lost.
-            let _ = self.inbound.send(Inbound::Event(Event::Wait { endpoint: line.endpoint, wait }));
+            let _ = self.inbound.send(Inbound::Event(Event::RetryAfter { endpoint: line.endpoint, wait }));
             self.hold(line.route, wait);
         }
         if load.messages.get() > 1 && head.status == StatusCode::OK {
@@ -791,9 +793,9 @@
             // The endpoint knows nothing of a message that was not written, which is therefore still owed.
             let gone = *gone && !left_out;
             let (outcome, report) = (load.end_of(part, *outcome), answered.report.clone());
-            over.push(AttemptOver { message, attempt, endpoint, outcome, gone, took, report });
+            over.push(AttemptEnd { message, attempt, endpoint, outcome, gone, took, report });
         }
-        let _ = self.inbound.send(Inbound::CallOver(over));
+        let _ = self.inbound.send(Inbound::CallEnded(over));
     }
 
     /// Reads the rest of a response, so that its connection can be reused.
--- a/src/net/calls/tests.rs
+++ b/src/net/calls/tests.rs
@@ -29,7 +29,7 @@
     async fn new() -> io::Result<Self> {
         let (inbound, events) = unbounded_channel();
         let limits = Limits { connect: 20_000_000, idle: 9_000_000, connections: 9, report: vec![] };
-        let calls = Calls::new(limits, Rc::new(Figures::default()), inbound);
+        let calls = Calls::new(limits, Rc::new(Counters::default()), inbound);
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let (endpoint, address) = (EndpointId([1; 6]), listener.local_addr()?);
         let line = Line { endpoint, address, route: (DestinationId(7), None) };
@@ -39,7 +39,7 @@
     /// The outcomes of the messages of the next call that ends.
     async fn ends(&mut self) -> Vec<(u32, Outcome)> {
         match timeout(PATIENCE, self.events.recv()).await {
-            Ok(Some(Inbound::CallOver(ends))) => ends.iter().map(|e| (e.message.0, e.outcome)).collect(),
+            Ok(Some(Inbound::CallEnded(ends))) => ends.iter().map(|e| (e.message.0, e.outcome)).collect(),
             other => panic!("{other:?}"),
         }
     }
@@ -155,7 +155,7 @@
         read(&mut stream).await?;
         stream.write_all(b"HTTP/1.1 200 OK\r\nretry-after: 60\r\ncontent-length: 26\r\n\r\n[{").await?;
         let told = timeout(PATIENCE, world.events.recv()).await?;
-        let wait = Event::Wait { endpoint: world.line.endpoint, wait: 60_000_000 };
+        let wait = Event::RetryAfter { endpoint: world.line.endpoint, wait: 60_000_000 };
         assert!(matches!(&told, Some(Inbound::Event(event)) if *event == wait), "{told:?}");
         // It applies even before the call is over.
         world.calls.start(world.line, vec![part(3)]);
@@ -310,7 +310,7 @@
         assert!(read(&mut stream).await?.starts_with("POST /v1/messages HTTP"));
         stream.write_all(b"HTTP/1.1 410 Gone\r\ncontent-length: 0\r\n\r\n").await?;
         let ends = timeout(PATIENCE, world.events.recv()).await?;
-        let Some(Inbound::CallOver(ends)) = ends else { panic!("{ends:?}") };
+        let Some(Inbound::CallEnded(ends)) = ends else { panic!("{ends:?}") };
         let gone: Vec<_> = ends.iter().map(|end| (end.message.0, end.outcome, end.gone)).collect();
         assert_eq!(gone, [(1, NEVER, false), (2, NEVER, true)]);
         Ok(())
@@ -372,7 +372,7 @@
                 .write_all(format!("{answer}\r\ncontent-length: 0\r\nconnection: close\r\n\r\n").as_bytes())
                 .await?;
             let ends = timeout(PATIENCE, world.events.recv()).await?;
-            let Some(Inbound::CallOver(ends)) = ends else { panic!("{ends:?}") };
+            let Some(Inbound::CallEnded(ends)) = ends else { panic!("{ends:?}") };
             assert!(ends.iter().all(|end| end.outcome == Outcome::Error && !end.gone), "{answer}: {ends:?}");
         }
         Ok(())
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -10,7 +10,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use myrtleyard::check::{self, Fault, apart};
+use myrtleyard::check::{self, Fault, split};
+use myrtleyard::coded_error;
 use myrtleyard::drain::Marks;
 use myrtleyard::endpoints::Bounds;
 use myrtleyard::endpoints::reader::List;
@@ -20,12 +21,11 @@
 use myrtleyard::start;
 use myrtleyard::status;
 use myrtleyard::takeover;
-use myrtleyard::takeover::lots::Memory;
-use myrtleyard::told;
+use myrtleyard::takeover::groups::DurableState;
 use serde::Deserialize;
 use serde_json::Value;
 
-use super::listing::{ListBody, version};
+use super::listing::{ListBody, list_version};
 use super::names::Names;
 
 /// The configuration of a sender.
@@ -144,7 +144,7 @@
 
 /// Why a configuration cannot be loaded or reloaded.
 #[derive(Debug, thiserror::Error)]
-pub enum Wrong {
+pub enum ConfigError {
     /// An environment variable is not valid UTF-8.
     #[error("{name}: {why}")]
     Variable {
@@ -190,7 +190,7 @@
     Stopped(#[from] tokio::task::JoinError),
 }
 
-told! { Wrong {
+coded_error! { ConfigError {
     Variable => "config.variable", "set the variable to UTF-8 text";
     Unset => "config.unset", "set the variable as described in docs/configuration.md";
     Descriptor => "config.descriptor", "set it to an inherited descriptor's number, over 2, or unset it";
@@ -204,11 +204,11 @@
     faults.iter().map(Fault::to_string).collect::<Vec<_>>().join("; ")
 }
 
-fn variable(name: &'static str) -> Result<Option<String>, Wrong> {
+fn variable(name: &'static str) -> Result<Option<String>, ConfigError> {
     match std::env::var(name) {
         Ok(text) => Ok(Some(text)),
         Err(std::env::VarError::NotPresent) => Ok(None),
-        Err(why) => Err(Wrong::Variable { name, why }),
+        Err(why) => Err(ConfigError::Variable { name, why }),
     }
 }
 
@@ -216,16 +216,16 @@
 ///
 /// # Errors
 /// Fails when the variable is not the number of an inherited descriptor.
-pub fn listening() -> Result<Option<RawFd>, Wrong> {
+pub fn listening() -> Result<Option<RawFd>, ConfigError> {
     let parse = |text: String| {
         let number = text.parse().ok().filter(|fd| *fd > 2);
-        number.ok_or(Wrong::Descriptor(text))
+        number.ok_or(ConfigError::Descriptor(text))
     };
     variable("NODE_LISTEN_FD")?.map(parse).transpose()
 }
 
-fn address(name: &'static str) -> Result<Option<SocketAddr>, Wrong> {
-    let parse = |text: String| text.parse().map_err(|why| Wrong::Address { name, text, why });
+fn address(name: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
+    let parse = |text: String| text.parse().map_err(|why| ConfigError::Address { name, text, why });
     variable(name)?.map(parse).transpose()
 }
 
@@ -233,8 +233,8 @@
 ///
 /// # Errors
 /// Fails, with a message of one line, when something required is missing or cannot be read.
-pub fn read() -> Result<Config, Wrong> {
-    let state = variable("NODE_STATE")?.ok_or(Wrong::Unset("NODE_STATE"))?;
+pub fn read() -> Result<Config, ConfigError> {
+    let state = variable("NODE_STATE")?.ok_or(ConfigError::Unset("NODE_STATE"))?;
     let config = file(None)?;
     Ok(Config {
         name: variable("NODE_NAME")?.unwrap_or(config.name),
@@ -250,7 +250,7 @@
 ///
 /// # Errors
 /// Fails, with a message of one line, when the file cannot be read or lacks a key of the document in force.
-pub fn reread(in_force: &Value) -> Result<Config, Wrong> {
+pub fn reread(in_force: &Value) -> Result<Config, ConfigError> {
     let config = file(Some(in_force))?;
     Ok(Config { known: List::Entries(ListBody::default()), ..config })
 }
@@ -261,18 +261,18 @@
 /// Fails when the file cannot be read.
 pub fn text(path: &Path) -> io::Result<Vec<u8>> {
     let mut text = Vec::new();
-    let most = apart::most_bytes(&Bounds::default());
+    let most = split::max_bytes(&Bounds::default());
     File::open(path)?.take(most + 1).read_to_end(&mut text)?;
     Ok(text)
 }
 
-fn file(in_force: Option<&Value>) -> Result<Config, Wrong> {
-    let path = variable("NODE_CONFIG")?.ok_or(Wrong::Unset("NODE_CONFIG"))?;
+fn file(in_force: Option<&Value>) -> Result<Config, ConfigError> {
+    let path = variable("NODE_CONFIG")?.ok_or(ConfigError::Unset("NODE_CONFIG"))?;
     let text = match text(path.as_ref()) {
         Ok(text) => text,
-        Err(why) => return Err(Wrong::File { path, why }),
+        Err(why) => return Err(ConfigError::File { path, why }),
     };
-    check(&text, in_force).map_err(|faults| Wrong::Faults { path, faults })
+    check(&text, in_force).map_err(|faults| ConfigError::Faults { path, faults })
 }
 
 /// Parses and checks a configuration, also against the document in force if there is one. Startup, SIGHUP,
@@ -282,17 +282,17 @@
 /// Returns all faults of the document.
 pub fn check(text: &[u8], in_force: Option<&Value>) -> Result<Config, Vec<Fault>> {
     let bounds = Bounds::default();
-    let apart = apart::apart(text, &bounds)?;
+    let apart = split::split(text, &bounds)?;
     let document = check::read(&apart.text)?;
     let mut faults = check::faults(&document);
     let index = document["known"]["index"].as_u64().unwrap_or(0);
-    let known = apart.list.map(|list| apart::read(list, index, &bounds)).transpose();
+    let known = apart.list.map(|list| split::read(list, index, &bounds)).transpose();
     let known = known.unwrap_or_else(|fault| {
         faults.push(fault);
         None
     });
     if let Some(in_force) = in_force {
-        let lacking = check::lacking(&document, in_force);
+        let lacking = check::missing_keys(&document, in_force);
         let known: BTreeSet<String> = faults.iter().map(|fault| fault.key.clone()).collect();
         faults.extend(lacking.into_iter().filter(|fault| !known.contains(&fault.key)));
     }
@@ -303,7 +303,7 @@
         vec![Fault { key: key.to_owned(), value: why, expected: "a valid value".to_owned() }]
     })?;
     if let (Some(known), Some(list)) = (known, apart.list) {
-        let endpoints = version(&known).1.unwrap_or(0);
+        let endpoints = list_version(&known).1.unwrap_or(0);
         let said = format!("{endpoints} endpoints, CRC-32 {:08x}", crc32fast::hash(list));
         config.document["known"]["endpoints"] = said.into();
         config.known = known;
@@ -336,21 +336,21 @@
     };
     let disk = (raw.limits.disk_mb * 1e6) as u64;
     if let Some(Draining { max_marks }) = raw.draining
-        && Marks::room(max_marks) > disk / 4
+        && Marks::max_bytes(max_marks) > disk / 4
     {
         return Err(("draining.max_marks", format!("{max_marks}, which needs over a quarter of disk_mb,")));
     }
     let own = raw.peer_listen.is_some_and(|own| raw.peers.contains(&own));
-    if raw.membership.is_some() && (!own || raw.peers.len() > membership::MOST_MEMBERS) {
+    if raw.membership.is_some() && (!own || raw.peers.len() > membership::MAX_MEMBERS) {
         let why = "a section with peers that lack peer_listen or number over 1,024".to_owned();
         return Err(("membership", why));
     }
     if raw.takeover.is_some() {
-        if !own || !(3..=membership::MOST_MEMBERS).contains(&raw.peers.len()) {
+        if !own || !(3..=membership::MAX_MEMBERS).contains(&raw.peers.len()) {
             let why = "a section with peers that lack peer_listen or number under 3 or over 1,024".to_owned();
             return Err(("takeover", why));
         }
-        if Memory::ROOM > disk / 4 {
+        if DurableState::MAX_BYTES > disk / 4 {
             return Err(("takeover", "a section that needs over a quarter of disk_mb".to_owned()));
         }
     }
@@ -358,7 +358,7 @@
         if raw.membership.is_none() {
             return Err(("start", "a section without the required section membership".to_owned()));
         }
-        if start::kept::ROOM > disk / 4 {
+        if start::cached_list::MAX_FOLDER_BYTES > disk / 4 {
             return Err(("start", "a section that needs over a quarter of disk_mb".to_owned()));
         }
     }
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -1,11 +1,11 @@
 use myrtleyard::interface::Effect;
 use serde_json::json;
 
-use super::super::names::following;
+use super::super::names::align_positions;
 use super::*;
 
-fn parsed(text: &[u8], in_force: Option<&Value>) -> Result<Config, Wrong> {
-    check(text, in_force).map_err(|faults| Wrong::Faults { path: "a file".to_owned(), faults })
+fn parsed(text: &[u8], in_force: Option<&Value>) -> Result<Config, ConfigError> {
+    check(text, in_force).map_err(|faults| ConfigError::Faults { path: "a file".to_owned(), faults })
 }
 
 fn document() -> Value {
@@ -65,13 +65,13 @@
     changed["settings"]["classes"][1]["name"] = json!("bill");
     let second = parsed(changed.to_string().as_bytes(), Some(&first.document))?;
     let (settings, names) =
-        following((second.settings, second.names), &first.settings, &first.names, |_| true);
+        align_positions((second.settings, second.names), &first.settings, &first.names, |_| true);
     assert_eq!(settings.classes[..2], first.settings.classes[..]);
     assert_eq!(settings.classes[2].effect, Effect::Once);
     assert_eq!(["note", "order", "bill"].map(|name| names.class(name)), [Some(2), None, Some(3)]);
     // A class that returns unchanged gets its old position.
     let third = parsed(document().to_string().as_bytes(), None)?;
-    let (settings, names) = following((third.settings, third.names), &settings, &names, |_| true);
+    let (settings, names) = align_positions((third.settings, third.names), &settings, &names, |_| true);
     assert_eq!(settings.classes.len(), 4);
     assert_eq!(["note", "order", "bill"].map(|name| names.class(name)), [Some(0), Some(1), None]);
     Ok(())
@@ -89,7 +89,8 @@
         changed["settings"]["classes"][1]["name"] = json!(format!("order-{n}"));
         let next = parsed(changed.to_string().as_bytes(), None)?;
         // A message of the first "order" is held for the whole test.
-        (settings, names) = following((next.settings, next.names), &settings, &names, |class| class == 1);
+        (settings, names) =
+            align_positions((next.settings, next.names), &settings, &names, |class| class == 1);
         assert!(settings.classes.len() <= 3 && names.classes.len() == settings.classes.len(), "{n}");
         assert_eq!(names.classes[1], "order");
         assert_eq!((names.retired.clone(), settings.retired.clone()), ([1].into(), [1].into()));
@@ -97,7 +98,7 @@
         assert_eq!(settings.classes[note].aim, n);
         assert_eq!(settings.shortest_aim(), n.min(5));
     }
-    let (settings, names) = following(
+    let (settings, names) = align_positions(
         (parsed(document().to_string().as_bytes(), None)?.settings, names_of(&document())?),
         &settings,
         &names,
@@ -107,7 +108,7 @@
     Ok(())
 }
 
-fn names_of(document: &Value) -> Result<Names, Wrong> {
+fn names_of(document: &Value) -> Result<Names, ConfigError> {
     Ok(parsed(document.to_string().as_bytes(), None)?.names)
 }
 
@@ -125,10 +126,10 @@
 #[test]
 fn a_long_list_is_taken_and_left_out_of_the_document() -> Result<(), Box<dyn std::error::Error>> {
     let (short, whole) = (long(100), long(5000).to_string());
-    assert!(whole.len() > check::LARGEST);
-    assert_eq!(version(&parsed(short.to_string().as_bytes(), None)?.known), (41, Some(100)));
+    assert!(whole.len() > check::MAX_DOCUMENT_BYTES);
+    assert_eq!(list_version(&parsed(short.to_string().as_bytes(), None)?.known), (41, Some(100)));
     let config = parsed(whole.as_bytes(), Some(&short))?;
-    assert_eq!(version(&config.known), (41, Some(5000)));
+    assert_eq!(list_version(&config.known), (41, Some(5000)));
     let said = config.document["known"]["endpoints"].as_str().ok_or("the list is not left out")?;
     assert!(said.starts_with("5000 endpoints, CRC-32 "), "{said}");
     // Another list of the same length is a change; the same list is none.
@@ -159,10 +160,10 @@
     for end in [whole.len() - 1, whole.len() / 2, last] {
         assert_eq!(keys(&whole[..end]), [""], "cut off at {end}");
     }
-    let padded = format!("{whole}{}", " ".repeat(check::LARGEST));
+    let padded = format!("{whole}{}", " ".repeat(check::MAX_DOCUMENT_BYTES));
     assert_eq!(keys(&padded), [""], "too long without its list");
     assert_eq!(keys(&whole.replacen('{', "{\"known\":{},", 1)), [""], "given twice");
-    let long_text = json!({"known": {"endpoints": " ".repeat(check::LARGEST)}}).to_string();
+    let long_text = json!({"known": {"endpoints": " ".repeat(check::MAX_DOCUMENT_BYTES)}}).to_string();
     assert_eq!(keys(&long_text), [""], "not a list");
     Ok(())
 }
@@ -172,13 +173,13 @@
 fn a_list_beyond_its_bounds_says_what_can_be_done() -> Result<(), Box<dyn std::error::Error>> {
     let whole = long(5000).to_string();
     let bounds = Bounds { bytes: 10, ..Bounds::default() };
-    let faults = apart::apart(whole.as_bytes(), &bounds).err().unwrap_or_default();
+    let faults = split::split(whole.as_bytes(), &bounds).err().unwrap_or_default();
     let told = faults.first().ok_or("it is accepted")?.to_string();
     assert!(told.contains("over 262154 bytes") && told.contains("known.endpoints"), "{told}");
-    let apart = apart::apart(whole.as_bytes(), &Bounds::default()).map_err(|faults| faults[0].to_string())?;
+    let apart = split::split(whole.as_bytes(), &Bounds::default()).map_err(|faults| faults[0].to_string())?;
     let list = apart.list.ok_or("the document has no list")?;
     let spoilt = [&list[..list.len() - 1], b"!"].concat();
-    let told = apart::read(&spoilt, 41, &Bounds::default()).err().ok_or("it is accepted")?.to_string();
+    let told = split::read(&spoilt, 41, &Bounds::default()).err().ok_or("it is accepted")?.to_string();
     assert!(told.contains("list.malformed") && told.contains("look at what discovery answers"), "{told}");
     Ok(())
 }
