--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -2,16 +2,16 @@
 //! them, and their replies, which are all JSON.
 
 use hyper::StatusCode;
+use myrtleyard::error_code::CodedError;
 use myrtleyard::interface::Micros;
-use myrtleyard::told::Told;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use super::refusals::NoCall;
+use super::errors::CallError;
 
 /// A request to the driver.
 #[derive(Debug)]
-pub enum Ask {
+pub enum ControlRequest {
     /// Progress of this process's drain, and the drained endpoints.
     Drain,
     /// The endpoint list combined with the drain marks.
@@ -82,23 +82,23 @@
     }
 
     /// A successful reply (200) with this content.
-    pub fn yes(content: &impl Serialize) -> Self {
+    pub fn ok(content: &impl Serialize) -> Self {
         Self::new(StatusCode::OK, content)
     }
 
     /// An error reply with a stable code, the error's text, and a remedy.
-    pub fn typed(status: StatusCode, code: &str, why: impl ToString, remedy: &str) -> Self {
+    pub fn error_with_code(status: StatusCode, code: &str, why: impl ToString, remedy: &str) -> Self {
         let why = why.to_string().replace(['\n', '\r'], " ");
         Self::new(status, &json!({"code": code, "error": why, "remedy": remedy}))
     }
 
     /// The error reply for an error that has a code and a remedy.
-    pub fn told(status: StatusCode, why: &impl Told) -> Self {
-        Self::typed(status, why.code(), why, why.remedy())
+    pub fn error(status: StatusCode, why: &impl CodedError) -> Self {
+        Self::error_with_code(status, why.code(), why, why.remedy())
     }
 
     /// The error reply for a failed management call.
-    pub fn no(why: &NoCall) -> Self {
-        Self::told(why.status(), why)
+    pub fn call_error(why: &CallError) -> Self {
+        Self::error(why.status(), why)
     }
 }
--- a/src/net/figures.rs
+++ b/src/net/counters.rs
@@ -11,7 +11,7 @@
 
 /// How a message ended at this sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum MessageEnd {
     /// Delivered.
     Answered,
     /// Refused, or returned to the platform.
@@ -20,7 +20,7 @@
     Errored,
 }
 
-impl From<GivenUp> for End {
+impl From<GivenUp> for MessageEnd {
     fn from(how: GivenUp) -> Self {
         match how {
             GivenUp::Deferred(_) => Self::Deferred,
@@ -31,7 +31,7 @@
 
 /// Gauges of the state after a turn.
 #[derive(Debug, Default, Clone, Copy, Serialize)]
-pub struct Now {
+pub struct Gauges {
     /// Accepted messages that have not ended.
     pub current: usize,
     /// Endpoints in the list.
@@ -77,28 +77,28 @@
     #[serde(skip_serializing_if = "Lists::are_all_taken")]
     list: Lists,
     #[serde(flatten)]
-    now: Now,
+    now: Gauges,
 }
 
 impl Counts {
-    fn of(&mut self, end: End) -> &mut BTreeMap<String, u64> {
+    fn of(&mut self, end: MessageEnd) -> &mut BTreeMap<String, u64> {
         match end {
-            End::Answered => &mut self.answered,
-            End::Deferred => &mut self.deferred,
-            End::Errored => &mut self.errored,
+            MessageEnd::Answered => &mut self.answered,
+            MessageEnd::Deferred => &mut self.deferred,
+            MessageEnd::Errored => &mut self.errored,
         }
     }
 }
 
 /// All counters and gauges of a process.
 #[derive(Debug, Default)]
-pub struct Figures(RefCell<Counts>);
+pub struct Counters(RefCell<Counts>);
 
-impl Figures {
+impl Counters {
     /// Creates the counters of all classes, so that each class is present from the start.
-    pub fn name(&self, names: &Names) {
+    pub fn register_classes(&self, names: &Names) {
         let mut counts = self.0.borrow_mut();
-        for end in [End::Answered, End::Deferred, End::Errored] {
+        for end in [MessageEnd::Answered, MessageEnd::Deferred, MessageEnd::Errored] {
             for class in &names.classes {
                 counts.of(end).entry(class.clone()).or_default();
             }
@@ -106,23 +106,23 @@
     }
 
     /// Counts the end of a message of this class.
-    pub fn ended(&self, class: &str, end: End) {
+    pub fn count_ended(&self, class: &str, end: MessageEnd) {
         *self.0.borrow_mut().of(end).entry(class.to_owned()).or_default() += 1;
     }
 
     /// Counts messages that were completely written to an endpoint.
-    pub fn sent(&self, messages: usize) {
+    pub fn count_sent(&self, messages: usize) {
         self.0.borrow_mut().sends += messages as u64;
     }
 
     /// Counts a configuration that was applied or rejected at SIGHUP.
-    pub fn reloaded(&self, taken: bool) {
+    pub fn count_reload(&self, taken: bool) {
         let mut counts = self.0.borrow_mut();
         *if taken { &mut counts.conf_loaded } else { &mut counts.conf_invalid } += 1;
     }
 
     /// Counts an accepted list of this version; `endpoints` is its number of entries if it is a complete one.
-    pub fn list_taken(&self, index: u64, endpoints: Option<usize>) {
+    pub fn count_list_accepted(&self, index: u64, endpoints: Option<usize>) {
         let list = &mut self.0.borrow_mut().list;
         list.index = index;
         list.refused_in_a_row = 0;
@@ -130,7 +130,7 @@
     }
 
     /// Counts a rejected list with this error code. Returns the number of rejections in a row.
-    pub fn list_refused(&self, code: &'static str) -> u32 {
+    pub fn count_list_refused(&self, code: &'static str) -> u32 {
         let list = &mut self.0.borrow_mut().list;
         list.refused += 1;
         list.refused_in_a_row += 1;
@@ -139,7 +139,7 @@
     }
 
     /// Sets the gauges.
-    pub fn stand(&self, now: Now) {
+    pub fn set_gauges(&self, now: Gauges) {
         self.0.borrow_mut().now = now;
     }
 
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -2,13 +2,13 @@
 //! The events of one iteration are collected into a batch ([`turn`]), iteration after iteration for as long
 //! as the process runs ([`service`]).
 
-mod covered;
 mod draining;
-pub mod estimating;
-mod indexed;
-mod residing;
+pub mod estimates;
+mod residency;
 mod service;
-mod starting;
+mod startup;
+mod status_index;
+mod takeover;
 mod turn;
 
 use std::cell::RefCell;
@@ -16,33 +16,33 @@
 use std::rc::Rc;
 
 use myrtleyard::endpoints::reader::List;
+use myrtleyard::error_code::CodedError;
 use myrtleyard::interface::*;
 use myrtleyard::policy::Policy;
 use myrtleyard::start::pace::Backlog;
 use myrtleyard::status::State;
-use myrtleyard::takeover::lots::Fact;
-use myrtleyard::told::Told;
+use myrtleyard::takeover::groups::Update;
 use tokio::net::UnixStream;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::{oneshot, watch};
 use tokio::task::JoinHandle;
 
 use super::calls::{Calls, Limits};
-use super::figures::{End, Figures};
-use super::handover::{self, Claim, Order, Predecessor, Relay};
-use super::intake::{Answer, HandedIn, Intake};
-use super::journal::{GivenUp, Journal, Live, Record, Taken};
-use super::listing::{Known, ListBody, Shape};
-use super::names::{Names, following};
-use super::parts::indexing::end_of;
+use super::counters::{Counters, MessageEnd};
+use super::handover::{self, FolderLock, Predecessor, Relay, SuccessorCommand};
+use super::intake::{Answer, Intake, Submission};
+use super::journal::{AcceptedMessage, GivenUp, Journal, PendingMessage, Record};
+use super::listing::{EndpointAttributes, KnownEndpoint, ListBody};
+use super::names::{Names, align_positions};
+use super::parts::status::final_state;
 use super::parts::{self, Parts};
 use super::peers::Peers;
 use super::platform::{self, Notice};
-use super::working::Working;
-use covered::Covered;
+use super::working_set::WorkingSet;
 pub use service::run;
+use takeover::Covered;
 
-use super::{AttemptOver, Clock, Inbound, STOP_WITHIN, Standing};
+use super::{AttemptEnd, Clock, Inbound, STOP_WITHIN, ServiceState};
 
 /// Time from SIGTERM until all clients use other senders.
 const STILL_CALLED: Micros = 1_000_000;
@@ -58,7 +58,7 @@
 
 /// A message submitted within this iteration; it is not in the journal yet.
 struct Fresh {
-    taken: Taken,
+    taken: AcceptedMessage,
     /// The clients that wait for the answer: more than one if a client submitted the message again.
     answers: Vec<oneshot::Sender<Answer>>,
 }
@@ -81,7 +81,7 @@
     connections: usize,
     policy: Policy,
     journal: Journal,
-    figures: Rc<Figures>,
+    counters: Rc<Counters>,
     calls: Calls,
     peers: Option<Peers>,
     notices: UnboundedSender<Notice>,
@@ -89,7 +89,7 @@
     /// One service answers the list watches of all senders, rather than an agent on each machine.
     shared: bool,
     inbound: UnboundedSender<Inbound>,
-    standing: watch::Sender<Standing>,
+    standing: watch::Sender<ServiceState>,
     stop_at: Option<Micros>,
     /// Set while operators have taken the process out of service.
     drain: Option<Drain>,
@@ -99,9 +99,9 @@
     covered: Covered,
     intake: Rc<Intake>,
     /// Endpoints of resident destinations.
-    endpoints: HashMap<EndpointId, Known>,
+    endpoints: HashMap<EndpointId, KnownEndpoint>,
     /// Which destinations the decision module knows, and the complete list if it is long.
-    working: Working,
+    working: WorkingSet,
     /// Endpoint ids by name, and the number of ids assigned so far.
     ids: HashMap<String, EndpointId>,
     given: u64,
@@ -120,7 +120,7 @@
     /// Notices whose records are not in the journal yet.
     unsaid: Vec<(u32, GivenUp, String)>,
     /// The process that this one took over from, while it still runs.
-    predecessor: Option<UnboundedSender<Order>>,
+    predecessor: Option<UnboundedSender<SuccessorCommand>>,
     /// A new process that asks to take over from this one.
     successor: Option<UnixStream>,
 }
@@ -140,7 +140,7 @@
         let mut out = parts::Out::new();
         let done = act(&mut self.parts, &mut out);
         if let Some(peers) = &self.peers {
-            out.iter().for_each(|(to, datagram)| peers.tell(Some(*to), datagram));
+            out.iter().for_each(|(to, datagram)| peers.send(Some(*to), datagram));
         }
         done
     }
@@ -159,38 +159,44 @@
         if self.working.beyond {
             self.start_from_known();
         }
-        let live: Vec<(u32, Live)> = self.journal.live().iter().map(|(n, l)| (*n, l.clone())).collect();
+        let live: Vec<(u32, PendingMessage)> =
+            self.journal.pending().iter().map(|(n, l)| (*n, l.clone())).collect();
         let mut old = Vec::new();
         for (number, live) in live {
-            self.held.insert(live.taken.id.clone(), number);
-            let class = self.names.borrow().class(&live.taken.class);
+            self.held.insert(live.accepted.id.clone(), number);
+            let class = self.names.borrow().class(&live.accepted.class);
             let given_up = match (live.given_up, class) {
-                (None, Some(_)) if self.parts.starting.is_some() => {
+                (None, Some(_)) if self.parts.start.is_some() => {
                     old.push((number, self.pressing(number, &live, now)));
                     continue;
                 }
                 (None, Some(class)) => {
-                    let (id, destination) = (&live.taken.id, live.taken.destination);
-                    tracing::debug!(id, destination, attempts = live.attempts.len(), "message resumed from the journal");
-                    let class = self.as_taken(class, &live.taken, &mut said);
+                    let (id, destination) = (&live.accepted.id, live.accepted.destination);
+                    tracing::debug!(
+                        id,
+                        destination,
+                        attempts = live.attempts.len(),
+                        "message resumed from the journal"
+                    );
+                    let class = self.as_taken(class, &live.accepted, &mut said);
                     self.resumed(number, class, &live, now, &mut said);
                     continue;
                 }
                 (Some(how), _) => how,
-                (None, None) => live.unjudged(),
+                (None, None) => live.outcome_without_class(),
             };
-            self.end_old(number, given_up, live.taken);
+            self.end_old(number, given_up, live.accepted);
         }
-        if let Some(starting) = &self.parts.starting {
+        if let Some(starting) = &self.parts.start {
             starting.core.borrow_mut().backlog = Backlog::new(old, now);
         }
         said
     }
 
     /// Ends a message of an earlier process and queues the notice to the platform.
-    fn end_old(&mut self, number: u32, how: GivenUp, taken: Taken) {
-        self.index_ended(number, end_of(how));
-        self.figures.ended(&taken.class, how.into());
+    fn end_old(&mut self, number: u32, how: GivenUp, taken: AcceptedMessage) {
+        self.index_ended(number, final_state(how));
+        self.counters.count_ended(&taken.class, how.into());
         self.unwritten.push(Record::GivenUp(number, how));
         self.unsaid.push((number, how, taken.id));
     }
@@ -199,7 +205,7 @@
     /// stricter of its effect now and its effect when the message was accepted. An older version's journal
     /// does not record the effect; such a message may not be repeated. If the effects differ, a class is
     /// added that only these messages use.
-    fn as_taken(&mut self, class: usize, taken: &Taken, said: &mut Vec<Event>) -> usize {
+    fn as_taken(&mut self, class: usize, taken: &AcceptedMessage, said: &mut Vec<Event>) -> usize {
         let Some(now) = self.settings.classes.get(class) else { return class };
         let effect = now.effect.stricter(taken.effect.unwrap_or(Effect::Once));
         if effect == now.effect {
@@ -227,16 +233,19 @@
         inbound: UnboundedSender<Inbound>,
         seed: u64,
     ) -> (Vec<Event>, JoinHandle<()>) {
-        let knowledge = *predecessor.knowledge;
+        let knowledge = *predecessor.state;
         let own = (self.settings.clone(), self.names.borrow().clone());
-        self.policy = knowledge.policy.taken_over(seed);
+        self.policy = knowledge.policy.after_handover(seed);
         let held = |class| self.policy.holds_class(class);
-        let (settings, names) = following(own, &knowledge.settings, &knowledge.names, held);
+        let (settings, names) = align_positions(own, &knowledge.settings, &knowledge.names, held);
         self.endpoints = knowledge.endpoints;
         self.working = knowledge.working;
         let dropped = self.working.drop_other_form();
         if dropped > 0 {
-            tracing::warn!(dropped, "the saved routes of evicted destinations were written by another version and are discarded");
+            tracing::warn!(
+                dropped,
+                "the saved routes of evicted destinations were written by another version and are discarded"
+            );
         }
         self.limits_told_by(&knowledge.settings, &settings);
         self.go_by(settings.clone(), names, &knowledge.names);
@@ -255,13 +264,13 @@
         self.held = knowledge.held;
         self.attempts = knowledge.attempts;
         // Notices are sent again if the journal has no record that the platform received them.
-        let owed = self.journal.live().iter();
-        let owed = owed.filter_map(|(number, live)| Some((*number, live.given_up?, live.taken.id.clone())));
+        let owed = self.journal.pending().iter();
+        let owed =
+            owed.filter_map(|(number, live)| Some((*number, live.given_up?, live.accepted.id.clone())));
         self.unsaid.extend(owed.collect::<Vec<_>>());
-        let reset = |(message, attempt, endpoint)| {
-            AttemptOver::unanswered(message, attempt, endpoint, Outcome::Reset)
-        };
-        let out = self.policy.out().map(reset).collect();
+        let reset =
+            |(message, attempt, endpoint)| AttemptEnd::unanswered(message, attempt, endpoint, Outcome::Reset);
+        let out = self.policy.outstanding_attempts().map(reset).collect();
         let (orders, followed) = predecessor.link.follow(inbound, out);
         self.predecessor = Some(orders);
         // The new process may have draining switched on or off, or other zones and kinds.
@@ -277,7 +286,7 @@
     /// keeps its own by name.
     fn go_by(&mut self, settings: Settings, names: Names, before: &Names) {
         self.calls.adopt(limits(&settings, &names, self.connections));
-        self.figures.name(&names);
+        self.counters.register_classes(&names);
         for known in self.endpoints.values_mut() {
             let Some(shape) = &mut known.shape else { continue };
             let (zone, kind) = known.named.get_or_insert_with(|| {
@@ -285,7 +294,7 @@
                 (name(&before.zones, shape.zone.into()), name(&before.kinds, shape.kind))
             });
             (shape.zone, shape.kind) = (names.zone(zone), names.kind(kind));
-            known.bundle = settings.kinds.get(shape.kind).map_or(1, |kind| kind.bundle);
+            known.bundle = settings.kinds.get(shape.kind).map_or(1, |kind| kind.max_batch);
         }
         self.names.replace(names);
         self.settings = settings;
@@ -299,11 +308,11 @@
     }
 
     /// Sends the complete state to the next process, except for the last byte.
-    async fn offer(&self, stream: UnixStream) -> std::io::Result<handover::Offered> {
+    async fn offer(&self, stream: UnixStream) -> std::io::Result<handover::PreparedHandover> {
         let drained = self.parts.draining.as_ref().map(|draining| draining.names()).unwrap_or_default();
         // Nobody changes the names during the transfer: only this task does.
         let names = self.names.borrow().clone();
-        let knowing = handover::Knowing {
+        let knowing = handover::HandoverStateRef {
             now: self.clock.now(),
             policy: &self.policy,
             settings: &self.settings,
@@ -320,20 +329,20 @@
             working: &self.working,
             drained,
         };
-        handover::offer(stream, &knowing).await
+        handover::prepare_handover(stream, &knowing).await
     }
 
     /// Hands all other work to the next process, and stays only for calls and client requests in progress.
     async fn hand_over(
         mut self,
-        told: handover::Offered,
-        claim: Claim,
+        told: handover::PreparedHandover,
+        claim: FolderLock,
         intake: Rc<Intake>,
         events: UnboundedReceiver<Inbound>,
     ) {
-        self.standing.send_replace(Standing::HandedOver);
-        tracing::info!(owed = self.journal.live().len(), "handing over to a new process");
-        self.figures.handed_over();
+        self.standing.send_replace(ServiceState::HandedOver);
+        tracing::info!(owed = self.journal.pending().len(), "handing over to a new process");
+        self.counters.handed_over();
         self.calls.close_all_idle();
         // From here on the next process decides, and it could not cancel a call that waits for a connection
         // here in time.
@@ -354,7 +363,7 @@
     /// Translates a message from a task into events for the decision module.
     fn fold(&mut self, inbound: Inbound, said: &mut Vec<Event>) {
         match inbound {
-            Inbound::HandedIn(message) => self.handed_in(message, said),
+            Inbound::Submitted(message) => self.handed_in(message, said),
             Inbound::Withdrawn(id) => {
                 // An accepted message stays owed, since some client was told so, even if another client that
                 // used the same id disconnects. The same holds while another client still waits for the
@@ -364,17 +373,17 @@
                 {
                     fresh.answers.retain(|waiting| !waiting.is_closed());
                     if fresh.answers.is_empty() {
-                        said.push(Event::Left(MessageId(number)));
+                        said.push(Event::Withdrawn(MessageId(number)));
                         self.fresh.remove(&number);
                         self.forget(number, &id);
                     }
                 }
             }
-            Inbound::CallOver(ends) => ends.into_iter().for_each(|end| said.push(self.ended(end))),
+            Inbound::CallEnded(ends) => ends.into_iter().for_each(|end| said.push(self.ended(end))),
             Inbound::Event(event) => {
                 // The previous process may have received the response, so that `calls` does not know of the
                 // wait yet.
-                if let Event::Wait { endpoint, wait } = &event
+                if let Event::RetryAfter { endpoint, wait } = &event
                     && let Some(route) = self.policy.route_of(*endpoint)
                 {
                     self.calls.hold(route, *wait);
@@ -387,27 +396,27 @@
                     said.push(Event::Note { from, content });
                 }
             }
-            Inbound::Listed(list) => {
+            Inbound::ListReceived(list) => {
                 self.take_list(list, said);
                 self.start_listed();
                 self.forget_marks();
             }
-            Inbound::NoticesKept(messages) => {
+            Inbound::NoticesAcknowledged(messages) => {
                 for MessageId(number) in messages {
-                    if let Some(id) = self.journal.live().get(&number).map(|l| l.taken.id.clone()) {
-                        self.tell_of(number, Fact::Over);
-                        self.unwritten.push(Record::Over(number));
+                    if let Some(id) = self.journal.pending().get(&number).map(|l| l.accepted.id.clone()) {
+                        self.tell_of(number, Update::Over);
+                        self.unwritten.push(Record::Closed(number));
                         self.forget(number, &id);
                     }
                 }
             }
             Inbound::Successor(stream) => self.successor = Some(stream),
             // The process that owns the state folder receives no orders.
-            Inbound::Ordered(_) => {}
+            Inbound::SuccessorCommand(_) => {}
             Inbound::Reloaded(Ok(config)) => {
                 let now = self.clock.now();
                 if let Some(peers) = &self.peers {
-                    peers.adopt(&config.peers);
+                    peers.set_addresses(&config.peers);
                 }
                 self.with_parts(|parts, out| parts.adopt(&config, now, out));
                 let own = (config.settings, config.names);
@@ -421,9 +430,10 @@
                 };
                 let seed = config.seed ^ self.index;
                 let held = |class| self.policy.holds_class(class) || comes(class);
-                let (settings, names) = following(own, &self.settings, &before, held);
-                self.figures.reloaded(true);
-                let asking = |s: &Settings| (s.must_ask, s.rules.ask_every, s.senders, s.rules.drain_grace);
+                let (settings, names) = align_positions(own, &self.settings, &before, held);
+                self.counters.count_reload(true);
+                let asking =
+                    |s: &Settings| (s.list_on_request, s.rules.ask_every, s.senders, s.rules.drain_grace);
                 if asking(&settings) != asking(&self.settings) {
                     let otherwise = platform::Following::new(&settings, self.shared, self.index, seed);
                     self.wanted.otherwise.replace(Some(otherwise));
@@ -435,7 +445,7 @@
                 said.push(self.relisted(|_| true));
             }
             Inbound::Reloaded(Err(e)) => {
-                self.figures.reloaded(false);
+                self.counters.count_reload(false);
                 tracing::warn!(
                     code = e.code(),
                     remedy = e.remedy(),
@@ -455,8 +465,8 @@
             Inbound::Terminate => {
                 let at = self.clock.now() + STOP_WITHIN;
                 self.stop_at = Some(at);
-                self.standing.send_replace(Standing::Stopping);
-                tracing::info!(owed = self.journal.live().len(), "shutdown requested");
+                self.standing.send_replace(ServiceState::Stopping);
+                tracing::info!(owed = self.journal.pending().len(), "shutdown requested");
                 let now = self.clock.now();
                 self.with_parts(|parts, out| parts.serving(now, false, out));
                 // The module judges all messages by the time left, so it must know the ones of earlier
@@ -467,8 +477,8 @@
         }
     }
 
-    fn handed_in(&mut self, message: HandedIn, said: &mut Vec<Event>) {
-        let HandedIn { taken, answer, .. } = message;
+    fn handed_in(&mut self, message: Submission, said: &mut Vec<Event>) {
+        let Submission { taken, answer, .. } = message;
         if let Some(number) = self.held.get(&taken.id) {
             // The client did not receive the answer and submits the message again.
             match self.fresh.get_mut(number) {
@@ -484,16 +494,16 @@
         // Settings may have changed since the request head was read, here or in the previous process: the
         // current ones decide.
         let class = self.names.borrow().class(&taken.class);
-        let Some(class) = class.filter(|_| self.names.borrow().owns(taken.owner.as_deref())) else {
-            self.figures.ended(&taken.class, End::Deferred);
+        let Some(class) = class.filter(|_| self.names.borrow().accepts_tenant(taken.owner.as_deref())) else {
+            self.counters.count_ended(&taken.class, MessageEnd::Deferred);
             let _ = answer.send(Answer::Refused(0));
             return;
         };
         let effect = self.settings.classes.get(class).map(|class| class.effect);
-        let taken = Taken { effect, ..taken };
-        let pending: u64 = self.fresh.values().map(|fresh| Journal::room_for(&fresh.taken)).sum();
-        if !self.journal.has_room(&taken, pending) {
-            self.figures.ended(&taken.class, End::Deferred);
+        let taken = AcceptedMessage { effect, ..taken };
+        let pending: u64 = self.fresh.values().map(|fresh| Journal::reservation(&fresh.taken)).sum();
+        if !self.journal.has_capacity(&taken, pending) {
+            self.counters.count_ended(&taken.class, MessageEnd::Deferred);
             let _ = answer.send(Answer::Refused(NO_ROOM_AGAIN));
             return;
         }
@@ -505,20 +515,20 @@
         self.fresh.insert(number, Fresh { taken, answers: vec![answer] });
     }
 
-    fn ended(&mut self, end: AttemptOver) -> Event {
+    fn ended(&mut self, end: AttemptEnd) -> Event {
         let number = end.message.0;
-        let live = self.journal.live().get(&number);
+        let live = self.journal.pending().get(&number);
         let owed = live.filter(|live| live.given_up.is_none());
-        let owed = owed.map(|live| (live.taken.id.clone(), live.taken.class.clone()));
+        let owed = owed.map(|live| (live.accepted.id.clone(), live.accepted.class.clone()));
         // If the message is over or given up already, this result changes nothing.
         let mut terminal = true;
         if let Some((id, class)) = owed.filter(|owed| self.held.get(&owed.0) == Some(&number)) {
             terminal = end.gone || end.outcome == Outcome::Delivered;
             let never_ran = end.outcome.never_ran();
             if terminal {
-                self.tell_of(number, Fact::Over);
+                self.tell_of(number, Update::Over);
             } else if never_ran {
-                self.tell_of(number, Fact::NeverRan(end.attempt));
+                self.tell_of(number, Update::NeverRan(end.attempt));
             }
             if terminal {
                 // The endpoint knows that the message is over, but not with which outcome.
@@ -526,14 +536,14 @@
                 self.index_ended(number, if delivered { State::Delivered } else { State::Unknown });
             }
             self.unwritten.push(if terminal {
-                Record::Over(number)
+                Record::Closed(number)
             } else {
-                Record::Ended { message: number, attempt: end.attempt, never_ran }
+                Record::AttemptEnded { message: number, attempt: end.attempt, never_ran }
             });
             let took_ms = end.took / 1000;
             tracing::debug!(id, attempt = end.attempt, outcome = ?end.outcome, took_ms, "attempt ended");
             if end.outcome == Outcome::Delivered {
-                self.figures.ended(&class, End::Answered);
+                self.counters.count_ended(&class, MessageEnd::Answered);
             }
             if terminal {
                 self.forget(number, &id);
@@ -550,7 +560,7 @@
         }
     }
 
-    fn message(&self, number: u32, class: usize, taken: &Taken, now: Micros) -> Message {
+    fn message(&self, number: u32, class: usize, taken: &AcceptedMessage, now: Micros) -> Message {
         let tenant = taken
             .owner
             .as_ref()
@@ -618,19 +628,21 @@
                 _ => Listing::Draining,
             };
             let draining = self.parts.draining.as_ref();
-            let over = draining.map_or(state, |draining| draining.over(&listing.name, state));
+            let over = draining.map_or(state, |draining| draining.effective(&listing.name, state));
             entry(endpoint, listing.group, over);
             let weight = if listing.weight.is_finite() { listing.weight.max(0.0) } else { 0.0 };
             if let Some(entry) = entries.last_mut() {
                 entry.weight = weight;
             }
-            let bundle = self.settings.kinds.get(kind).map_or(1, |kind| kind.bundle);
+            let bundle = self.settings.kinds.get(kind).map_or(1, |kind| kind.max_batch);
             let (address, group) = (listing.address.parse().ok(), listing.group);
             let (listed, active) = (state != Listing::Gone, state == Listing::Ready);
             let since_ms = listing.since_ms;
-            let (name, shape) = (listing.name, Some(Shape { zone, kind, weight, active }));
-            self.endpoints
-                .insert(endpoint, Known { name, group, address, listed, shape, named, bundle, since_ms });
+            let (name, shape) = (listing.name, Some(EndpointAttributes { zone, kind, weight, active }));
+            self.endpoints.insert(
+                endpoint,
+                KnownEndpoint { name, group, address, listed, shape, named, bundle, since_ms },
+            );
         }
         if list.snapshot { Event::List(entries) } else { Event::Changes(entries) }
     }
@@ -639,9 +651,10 @@
     fn may_end(&self, clients: usize) -> bool {
         let Some(at) = self.stop_at else { return false };
         let now = self.clock.now();
-        let idle = self.journal.live().is_empty() && clients == 0;
+        let idle = self.journal.pending().is_empty() && clients == 0;
         let called = now < at - STOP_WITHIN + STILL_CALLED;
         // A client whose request is still being read would lose it with the process.
-        (idle && !called && self.unwritten.is_empty()) || (now >= at && self.calls.out() == 0 && clients == 0)
+        (idle && !called && self.unwritten.is_empty())
+            || (now >= at && self.calls.in_flight() == 0 && clients == 0)
     }
 }
--- a/src/net/driver/draining.rs
+++ b/src/net/driver/draining.rs
@@ -5,21 +5,21 @@
 use std::collections::{BTreeSet, HashMap};
 
 use hyper::StatusCode;
-use myrtleyard::drain::{Left, Listed, Marks, Refusal, State};
+use myrtleyard::drain::{Listed, Marks, Refusal, RemainingWork, State};
+use myrtleyard::error_code::CodedError;
 use myrtleyard::interface::*;
-use myrtleyard::told::Told;
 use serde_json::{Value, json};
 
-use super::super::Standing;
-use super::super::control::{Ask, Endpoints, Reply};
-use super::super::listing::{Known, Shape};
+use super::super::ServiceState;
+use super::super::control::{ControlRequest, Endpoints, Reply};
+use super::super::errors::CallError;
+use super::super::listing::{EndpointAttributes, KnownEndpoint};
 use super::super::parts::Part;
-use super::super::parts::draining::Draining;
-use super::super::refusals::NoCall;
+use super::super::parts::draining::DrainingPart;
 use super::{Drain, Driver};
 
 fn not_on() -> Reply {
-    Reply::no(&NoCall::DrainingOff)
+    Reply::call_error(&CallError::DrainingOff)
 }
 
 /// The entries of a list, as the marks are checked against them.
@@ -35,8 +35,8 @@
     /// its messages.
     pub(super) fn service(&mut self, wanted: bool, within: Option<Micros>, said: &mut Vec<Event>) -> bool {
         let before = *self.standing.borrow();
-        let asked = if wanted { Standing::InService } else { Standing::OutOfService };
-        if !matches!(before, Standing::InService | Standing::OutOfService) {
+        let asked = if wanted { ServiceState::InService } else { ServiceState::OutOfService };
+        if !matches!(before, ServiceState::InService | ServiceState::OutOfService) {
             return false;
         }
         let now = self.clock.now();
@@ -63,23 +63,23 @@
     }
 
     /// Answers management calls other than readiness and counters.
-    pub(super) fn control(&mut self, ask: Ask, said: &mut Vec<Event>) -> Reply {
+    pub(super) fn control(&mut self, ask: ControlRequest, said: &mut Vec<Event>) -> Reply {
         match ask {
-            Ask::Drain => Reply::yes(&self.drain_report()),
-            Ask::Endpoints => Reply::yes(&self.endpoints_report()),
-            Ask::Members => self.members(),
-            Ask::Takeover => self.takeover_report(),
-            Ask::Estimates => self.estimate_report(),
-            Ask::Estimate(body) => self.estimate(&body),
-            Ask::Status => self.status_report(),
-            Ask::Start => self.start_report(),
-            Ask::Plans => self.plans_report(),
-            Ask::OutOfService(within) => match self.service(false, within, said) {
-                true => Reply::yes(&self.drain_report()),
+            ControlRequest::Drain => Reply::ok(&self.drain_report()),
+            ControlRequest::Endpoints => Reply::ok(&self.endpoints_report()),
+            ControlRequest::Members => self.members(),
+            ControlRequest::Takeover => self.takeover_report(),
+            ControlRequest::Estimates => self.estimate_report(),
+            ControlRequest::Estimate(body) => self.estimate(&body),
+            ControlRequest::Status => self.status_report(),
+            ControlRequest::Start => self.start_report(),
+            ControlRequest::Plans => self.plans_report(),
+            ControlRequest::OutOfService(within) => match self.service(false, within, said) {
+                true => Reply::ok(&self.drain_report()),
                 // A process that is shutting down can't return to service.
-                false => Reply::no(&NoCall::Leaving(self.standing.borrow().said().trim())),
+                false => Reply::call_error(&CallError::Leaving(self.standing.borrow().status_line().trim())),
             },
-            Ask::DrainEndpoints(Endpoints { names, force }) => {
+            ControlRequest::DrainEndpoints(Endpoints { names, force }) => {
                 let Some(marks) = self.marks() else { return not_on() };
                 let list = self.list_about(names.iter().map(String::as_str));
                 let with = marks.with(&names, force, self.clock.now(), &borrowed(&list));
@@ -99,7 +99,7 @@
                 };
                 self.mark(with, said)
             }
-            Ask::RestoreEndpoints(Endpoints { names, .. }) => {
+            ControlRequest::RestoreEndpoints(Endpoints { names, .. }) => {
                 let Some(marks) = self.marks() else { return not_on() };
                 let without = marks.without(&names);
                 self.mark(without, said)
@@ -111,31 +111,31 @@
     /// restart.
     fn mark(&mut self, marks: Marks, said: &mut Vec<Event>) -> Reply {
         let Some(before) = self.marks() else { return not_on() };
-        let differs = |name: &str| before.on(name).is_some() != marks.on(name).is_some();
+        let differs = |name: &str| before.get(name).is_some() != marks.get(name).is_some();
         let marked = before.iter().chain(marks.iter()).map(|(name, _)| name);
         let changed = marked.filter(|name| differs(name) && self.listing_of(name).is_some());
         let changed: BTreeSet<String> = changed.map(str::to_owned).collect();
         if *before != marks {
-            if let Some(Err(e)) = self.parts.draining.as_mut().map(|draining| draining.keep(marks)) {
-                return Reply::no(&NoCall::Marks(e));
+            if let Some(Err(e)) = self.parts.draining.as_mut().map(|draining| draining.store(marks)) {
+                return Reply::call_error(&CallError::Marks(e));
             }
             said.push(self.relisted(|name| changed.contains(name)));
         }
-        Reply::yes(&json!({"changed": changed, "drained": self.drained_report()}))
+        Reply::ok(&json!({"changed": changed, "drained": self.drained_report()}))
     }
 
     fn marks(&self) -> Option<&Marks> {
-        self.parts.draining.as_ref().map(Draining::marks)
+        self.parts.draining.as_ref().map(DrainingPart::marks)
     }
 
     /// The membership view, with the number of datagrams from addresses outside the tier.
     fn members(&self) -> Reply {
-        let Some(view) = &self.parts.view else {
-            return Reply::no(&NoCall::MembershipOff);
+        let Some(view) = &self.parts.membership else {
+            return Reply::call_error(&CallError::MembershipOff);
         };
         let mut report = view.report(self.clock.now());
-        report["strangers"] = json!(self.peers.as_ref().map(super::Peers::strangers));
-        Reply::yes(&report)
+        report["strangers"] = json!(self.peers.as_ref().map(super::Peers::unknown_senders));
+        Reply::ok(&report)
     }
 
     /// The list as discovery has it; of a long list only the destinations of these endpoints.
@@ -153,12 +153,11 @@
     /// The selected entries of the list, to be passed to the module again with the marks applied.
     pub(super) fn relisted(&self, which: impl Fn(&str) -> bool) -> Event {
         let known = self.endpoints.iter().filter(|(_, known)| known.listed && which(&known.name));
-        let entry = |(endpoint, known): (&EndpointId, &Known)| {
-            let Shape { zone, kind, weight, active } = known.shape?;
+        let entry = |(endpoint, known): (&EndpointId, &KnownEndpoint)| {
+            let EndpointAttributes { zone, kind, weight, active } = known.shape?;
             let listing = if active { Listing::Ready } else { Listing::Draining };
-            let listing = self.marks().map_or(listing, |marks| marks.over(&known.name, listing));
-            let hidden =
-                self.parts.starting.as_ref().is_some_and(|part| part.core.borrow().hides(&known.name));
+            let listing = self.marks().map_or(listing, |marks| marks.apply_to(&known.name, listing));
+            let hidden = self.parts.start.as_ref().is_some_and(|part| part.core.borrow().hides(&known.name));
             let listing = if hidden { Listing::Draining } else { listing };
             let destination = DestinationId(known.group);
             Some(Entry { endpoint: *endpoint, destination, zone, kind, weight, listing })
@@ -169,7 +168,7 @@
     /// Number of messages in flight, by endpoint.
     fn out_by_endpoint(&self) -> HashMap<EndpointId, usize> {
         let mut out = HashMap::new();
-        for (_, _, endpoint) in self.policy.out() {
+        for (_, _, endpoint) in self.policy.outstanding_attempts() {
             *out.entry(endpoint).or_default() += 1;
         }
         out
@@ -189,12 +188,12 @@
     }
 
     fn drain_report(&self) -> Value {
-        let serving = *self.standing.borrow() == Standing::InService;
-        let live = self.journal.live();
-        let left = Left {
+        let serving = *self.standing.borrow() == ServiceState::InService;
+        let live = self.journal.pending();
+        let left = RemainingWork {
             // Messages of this iteration are not in the journal yet.
             owed: live.len() + self.fresh.len(),
-            calls_out: self.calls.out(),
+            calls_out: self.calls.in_flight(),
             clients: self.intake.open(),
             unwritten: self.unwritten.len(),
         };
@@ -202,9 +201,9 @@
         let by = self.drain.and_then(|drain| drain.by);
         let bare = self.marks().map(|marks| {
             let list = self.list_about(marks.iter().map(|(name, _)| name));
-            marks.bare(&borrowed(&list))
+            marks.destinations_without_active(&borrowed(&list))
         });
-        json!({"state": left.state(serving), "standing": self.standing.borrow().said().trim(),
+        json!({"state": left.state(serving), "standing": self.standing.borrow().status_line().trim(),
                "age_ms": self.drain.map(|drain| now.saturating_sub(drain.since) / 1000),
                "left_ms": by.map(|by| by.saturating_sub(now) / 1000),
                "owed": left.owed, "calls_out": left.calls_out, "clients": left.clients,
@@ -217,7 +216,7 @@
         let mut listed: Vec<_> = self.endpoints.iter().filter(|(_, known)| known.listed).collect();
         listed.sort_by(|a, b| a.1.name.cmp(&b.1.name));
         let report = listed.into_iter().map(|(id, known)| {
-            let marked = self.marks().is_some_and(|marks| marks.on(&known.name).is_some());
+            let marked = self.marks().is_some_and(|marks| marks.get(&known.name).is_some());
             json!({"name": known.name, "address": known.address.map(|address| address.to_string()),
                    "destination": known.group, "active": known.active(), "drained_by_operator": marked,
                    "messages_out": out.get(id).copied().unwrap_or(0)})
@@ -237,7 +236,7 @@
         let listed = marks.iter().map(|(name, _)| name).filter(|name| self.listing_of(name).is_some());
         let listed: BTreeSet<String> = listed.map(str::to_owned).collect();
         if let Some(draining) = &mut self.parts.draining {
-            draining.forget(|name| listed.contains(name));
+            draining.remove_unlisted(|name| listed.contains(name));
         }
     }
 }
--- a/src/net/driver/estimating.rs
+++ b/src/net/driver/estimates.rs
@@ -1,11 +1,11 @@
 //! Cost estimates for operators: of a query of the status index, or of a planned run of messages.
 
 use hyper::StatusCode;
-use myrtleyard::estimate::estimator::{self, NoEstimate};
-use myrtleyard::estimate::sending::{self, NoRun, Run};
-use myrtleyard::interface::{DestinationId, Outlook};
+use myrtleyard::coded_error;
+use myrtleyard::estimate::estimator::{self, EstimateError};
+use myrtleyard::estimate::sending::{self, Run, RunError};
+use myrtleyard::interface::{DestinationId, DestinationSummary};
 use myrtleyard::status::Query;
-use myrtleyard::told;
 use serde::Deserialize;
 
 use super::super::control::Reply;
@@ -23,20 +23,20 @@
 
 /// Why there is no estimate.
 #[derive(Debug, thiserror::Error)]
-pub enum Why {
+pub enum EstimateRequestError {
     #[error("estimates are not available: the configuration has no section \"status\"")]
     Off,
     #[error("the request body is not valid JSON of the expected form: {0}")]
     Body(#[from] serde_json::Error),
     #[error("the query can't be estimated: {0}")]
-    Query(#[from] NoEstimate),
+    Query(#[from] EstimateError),
     #[error("the run can't be estimated: {0}")]
-    Run(#[from] NoRun),
+    Run(#[from] RunError),
     #[error("there is no tenant {0}")]
     Tenant(String),
 }
 
-told! { Why {
+coded_error! { EstimateRequestError {
     Off => "estimate.off", "add the sections \"membership\" and \"status\" to the configuration, and start a new process";
     Body => "estimate.body", "send {\"query\": {...}} or {\"run\": {...}} with the fields of docs/estimate.md";
     Tenant => "estimate.tenant", "name one of settings.realms";
@@ -44,13 +44,13 @@
     ..Run;
 } }
 
-impl Why {
+impl EstimateRequestError {
     fn reply(&self) -> Reply {
         let status = match self {
-            Self::Off | Self::Run(NoRun::Nowhere(_)) => StatusCode::NOT_FOUND,
+            Self::Off | Self::Run(RunError::Nowhere(_)) => StatusCode::NOT_FOUND,
             _ => StatusCode::BAD_REQUEST,
         };
-        Reply::told(status, self)
+        Reply::error(status, self)
     }
 }
 
@@ -65,23 +65,23 @@
 
     /// The report on the data that estimates are based on.
     pub(super) fn estimate_report(&self) -> Reply {
-        match &self.parts.estimating {
-            Some(part) => Reply::yes(&part.report(self.clock.now())),
-            None => Why::Off.reply(),
+        match &self.parts.estimate {
+            Some(part) => Reply::ok(&part.report(self.clock.now())),
+            None => EstimateRequestError::Off.reply(),
         }
     }
 
-    fn estimated(&self, body: &[u8]) -> Result<Reply, Why> {
-        let part = self.parts.estimating.as_ref().ok_or(Why::Off)?;
+    fn estimated(&self, body: &[u8]) -> Result<Reply, EstimateRequestError> {
+        let part = self.parts.estimate.as_ref().ok_or(EstimateRequestError::Off)?;
         let names = self.names.borrow();
         let now = self.clock.now();
         match serde_json::from_slice(body)? {
             Asked::Query(query) => {
                 estimator::check(&query)?;
                 if !names.tenants.is_empty() && !names.tenants.contains(&query.tenant) {
-                    return Err(Why::Tenant(query.tenant));
+                    return Err(EstimateRequestError::Tenant(query.tenant));
                 }
-                Ok(Reply::yes(&part.told(now, &query)))
+                Ok(Reply::ok(&part.estimate(now, &query)))
             }
             Asked::Run(run) => {
                 let tenant = names.tenants.iter().position(|tenant| *tenant == run.tenant);
@@ -89,7 +89,7 @@
                 let outlook = |to| self.outlook(to, tenant);
                 let runs = &part.core.runs;
                 let planned = sending::plan(&run, (class, tenant), &self.settings, runs, now, outlook)?;
-                Ok(Reply::yes(&planned.0))
+                Ok(Reply::ok(&planned.0))
             }
         }
     }
@@ -99,7 +99,7 @@
         if let Some(table) = &self.working.table {
             let active = table.of(to).into_iter().filter(|listing| listing.status == "active");
             let kind = |listing: Listing| self.names.borrow().kind(&listing.kind);
-            let bundle = |kind: usize| self.settings.kinds.get(kind).map_or(1, |kind| kind.bundle);
+            let bundle = |kind: usize| self.settings.kinds.get(kind).map_or(1, |kind| kind.max_batch);
             return active.map(|listing| bundle(kind(listing))).collect();
         }
         let listed = self.endpoints.values().filter(|known| known.listed && known.group == to);
@@ -107,10 +107,10 @@
     }
 
     /// The module's route state of a destination, completed with the endpoints in the list.
-    fn outlook(&self, to: DestinationId, tenant: Option<usize>) -> Outlook {
+    fn outlook(&self, to: DestinationId, tenant: Option<usize>) -> DestinationSummary {
         let active = self.active_bundles(to.0);
         let bundle = active.iter().copied().max().unwrap_or(1);
-        let outlook = self.policy.outlook(to, tenant.unwrap_or(usize::MAX));
-        Outlook { endpoints: active.len(), bundle, ..outlook }
+        let outlook = self.policy.destination_summary(to, tenant.unwrap_or(usize::MAX));
+        DestinationSummary { endpoints: active.len(), max_batch: bundle, ..outlook }
     }
 }
--- a/src/net/driver/residing.rs
+++ b/src/net/driver/residency.rs
@@ -8,13 +8,13 @@
 use myrtleyard::endpoints::Bounds;
 use myrtleyard::endpoints::reader::List;
 use myrtleyard::endpoints::table::Table;
+use myrtleyard::error_code::CodedError;
 use myrtleyard::interface::*;
 use myrtleyard::policy::Route;
 use myrtleyard::start::Phase;
-use myrtleyard::told::Told;
 
-use super::super::listing::{Known, ListBody, Listing};
-use super::super::working::{ALL_RESIDENT, Named, WHOLE_AGAIN};
+use super::super::listing::{KnownEndpoint, ListBody, Listing};
+use super::super::working_set::{ALL_RESIDENT, Named, WHOLE_AGAIN};
 use super::Driver;
 
 /// Evictions are at least this far apart, so that most iterations do not scan the endpoints of all resident
@@ -92,8 +92,8 @@
 
     /// Loads the destinations of messages in hand that arrived while the list was short or missing.
     pub(super) fn enter_for_held(&mut self, said: &mut Vec<Event>) {
-        let live = self.journal.live().values().filter(|live| live.given_up.is_none());
-        let held = live.map(|live| live.taken.destination);
+        let live = self.journal.pending().values().filter(|live| live.given_up.is_none());
+        let held = live.map(|live| live.accepted.destination);
         let fresh = self.fresh.values().map(|fresh| fresh.taken.destination);
         let destinations: BTreeSet<u32> = held.chain(fresh).collect();
         for destination in destinations {
@@ -151,7 +151,7 @@
             let (code, remedy) = (why.code(), why.remedy());
             tracing::error!(code, remedy, "a change of the list of endpoints can't be applied: {why}");
         }
-        let worn = self.working.table.as_ref().is_some_and(|table| table.worn());
+        let worn = self.working.table.as_ref().is_some_and(|table| table.needs_rebuild());
         if worn || failed.is_some() {
             self.working.whole_due = true;
         }
@@ -179,14 +179,14 @@
         self.enter_routes(destination, &event);
         said.push(event);
         // During startup it may be cold. Hints from other senders hide no endpoints of a long list.
-        if let Some(starting) = &self.parts.starting
+        if let Some(starting) = &self.parts.start
             && starting.core.borrow().phase().0 != Phase::Steady
         {
             let since = self.cold(now).remove(&destination);
             let mut core = starting.core.borrow_mut();
             for (to, part) in core.parts(since.map(|_| destination)) {
                 let ago = now - since.unwrap_or(now);
-                said.push(Event::Cold { destination: DestinationId(to), ago, part });
+                said.push(Event::ReturnedCold { destination: DestinationId(to), ago, part });
             }
         }
     }
@@ -205,7 +205,7 @@
     fn enter_routes(&mut self, destination: u32, event: &Event) {
         let (Event::List(entries) | Event::Changes(entries)) = event else { return };
         let to = DestinationId(destination);
-        let apart = |kind: usize| self.settings.kinds.get(kind).is_some_and(|kind| kind.routes_apart);
+        let apart = |kind: usize| self.settings.kinds.get(kind).is_some_and(|kind| kind.route_per_endpoint);
         let entries = entries.iter().filter(|entry| entry.destination == to);
         let mut routes: BTreeSet<RouteId> =
             entries.map(|entry| (to, apart(entry.kind).then_some(entry.endpoint))).collect();
@@ -219,7 +219,7 @@
             }
             kept.insert(id, route);
         }
-        self.policy.enter(routes, kept);
+        self.policy.load_destination(routes, kept);
     }
 
     /// Returns the route for an endpoint's name, or none if the name belongs to another destination by now.
@@ -228,7 +228,7 @@
         let Some(name) = name else { return Some((to, None)) };
         let endpoint = self.id_of(&name);
         let (group, bundle) = (to.0, 1);
-        let known = self.endpoints.entry(endpoint).or_insert_with(|| Known {
+        let known = self.endpoints.entry(endpoint).or_insert_with(|| KnownEndpoint {
             name,
             group,
             address: None,
@@ -254,8 +254,9 @@
         self.working.leave_at = now + LEAVE_EVERY;
         let mut left: HashMap<u32, (Vec<(RouteId, Route)>, bool)> = HashMap::new();
         for destination in self.working.idle(now) {
-            let outlook = self.policy.outlook(DestinationId(destination), usize::MAX);
-            let binds = outlook.routes.iter().any(|route| route.cold.is_some() || route.shut_until > now);
+            let outlook = self.policy.destination_summary(DestinationId(destination), usize::MAX);
+            let binds =
+                outlook.routes.iter().any(|route| route.cold_share.is_some() || route.blocked_until > now);
             match self.policy.evict(DestinationId(destination), now) {
                 Some(routes) => drop(left.insert(destination, (routes, binds))),
                 None => self.working.stays(destination, now),
@@ -265,7 +266,7 @@
             return;
         }
         let gone = self.endpoints.extract_if(|_, known| left.contains_key(&known.group));
-        let gone: HashMap<EndpointId, Known> = gone.collect();
+        let gone: HashMap<EndpointId, KnownEndpoint> = gone.collect();
         for (id, known) in &gone {
             self.ids.remove(&known.name);
             self.calls.close_idle(*id);
--- a/src/net/driver/service.rs
+++ b/src/net/driver/service.rs
@@ -20,19 +20,19 @@
 
 use super::super::calls::Calls;
 use super::super::config::{Config, InForce};
-use super::super::figures::Figures;
-use super::super::handover::{self, Claim, Offered, Predecessor};
+use super::super::counters::Counters;
+use super::super::errors::StartError;
+use super::super::handover::{self, FolderLock, Predecessor, PreparedHandover};
 use super::super::intake::Intake;
 use super::super::journal::Journal;
-use super::super::listing::version;
+use super::super::listing::list_version;
 use super::super::mgmt::{self, Mgmt};
 use super::super::parts::Parts;
 use super::super::peers::Peers;
 use super::super::platform::{self, Notice};
-use super::super::refusals::NoStart;
-use super::super::working::Working;
-use super::super::{Clock, Inbound, Standing};
-use super::covered::Covered;
+use super::super::working_set::WorkingSet;
+use super::super::{Clock, Inbound, ServiceState};
+use super::takeover::Covered;
 use super::{Driver, limits};
 
 /// Pause after a failed takeover before the next one may ask, since sending the state is costly.
@@ -48,9 +48,9 @@
 struct Channels {
     inbound: UnboundedSender<Inbound>,
     notices: UnboundedSender<Notice>,
-    standing: watch::Sender<Standing>,
-    stand: watch::Receiver<Standing>,
-    figures: Rc<Figures>,
+    standing: watch::Sender<ServiceState>,
+    stand: watch::Receiver<ServiceState>,
+    counters: Rc<Counters>,
 }
 
 /// Runs the sender until it was asked to shut down and has done so.
@@ -64,22 +64,22 @@
     in_force: InForce,
     inbound: UnboundedSender<Inbound>,
     events: UnboundedReceiver<Inbound>,
-) -> Result<(), NoStart> {
-    let (standing, stand) = watch::channel(Standing::Starting);
-    let figures = Rc::new(Figures::default());
-    figures.name(&config.names);
-    let called_at = open_mgmt(&config, &stand, &figures, in_force, &inbound).await?;
+) -> Result<(), StartError> {
+    let (standing, stand) = watch::channel(ServiceState::Starting);
+    let counters = Rc::new(Counters::default());
+    counters.register_classes(&config.names);
+    let called_at = open_mgmt(&config, &stand, &counters, in_force, &inbound).await?;
     let own_sockets = OWN_SOCKETS + called_at.map_or(0, |_| mgmt::PLACES);
     let places = (config.sockets.saturating_sub(own_sockets) / 2).max(1);
     let (claim, predecessor) = claim(&config, inherited.is_some()).await?;
     let (name, folder, listen, seed) =
         (config.name.clone(), config.state.clone(), config.listen, config.seed);
     let clock = match &predecessor {
-        Some(predecessor) => Clock::new().from(predecessor.knowledge.now),
+        Some(predecessor) => Clock::new().advanced_to(predecessor.state.now),
         None => Clock::new(),
     };
     let (notices, owed) = unbounded_channel();
-    let channels = Channels { inbound: inbound.clone(), notices, standing, stand, figures };
+    let channels = Channels { inbound: inbound.clone(), notices, standing, stand, counters };
     let (mut driver, known) = Driver::open(config, places, clock, channels).await?;
     let (first, followed) = match predecessor {
         Some(predecessor) => {
@@ -94,13 +94,13 @@
     // ended.
     let own_door = inherited.is_none();
     let (listener, address) = open_listener(inherited, listen).await?;
-    driver.standing.send_replace(Standing::InService);
+    driver.standing.send_replace(ServiceState::InService);
     let mut tasks = driver.spawn_tasks(&listener, discovery, owed, seed);
     if claim.is_some() {
         // One handover at a time: what the previous process still reports is passed on to this process alone.
         tasks.push(tokio::task::spawn_local(succeed(folder.clone(), inbound, followed)));
     }
-    let in_hand = driver.journal.live().len();
+    let in_hand = driver.journal.pending().len();
     let called_at = called_at.map_or_else(String::new, |at| format!(", operators call at {at}"));
     tracing::info!("{name} is ready on {address} with {in_hand} messages in hand{called_at}");
     let door = own_door.then_some(listener);
@@ -111,36 +111,39 @@
 /// Opens the management address, if one is configured, and returns the bound address.
 async fn open_mgmt(
     config: &Config,
-    stand: &watch::Receiver<Standing>,
-    figures: &Rc<Figures>,
+    stand: &watch::Receiver<ServiceState>,
+    counters: &Rc<Counters>,
     in_force: InForce,
     inbound: &UnboundedSender<Inbound>,
-) -> Result<Option<SocketAddr>, NoStart> {
+) -> Result<Option<SocketAddr>, StartError> {
     let Some(address) = config.mgmt else { return Ok(None) };
-    let failed = |why| NoStart::Mgmt { address, why };
+    let failed = |why| StartError::Mgmt { address, why };
     let listener = TcpListener::bind(address).await.map_err(failed)?;
     let bound = listener.local_addr().map_err(failed)?;
-    let mgmt = Rc::new(Mgmt::new(stand.clone(), figures.clone(), in_force, inbound.clone()));
+    let mgmt = Rc::new(Mgmt::new(stand.clone(), counters.clone(), in_force, inbound.clone()));
     tokio::task::spawn_local(mgmt.listen(listener));
     Ok(Some(bound))
 }
 
 /// Claims the state folder, if the platform starts new versions beside old ones. Returns the claim and the
 /// process that held it.
-async fn claim(config: &Config, shared: bool) -> Result<(Option<Claim>, Option<Predecessor>), NoStart> {
+async fn claim(
+    config: &Config,
+    shared: bool,
+) -> Result<(Option<FolderLock>, Option<Predecessor>), StartError> {
     if !shared {
         return Ok((None, None));
     }
-    let failed = |why| NoStart::Folder { folder: config.state.clone(), why };
-    let (claim, before) = handover::claim(&config.state).await.map_err(failed)?;
+    let failed = |why| StartError::Folder { folder: config.state.clone(), why };
+    let (claim, before) = handover::acquire_folder(&config.state).await.map_err(failed)?;
     Ok((Some(claim), before))
 }
 
 async fn open_listener(
     inherited: Option<std::net::TcpListener>,
     address: SocketAddr,
-) -> Result<(Rc<TcpListener>, SocketAddr), NoStart> {
-    let failed = |why| NoStart::Listen { address, why };
+) -> Result<(Rc<TcpListener>, SocketAddr), StartError> {
+    let failed = |why| StartError::Listen { address, why };
     let listener = match inherited {
         Some(listener) => TcpListener::from_std(listener),
         None => TcpListener::bind(address).await,
@@ -155,9 +158,11 @@
     if let Some(first) = first {
         let _ = first.await;
     }
-    match handover::successor(&folder).await {
+    match handover::wait_for_successor(&folder).await {
         Ok(stream) => drop(inbound.send(Inbound::Successor(stream))),
-        Err(e) => tracing::warn!("the handover socket can't be opened, no process can take over from this one: {e}"),
+        Err(e) => {
+            tracing::warn!("the handover socket can't be opened, no process can take over from this one: {e}")
+        }
     }
 }
 
@@ -169,22 +174,22 @@
         places: usize,
         clock: Clock,
         channels: Channels,
-    ) -> Result<(Self, List), NoStart> {
-        let Channels { inbound, notices, standing, stand, figures } = channels;
+    ) -> Result<(Self, List), StartError> {
+        let Channels { inbound, notices, standing, stand, counters } = channels;
         let disk = config.disk - Parts::room(&config);
-        let failed = |why| NoStart::Journal { folder: config.state.clone(), why };
+        let failed = |why| StartError::Journal { folder: config.state.clone(), why };
         let journal = Journal::open(&config.state, disk).map_err(failed)?;
-        let peers = Peers::open(&config, inbound.clone()).await.map_err(NoStart::Peers)?;
+        let peers = Peers::open(&config, inbound.clone()).await.map_err(StartError::Peers)?;
         let parts = Parts::open(&config, &config.state, clock.now());
         let names = Rc::new(RefCell::new(config.names));
         let limits = limits(&config.settings, &names.borrow(), places);
         let mut driver = Self {
             clock,
             connections: places,
-            next_message: journal.live().keys().next_back().map_or(0, |last| last.wrapping_add(1)),
+            next_message: journal.pending().keys().next_back().map_or(0, |last| last.wrapping_add(1)),
             journal,
-            calls: Calls::new(limits, figures.clone(), inbound.clone()),
-            figures,
+            calls: Calls::new(limits, counters.clone(), inbound.clone()),
+            counters,
             peers,
             notices,
             wanted: Rc::default(),
@@ -198,10 +203,10 @@
             parts,
             covered: Covered::default(),
             endpoints: HashMap::new(),
-            working: Working::default(),
+            working: WorkingSet::default(),
             ids: HashMap::new(),
             given: 0,
-            index: version(&config.known).0,
+            index: list_version(&config.known).0,
             timers: BTreeSet::new(),
             held: HashMap::new(),
             attempts: HashMap::new(),
@@ -215,7 +220,7 @@
         };
         driver.resume_covered();
         driver.resume_indexed();
-        let kept = driver.parts.starting.as_mut().and_then(|part| part.from.take());
+        let kept = driver.parts.start.as_mut().and_then(|part| part.initial_list.take());
         Ok((driver, kept.map_or(config.known, List::Entries)))
     }
 
@@ -228,14 +233,14 @@
         seed: u64,
     ) -> Vec<JoinHandle<()>> {
         let following = platform::Following::new(&self.settings, self.shared, self.index, seed);
-        let paced = self.parts.starting.as_ref().filter(|_| !self.settings.must_ask);
-        let pace = paced.map(|part| part.pace(self.clock));
-        let (wanted, figures) = (self.wanted.clone(), self.figures.clone());
+        let paced = self.parts.start.as_ref().filter(|_| !self.settings.list_on_request);
+        let pace = paced.map(|part| part.list_pacer(self.clock));
+        let (wanted, counters) = (self.wanted.clone(), self.counters.clone());
         let inbound = self.inbound.clone();
         vec![
             tokio::task::spawn_local(self.intake.clone().listen(listener.clone(), self.connections)),
             tokio::task::spawn_local(platform::notices(discovery.clone(), owed, inbound.clone())),
-            tokio::task::spawn_local(platform::follow(discovery, following, pace, wanted, figures, inbound)),
+            tokio::task::spawn_local(platform::follow(discovery, following, pace, wanted, counters, inbound)),
         ]
     }
 
@@ -261,7 +266,7 @@
                 self.timers.insert(timer);
                 break;
             }
-            said.push(Event::Reminder(timer.1));
+            said.push(Event::Timer(timer.1));
         }
     }
 
@@ -285,7 +290,7 @@
     tasks: Vec<JoinHandle<()>>,
     /// The state folder, and the claim on it if new versions start beside old ones.
     folder: PathBuf,
-    claim: Option<Claim>,
+    claim: Option<FolderLock>,
     /// The clients' listener, unless it is shared with other processes.
     door: Option<Rc<TcpListener>>,
     /// Maximum number of client connections.
@@ -354,7 +359,7 @@
     /// Whether the process ends now. Clients that still wait to be accepted are served first.
     async fn end(&mut self) -> bool {
         if let Some(door) = &self.door {
-            self.driver.intake.admit_waiting(door, self.places).await;
+            self.driver.intake.admit_backlog(door, self.places).await;
         }
         let ends = self.driver.may_end(self.driver.intake.open());
         if ends {
@@ -365,7 +370,7 @@
 
     /// Sends the complete state to a process that asks to take over. If it does not take over, the next one
     /// may ask.
-    async fn offer(&mut self, stream: UnixStream) -> Option<Offered> {
+    async fn offer(&mut self, stream: UnixStream) -> Option<PreparedHandover> {
         // Calls that still wait for a grant after the last iteration end as not made, which the next process
         // is told.
         self.driver.give_waiting_up();
@@ -385,7 +390,7 @@
     }
 
     /// Releases the state folder to the new process, and stays for calls and client requests in progress.
-    async fn leave(self, offered: Offered, claim: Claim) {
+    async fn leave(self, offered: PreparedHandover, claim: FolderLock) {
         for task in self.tasks {
             task.abort();
             let _ = task.await;
--- a/src/net/driver/starting.rs
+++ b/src/net/driver/startup.rs
@@ -7,11 +7,11 @@
 use myrtleyard::interface::*;
 
 use super::super::control::Reply;
-use super::super::journal::Live;
-use super::super::listing::{Listing, Shape};
+use super::super::errors::CallError;
+use super::super::journal::PendingMessage;
+use super::super::listing::{EndpointAttributes, Listing};
 use super::super::parts::Part;
-use super::super::parts::starting::named;
-use super::super::refusals::NoCall;
+use super::super::parts::start::named;
 use super::Driver;
 
 impl Driver {
@@ -20,7 +20,7 @@
         let names = self.names.borrow();
         let name = |names: &[String], at: usize| names.get(at).cloned().unwrap_or_default();
         let listed = self.endpoints.values().filter(|known| known.listed).filter_map(|known| {
-            let Shape { zone, kind, weight, active } = known.shape?;
+            let EndpointAttributes { zone, kind, weight, active } = known.shape?;
             let by_position = || (name(&names.zones, zone.into()), name(&names.kinds, kind));
             let (zone, kind) = known.named.clone().unwrap_or_else(by_position);
             Some(Listing {
@@ -40,14 +40,14 @@
     /// To be called after the driver has processed a list or changes from the list service.
     pub(super) fn start_listed(&mut self) {
         let now = self.clock.now();
-        if self.parts.starting.is_none() {
+        if self.parts.start.is_none() {
             return;
         }
         let beyond = self.working.beyond;
         let list = if beyond { Vec::new() } else { self.told_list() };
-        match &mut self.parts.starting {
-            Some(starting) if beyond => starting.listed_long(now, self.index),
-            Some(starting) => starting.listed(now, self.index, &list),
+        match &mut self.parts.start {
+            Some(starting) if beyond => starting.long_list_received(now, self.index),
+            Some(starting) => starting.list_received(now, self.index, &list),
             None => {}
         }
     }
@@ -55,25 +55,25 @@
     /// Starts from the list that an earlier process had.
     pub(super) fn start_from_known(&mut self) {
         let list = if self.working.beyond { Vec::new() } else { self.told_list() };
-        if let Some(starting) = &mut self.parts.starting {
-            starting.core.borrow_mut().begins_from(self.index, named(&list));
+        if let Some(starting) = &mut self.parts.start {
+            starting.core.borrow_mut().load_cached(self.index, named(&list));
         }
     }
 
     /// Does the startup work of this iteration.
     pub(super) fn starting(&mut self, said: &mut Vec<Event>) {
         let now = self.clock.now();
-        let Some(starting) = &mut self.parts.starting else { return };
+        let Some(starting) = &mut self.parts.start else { return };
         let (changed, old) = {
             let mut core = starting.core.borrow_mut();
             (core.changed(), core.backlog.take(now))
         };
-        if starting.to_keep(now) && self.working.beyond {
-            starting.keep_none(now);
-        } else if starting.to_keep(now) {
+        if starting.is_store_due(now) && self.working.beyond {
+            starting.discard_cached_list(now);
+        } else if starting.is_store_due(now) {
             let list = self.told_list();
-            if let Some(starting) = &mut self.parts.starting {
-                starting.keep(now, &list);
+            if let Some(starting) = &mut self.parts.start {
+                starting.store_list(now, &list);
             }
         }
         if !changed.is_empty() {
@@ -98,49 +98,55 @@
     /// While this sender starts up, tells the module which destinations are cold since their own start, and
     /// this sender's share of their capacity.
     fn share_cold(&mut self, now: Micros, said: &mut Vec<Event>) {
-        let Some(starting) = &self.parts.starting else { return };
+        let Some(starting) = &self.parts.start else { return };
         let mut core = starting.core.borrow_mut();
-        if !core.shares(now) {
+        if !core.shares_due(now) {
             return;
         }
         let mut held: BTreeMap<u32, usize> = BTreeMap::new();
-        for live in self.journal.live().values().filter(|live| live.given_up.is_none()) {
-            *held.entry(live.taken.destination).or_default() += 1;
+        for live in self.journal.pending().values().filter(|live| live.given_up.is_none()) {
+            *held.entry(live.accepted.destination).or_default() += 1;
         }
-        core.holds(held);
+        core.set_held(held);
         let cold = self.cold(now);
         for (destination, part) in core.parts(cold.keys().copied()) {
             let ago = now - cold.get(&destination).copied().unwrap_or(now);
-            said.push(Event::Cold { destination: DestinationId(destination), ago, part });
+            said.push(Event::ReturnedCold { destination: DestinationId(destination), ago, part });
         }
     }
 
     /// The time by which a message of an earlier process must be resumed: its deadline, or the end of the
     /// window in which it may be repeated.
-    pub(super) fn pressing(&self, number: u32, live: &Live, now: Micros) -> Micros {
-        live.taken.deadline.min(self.write_by(number, live, None, now).unwrap_or(Micros::MAX))
+    pub(super) fn pressing(&self, number: u32, live: &PendingMessage, now: Micros) -> Micros {
+        live.accepted.deadline.min(self.write_by(number, live, None, now).unwrap_or(Micros::MAX))
     }
 
     /// Resumes messages of earlier processes, as far as this sender still owns them.
     fn resume_old(&mut self, old: Vec<u32>, said: &mut Vec<Event>) {
         let now = self.clock.now();
         for number in old {
-            let Some(live) = self.journal.live().get(&number).filter(|live| live.given_up.is_none()).cloned()
+            let Some(live) =
+                self.journal.pending().get(&number).filter(|live| live.given_up.is_none()).cloned()
             else {
                 continue;
             };
             // A message that another sender owns now stays in the journal until its record is written.
-            if self.held.get(&live.taken.id) != Some(&number) {
+            if self.held.get(&live.accepted.id) != Some(&number) {
                 continue;
             }
-            let class = self.names.borrow().class(&live.taken.class);
+            let class = self.names.borrow().class(&live.accepted.class);
             let Some(class) = class else {
-                self.end_old(number, live.unjudged(), live.taken);
+                self.end_old(number, live.outcome_without_class(), live.accepted);
                 continue;
             };
-            let class = self.as_taken(class, &live.taken, said);
-            let (id, destination) = (&live.taken.id, live.taken.destination);
-            tracing::debug!(id, destination, attempts = live.attempts.len(), "message resumed from the journal");
+            let class = self.as_taken(class, &live.accepted, said);
+            let (id, destination) = (&live.accepted.id, live.accepted.destination);
+            tracing::debug!(
+                id,
+                destination,
+                attempts = live.attempts.len(),
+                "message resumed from the journal"
+            );
             self.resumed(number, class, &live, now, said);
         }
     }
@@ -149,16 +155,16 @@
     /// here on.
     pub(super) fn resume_all(&mut self) -> Vec<Event> {
         let mut said = Vec::new();
-        let old = self.parts.starting.as_ref().map(|part| part.core.borrow_mut().backlog.take(Micros::MAX));
+        let old = self.parts.start.as_ref().map(|part| part.core.borrow_mut().backlog.take(Micros::MAX));
         self.resume_old(old.unwrap_or_default(), &mut said);
         said
     }
 
     /// The report on the progress of startup, for operators.
     pub(super) fn start_report(&self) -> Reply {
-        let Some(starting) = &self.parts.starting else {
-            return Reply::no(&NoCall::StartOff);
+        let Some(starting) = &self.parts.start else {
+            return Reply::call_error(&CallError::StartOff);
         };
-        Reply::yes(&starting.report(self.clock.now()))
+        Reply::ok(&starting.report(self.clock.now()))
     }
 }
--- a/src/net/driver/indexed.rs
+++ b/src/net/driver/status_index.rs
@@ -9,77 +9,93 @@
 
 use super::super::control::{Reply, StatusCall};
 use super::super::intake::Answer;
-use super::super::journal::{GivenUp, Taken};
+use super::super::journal::{AcceptedMessage, GivenUp};
 use super::super::parts::Part;
-use super::super::parts::indexing::end_of;
+use super::super::parts::status::final_state;
 use super::{Driver, Fresh};
 
 fn not_on() -> Reply {
     let why = "the status index is off: the configuration has no section \"status\"";
-    Reply::typed(StatusCode::NOT_FOUND, "status-off", why, "add the section, and start a new process")
+    Reply::error_with_code(
+        StatusCode::NOT_FOUND,
+        "status-off",
+        why,
+        "add the section, and start a new process",
+    )
 }
 
 impl Driver {
     /// Brings the index in line with the messages in the journal at startup.
     pub(super) fn resume_indexed(&mut self) {
         let now = self.clock.now();
-        if let Some(indexing) = &mut self.parts.indexing {
-            indexing.settle(self.journal.live().values(), now);
+        if let Some(indexing) = &mut self.parts.status {
+            indexing.reconcile(self.journal.pending().values(), now);
         }
     }
 
     /// Adds accepted messages to the index and stores it before the clients are answered.
     pub(super) fn index_taken(&mut self, fresh: &BTreeMap<u32, Fresh>, now: Micros) {
-        let Some(indexing) = &mut self.parts.indexing else { return };
+        let Some(indexing) = &mut self.parts.status else { return };
         for fresh in fresh.values() {
-            indexing.taken(&fresh.taken, now, 0);
+            indexing.message_accepted(&fresh.taken, now, 0);
         }
         if !fresh.is_empty() {
-            indexing.keep(now);
+            indexing.store(now);
         }
     }
 
     /// Stores the index, before a log number of it is given to a client.
     pub(super) fn index_kept(&mut self) {
         let now = self.clock.now();
-        if let Some(indexing) = &mut self.parts.indexing {
-            indexing.keep(now);
+        if let Some(indexing) = &mut self.parts.status {
+            indexing.store(now);
         }
     }
 
     /// Adds a message adopted from another sender, which accepted it at `since`.
-    pub(super) fn index_adopted(&mut self, taken: &Taken, since: Micros, epoch: u32, how: Option<GivenUp>) {
+    pub(super) fn index_adopted(
+        &mut self,
+        taken: &AcceptedMessage,
+        since: Micros,
+        epoch: u32,
+        how: Option<GivenUp>,
+    ) {
         let now = self.clock.now();
-        let Some(indexing) = &mut self.parts.indexing else { return };
-        indexing.taken(taken, since, epoch);
+        let Some(indexing) = &mut self.parts.status else { return };
+        indexing.message_accepted(taken, since, epoch);
         if let Some(how) = how {
-            indexing.ended(taken, end_of(how), now);
+            indexing.message_ended(taken, final_state(how), now);
         }
     }
 
     /// Records the outcome of a message that is still in the journal.
     pub(super) fn index_ended(&mut self, number: u32, end: State) {
         let now = self.clock.now();
-        if let (Some(indexing), Some(live)) = (&mut self.parts.indexing, self.journal.live().get(&number)) {
-            indexing.ended(&live.taken, end, now);
+        if let (Some(indexing), Some(live)) = (&mut self.parts.status, self.journal.pending().get(&number)) {
+            indexing.message_ended(&live.accepted, end, now);
         }
     }
 
     /// The answer to the client whose message was accepted: with a session token if its tenant's plan has
     /// sessions.
-    pub(super) fn taken_answer(&self, taken: &Taken) -> Answer {
-        let token = self.parts.reading.as_ref().zip(self.parts.indexing.as_ref());
+    pub(super) fn taken_answer(&self, taken: &AcceptedMessage) -> Answer {
+        let token = self.parts.plans.as_ref().zip(self.parts.status.as_ref());
         let token = token.and_then(|(reading, indexing)| reading.token(taken, indexing));
         token.map_or(Answer::Taken, Answer::TakenAt)
     }
 
     /// The report on plans and reads, for operators.
     pub(super) fn plans_report(&self) -> Reply {
-        match self.parts.reading.as_ref().filter(|reading| reading.is_on()) {
-            Some(reading) => Reply::yes(&reading.report(self.clock.now())),
+        match self.parts.plans.as_ref().filter(|reading| reading.is_on()) {
+            Some(reading) => Reply::ok(&reading.report(self.clock.now())),
             None => {
                 let why = "plans are off: the configuration has no section \"plans\"";
-                Reply::typed(StatusCode::NOT_FOUND, "plans-off", why, "add the section beside \"status\"")
+                Reply::error_with_code(
+                    StatusCode::NOT_FOUND,
+                    "plans-off",
+                    why,
+                    "add the section beside \"status\"",
+                )
             }
         }
     }
@@ -88,9 +104,9 @@
     /// the tenant's plan applies.
     pub(super) fn ask_status(&mut self, call: StatusCall, within: Micros, reply: oneshot::Sender<Reply>) {
         let now = self.clock.now();
-        let facts = self.parts.view.as_ref().map(|view| view.facts(now));
-        let estimating = self.parts.estimating.as_mut();
-        match (&mut self.parts.indexing, &mut self.parts.reading, estimating) {
+        let facts = self.parts.membership.as_ref().map(|view| view.view(now));
+        let estimating = self.parts.estimate.as_mut();
+        match (&mut self.parts.status, &mut self.parts.plans, estimating) {
             (Some(indexing), Some(reading), Some(estimating)) if reading.is_on() => {
                 reading.begin(call, (now, within), reply, (indexing, facts.as_ref(), estimating));
             }
@@ -98,7 +114,7 @@
                 let basis = estimating.as_ref().map(|part| part.core.predict(now, &call.query).basis);
                 let number = indexing.ask(call.query, within, now, reply);
                 if let (Some(part), Some(number), Some(basis)) = (estimating, number, basis) {
-                    part.asked(number, basis);
+                    part.query_started(number, basis);
                 }
             }
             // The caller may have disconnected.
@@ -108,8 +124,8 @@
 
     /// The report on the index, for operators.
     pub(super) fn status_report(&self) -> Reply {
-        match &self.parts.indexing {
-            Some(indexing) => Reply::yes(&indexing.report(self.clock.now())),
+        match &self.parts.status {
+            Some(indexing) => Reply::ok(&indexing.report(self.clock.now())),
             None => not_on(),
         }
     }
--- a/src/net/driver/covered.rs
+++ b/src/net/driver/takeover.rs
@@ -6,17 +6,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use myrtleyard::interface::*;
-use myrtleyard::takeover::Tag;
-use myrtleyard::takeover::lots::{Attempt, Fact, Item, Known, LotId, Said};
+use myrtleyard::takeover::ReplicaTag;
+use myrtleyard::takeover::groups::{Attempt, GroupEvent, Item, MessageState, ReplicaGroupId, Update};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
 use super::super::control::Reply;
-use super::super::journal::{self, GivenUp, Live, Record, Taken, taken_on};
+use super::super::errors::CallError;
+use super::super::journal::{self, AcceptedMessage, GivenUp, PendingMessage, Record, acceptance_records};
 use super::super::parts::Part;
-use super::super::refusals::NoCall;
 use super::turn::PlannedCall;
-use super::{Driver, End, NO_ROOM_AGAIN};
+use super::{Driver, MessageEnd, NO_ROOM_AGAIN};
 
 /// Maximum number of messages adopted in one iteration. It keeps iterations short, so that messages from this
 /// sender's own clients are handled in between.
@@ -29,7 +29,7 @@
 /// The record of a message that its backups store.
 #[derive(Serialize, Deserialize)]
 struct Told {
-    taken: Taken,
+    taken: AcceptedMessage,
     owner: Option<String>,
     /// When it was accepted.
     since: Micros,
@@ -37,7 +37,7 @@
 
 /// A call that waits for its grant.
 pub(super) struct HeldCall {
-    lot: LotId,
+    group: ReplicaGroupId,
     upto: u32,
     since: Micros,
     call: PlannedCall,
@@ -45,7 +45,7 @@
 
 /// A notice that waits for its grant, or for the message's deadline.
 struct HeldNotice {
-    lot: LotId,
+    group: ReplicaGroupId,
     upto: u32,
     until: Micros,
     message: u32,
@@ -56,17 +56,17 @@
 /// A message that waits to be adopted.
 struct Adoption {
     told: Told,
-    tag: Tag,
+    tag: ReplicaTag,
     /// Attempts of its first owner that the backups do not know of started at this time or later.
     heard: Micros,
-    known: Known,
+    known: MessageState,
 }
 
 /// State of replicated messages. It is bounded by the messages in hand and by those of replica groups that
 /// were taken over.
 #[derive(Default)]
 pub(super) struct Covered {
-    numbers: BTreeMap<(LotId, Item), u32>,
+    numbers: BTreeMap<(ReplicaGroupId, Item), u32>,
     calls: Vec<HeldCall>,
     notices: Vec<HeldNotice>,
     /// Sorted by deadline, the latest first.
@@ -90,42 +90,44 @@
 
 impl Told {
     /// The record of a message accepted at `since`.
-    fn of(taken: &Taken, since: Micros) -> Self {
+    fn of(taken: &AcceptedMessage, since: Micros) -> Self {
         Self { taken: taken.clone(), owner: taken.owner.clone(), since }
     }
 }
 
 impl Driver {
     /// Assigns an accepted message to a replica group, if it can be replicated.
-    pub(super) fn place(&mut self, taken: &Taken, now: Micros) -> Option<Tag> {
-        let covering = self.parts.covering.as_mut()?;
+    pub(super) fn place(&mut self, taken: &AcceptedMessage, now: Micros) -> Option<ReplicaTag> {
+        let covering = self.parts.takeover.as_mut()?;
         covering.core.place(taken.body.len(), taken.deadline.saturating_sub(now)).ok()
     }
 
     /// Replicates a message that is in the journal to its backups.
     pub(super) fn cover(&mut self, number: u32, now: Micros) {
-        let Some(Live { taken, covered: Some((tag, since)), .. }) = self.journal.live().get(&number) else {
+        let Some(PendingMessage { accepted: taken, replicated: Some((tag, since)), .. }) =
+            self.journal.pending().get(&number)
+        else {
             return;
         };
         let Ok(record) = postcard::to_allocvec(&Told::of(taken, *since)) else { return };
         let (tag, id) = (tag.clone(), taken.id.clone());
-        tracing::debug!(id, lot = tag.lot.number, covers = ?tag.sides, "message replicated");
-        self.covered.numbers.insert((tag.lot, tag.item), number);
-        self.tell(&tag, Fact::Record(record), now);
+        tracing::debug!(id, lot = tag.group.number, covers = ?tag.backups, "message replicated");
+        self.covered.numbers.insert((tag.group, tag.item), number);
+        self.tell(&tag, Update::Record(record), now);
     }
 
-    fn tell(&mut self, tag: &Tag, fact: Fact, now: Micros) -> Option<u32> {
-        self.parts.covering.as_mut()?.core.tell(now, tag.lot, tag.item, fact)
+    fn tell(&mut self, tag: &ReplicaTag, fact: Update, now: Micros) -> Option<u32> {
+        self.parts.takeover.as_mut()?.core.replicate(now, tag.group, tag.item, fact)
     }
 
     /// Sends the backups an update of a replicated message.
-    pub(super) fn tell_of(&mut self, number: u32, fact: Fact) {
-        let live = self.journal.live().get(&number);
-        if let Some((tag, _)) = live.and_then(|live| live.covered.clone()) {
-            let over = fact == Fact::Over;
+    pub(super) fn tell_of(&mut self, number: u32, fact: Update) {
+        let live = self.journal.pending().get(&number);
+        if let Some((tag, _)) = live.and_then(|live| live.replicated.clone()) {
+            let over = fact == Update::Over;
             self.tell(&tag, fact, self.clock.now());
             if over {
-                self.covered.numbers.remove(&(tag.lot, tag.item));
+                self.covered.numbers.remove(&(tag.group, tag.item));
                 self.drop_waiting(number);
             }
         }
@@ -141,17 +143,21 @@
     }
 
     /// The earliest time at which other senders may have attempted the message, if they may repeat it.
-    pub(super) fn others_first(&mut self, live: &Live, class: usize) -> Option<(Micros, EndpointId)> {
-        let since = live.covered.as_ref()?.1;
+    pub(super) fn others_first(
+        &mut self,
+        live: &PendingMessage,
+        class: usize,
+    ) -> Option<(Micros, EndpointId)> {
+        let since = live.replicated.as_ref()?.1;
         let keyed = matches!(self.settings.classes.get(class)?.effect, Effect::Keyed { .. });
         keyed.then(|| (self.clock.now().saturating_sub(since), self.id_of("")))
     }
 
     /// Whether an attempt may start only with a grant: always if it must not happen twice; for a keyed
     /// message once the endpoint may have forgotten another sender's first attempt.
-    fn needs_grant(&self, message: MessageId, live: &Live, since: Micros, now: Micros) -> bool {
+    fn needs_grant(&self, message: MessageId, live: &PendingMessage, since: Micros, now: Micros) -> bool {
         // A message keeps the class that it was accepted with, whatever the settings are now.
-        let class = self.policy.class_of(message).or_else(|| self.names.borrow().class(&live.taken.class));
+        let class = self.policy.class_of(message).or_else(|| self.names.borrow().class(&live.accepted.class));
         match class.and_then(|class| self.settings.classes.get(class)).map(|class| class.effect) {
             Some(Effect::Repeatable) => false,
             Some(Effect::Keyed { window, .. }) => {
@@ -165,22 +171,23 @@
     /// Replicates the intents of an iteration's calls, and holds back the calls that must wait for their
     /// grant.
     pub(super) fn keep_back(&mut self, calls: Vec<PlannedCall>, now: Micros) -> Vec<PlannedCall> {
-        if self.parts.covering.is_none() {
+        if self.parts.takeover.is_none() {
             return calls;
         }
         let mut free = Vec::with_capacity(calls.len());
         for call in calls {
-            let live = self.journal.live().get(&call.message.0);
-            let Some((live, (tag, since))) = live.and_then(|live| Some((live, live.covered.clone()?))) else {
+            let live = self.journal.pending().get(&call.message.0);
+            let Some((live, (tag, since))) = live.and_then(|live| Some((live, live.replicated.clone()?)))
+            else {
                 free.push(call);
                 continue;
             };
             let needs = self.needs_grant(call.message, live, since, now);
-            let upto = self.tell(&tag, Fact::Intent(call.attempt), now);
-            let owned = self.parts.covering.as_ref().is_some_and(|covering| covering.core.owns(tag.lot));
+            let upto = self.tell(&tag, Update::Intent(call.attempt), now);
+            let owned = self.parts.takeover.as_ref().is_some_and(|covering| covering.core.owns(tag.group));
             match upto {
                 Some(upto) if needs => {
-                    self.covered.calls.push(HeldCall { lot: tag.lot, upto, since: now, call });
+                    self.covered.calls.push(HeldCall { group: tag.group, upto, since: now, call });
                 }
                 // Another sender owns it, which is about to be reported here.
                 None if needs && !owned => self.not_made(call),
@@ -202,7 +209,7 @@
         let calls = std::mem::take(&mut self.covered.calls).into_iter();
         let never = calls.map(|held| {
             let PlannedCall { message, attempt, .. } = held.call;
-            Record::Ended { message: message.0, attempt, never_ran: true }
+            Record::AttemptEnded { message: message.0, attempt, never_ran: true }
         });
         if let Err(e) = self.journal.append(&never.collect::<Vec<_>>()) {
             tracing::error!("writing the journal failed: {e}");
@@ -213,18 +220,18 @@
     /// the message's deadline is sent all the same, with the outcome that is certain by then: nobody can
     /// deliver the message any more.
     pub(super) fn end_told(&mut self, number: u32, how: GivenUp, id: String) {
-        let live = self.journal.live().get(&number);
-        let until = live.map_or(0, |live| live.taken.deadline);
-        let tag = live.and_then(|live| live.covered.clone());
+        let live = self.journal.pending().get(&number);
+        let until = live.map_or(0, |live| live.accepted.deadline);
+        let tag = live.and_then(|live| live.replicated.clone());
         let upto = tag.as_ref().and_then(|(tag, _)| {
-            let upto = self.tell(tag, Fact::GivenUp(how), self.clock.now());
-            upto.map(|upto| (tag.lot, upto))
+            let upto = self.tell(tag, Update::GivenUp(how), self.clock.now());
+            upto.map(|upto| (tag.group, upto))
         });
         match upto {
             // It is too late to wait; `covered` does the same when a held notice is due.
             Some(_) if self.clock.now() >= until => self.notify(number, GivenUp::Undeliverable, id),
-            Some((lot, upto)) => {
-                self.covered.notices.push(HeldNotice { lot, upto, until, message: number, how, id });
+            Some((group, upto)) => {
+                self.covered.notices.push(HeldNotice { group, upto, until, message: number, how, id });
             }
             None => self.notify(number, how, id),
         }
@@ -233,38 +240,42 @@
     /// Resumes the replica groups of an earlier process: asks the backups whether this process may go on with
     /// them.
     pub(super) fn resume_covered(&mut self) {
-        let live = self.journal.live().iter();
-        let tags: Vec<(u32, Tag)> =
-            live.filter_map(|(number, live)| Some((*number, live.covered.clone()?.0))).collect();
+        let live = self.journal.pending().iter();
+        let tags: Vec<(u32, ReplicaTag)> =
+            live.filter_map(|(number, live)| Some((*number, live.replicated.clone()?.0))).collect();
         let now = self.clock.now();
-        let Some(covering) = self.parts.covering.as_mut() else { return };
+        let Some(covering) = self.parts.takeover.as_mut() else { return };
         covering.core.resume(now, tags.iter().map(|(_, tag)| tag.clone()));
-        let alone = tags.iter().filter(|(_, tag)| tag.sides.is_empty());
+        let alone = tags.iter().filter(|(_, tag)| tag.backups.is_empty());
         self.covered.bare.extend(alone.map(|(number, _)| *number));
-        let numbers = tags.into_iter().map(|(number, tag)| ((tag.lot, tag.item), number));
+        let numbers = tags.into_iter().map(|(number, tag)| ((tag.group, tag.item), number));
         self.covered.numbers.extend(numbers);
     }
 
     /// Carries out what followed from other senders' datagrams and from elapsed time.
     pub(super) fn covered(&mut self, said: &mut Vec<Event>) {
-        let Some(covering) = self.parts.covering.as_mut() else { return };
-        for come in covering.core.said() {
+        let Some(covering) = self.parts.takeover.as_mut() else { return };
+        for come in covering.core.take_events() {
             match come {
-                Said::Granted { lot, upto } => self.granted(lot, upto),
-                Said::Adopt { lot, epoch, sides, heard, items } => {
+                GroupEvent::Granted { group, upto } => self.granted(group, upto),
+                GroupEvent::Adopt { group, epoch, backups, last_heard: heard, items } => {
                     tracing::info!(
-                        owner = lot.owner,
-                        lot = lot.number,
+                        owner = group.owner,
+                        lot = group.number,
                         epoch,
                         messages = items.len(),
                         "replica group taken over"
                     );
                     for (item, known) in items {
                         let record = known.record.as_deref().unwrap_or_default();
-                        let tag = Tag { lot, epoch, item, sides: sides.clone() };
+                        let tag = ReplicaTag { group, epoch, item, backups: backups.clone() };
                         let Ok(told) = postcard::from_bytes::<Told>(record) else {
-                            tracing::error!(lot = lot.number, item, "the replicated record of a message can't be decoded; the message is dropped");
-                            self.tell(&tag, Fact::Over, self.clock.now());
+                            tracing::error!(
+                                lot = group.number,
+                                item,
+                                "the replicated record of a message can't be decoded; the message is dropped"
+                            );
+                            self.tell(&tag, Update::Over, self.clock.now());
                             continue;
                         };
                         let heard = heard.max(told.since);
@@ -272,27 +283,27 @@
                     }
                     self.covered.adoptions.sort_by_key(|a| std::cmp::Reverse(a.told.taken.deadline));
                 }
-                Said::Alone(lot) => {
-                    let (from, to) = ((lot, Item::MIN), (lot, Item::MAX));
+                GroupEvent::SoleOwner(group) => {
+                    let (from, to) = ((group, Item::MIN), (group, Item::MAX));
                     self.covered
                         .bare
                         .extend(self.covered.numbers.range(from..=to).map(|(_, number)| *number));
                 }
-                Said::Lost { lot, items } => {
-                    self.covered.adoptions.retain(|a| a.tag.lot != lot || !items.contains(&a.tag.item));
-                    items.into_iter().for_each(|item| self.elsewhere((lot, item), said));
+                GroupEvent::Lost { group, items } => {
+                    self.covered.adoptions.retain(|a| a.tag.group != group || !items.contains(&a.tag.item));
+                    items.into_iter().for_each(|item| self.elsewhere((group, item), said));
                 }
-                Said::Over(lot, item) => {
-                    self.covered.adoptions.retain(|a| (a.tag.lot, a.tag.item) != (lot, item));
-                    if let Some(covering) = &mut self.parts.covering {
-                        covering.core.tell(self.clock.now(), lot, item, Fact::Over);
+                GroupEvent::Finished(group, item) => {
+                    self.covered.adoptions.retain(|a| (a.tag.group, a.tag.item) != (group, item));
+                    if let Some(covering) = &mut self.parts.takeover {
+                        covering.core.replicate(self.clock.now(), group, item, Update::Over);
                     }
-                    self.elsewhere((lot, item), said);
+                    self.elsewhere((group, item), said);
                 }
             }
         }
         let now = self.clock.now();
-        let lease = self.parts.covering.as_ref().map_or(0, |covering| covering.core.lease());
+        let lease = self.parts.takeover.as_ref().map_or(0, |covering| covering.core.lease());
         let late = |held: &mut HeldCall| now > held.since + lease.min(WAITS_FOR);
         let late: Vec<HeldCall> = self.covered.calls.extract_if(.., late).collect();
         late.into_iter().for_each(|held| self.not_made(held.call));
@@ -320,44 +331,46 @@
     /// Moves a message whose replica group no other sender can come to own into a new group. Returns false if
     /// that is not possible now.
     fn cover_anew(&mut self, number: u32, now: Micros) -> bool {
-        let Some(live) = self.journal.live().get(&number).cloned() else { return true };
-        let Some((old, since)) = live.covered.clone() else { return true };
-        let left = live.taken.deadline.saturating_sub(now);
+        let Some(live) = self.journal.pending().get(&number).cloned() else { return true };
+        let Some((old, since)) = live.replicated.clone() else { return true };
+        let left = live.accepted.deadline.saturating_sub(now);
         if left == 0 {
             return true;
         }
-        let Some(covering) = self.parts.covering.as_mut() else { return true };
-        let Some(tag) = covering.core.place_again(live.taken.body.len(), left) else { return false };
-        let Ok(record) = postcard::to_allocvec(&Told::of(&live.taken, since)) else { return true };
-        if let Err(e) = self.journal.append(&[Record::Covered(number, tag.clone(), since)]) {
+        let Some(covering) = self.parts.takeover.as_mut() else { return true };
+        let Some(tag) = covering.core.place_rereplicated(live.accepted.body.len(), left) else {
+            return false;
+        };
+        let Ok(record) = postcard::to_allocvec(&Told::of(&live.accepted, since)) else { return true };
+        if let Err(e) = self.journal.append(&[Record::Replicated(number, tag.clone(), since)]) {
             tracing::error!("writing the journal failed: {e}");
             return false;
         }
         let attempt = |a: &journal::Attempt| (a.number, Attempt { at: a.at, never_ran: a.never_ran });
-        let known = Known {
+        let known = MessageState {
             record: Some(record),
             attempts: live.attempts.iter().map(attempt).collect(),
             given_up: live.given_up,
             over: false,
         };
-        let id = &live.taken.id;
-        tracing::debug!(id, lot = tag.lot.number, covers = ?tag.sides, "message replicated again, in a new group");
-        if let Some(covering) = self.parts.covering.as_mut() {
-            covering.core.tell_all(now, tag.lot, tag.item, &known);
+        let id = &live.accepted.id;
+        tracing::debug!(id, lot = tag.group.number, covers = ?tag.backups, "message replicated again, in a new group");
+        if let Some(covering) = self.parts.takeover.as_mut() {
+            covering.core.replicate_all(now, tag.group, tag.item, &known);
         }
-        self.tell(&old, Fact::Over, now);
-        self.covered.numbers.remove(&(old.lot, old.item));
-        self.covered.numbers.insert((tag.lot, tag.item), number);
+        self.tell(&old, Update::Over, now);
+        self.covered.numbers.remove(&(old.group, old.item));
+        self.covered.numbers.insert((tag.group, tag.item), number);
         self.covered.anew += 1;
         true
     }
 
-    fn granted(&mut self, lot: LotId, upto: u32) {
+    fn granted(&mut self, group: ReplicaGroupId, upto: u32) {
         let now = self.clock.now();
-        let free = |held: &mut HeldCall| held.lot == lot && held.upto <= upto;
+        let free = |held: &mut HeldCall| held.group == group && held.upto <= upto;
         let free: Vec<HeldCall> = self.covered.calls.extract_if(.., free).collect();
         let owed = |held: &HeldCall| {
-            let live = self.journal.live().get(&held.call.message.0);
+            let live = self.journal.pending().get(&held.call.message.0);
             live.is_some_and(|live| live.given_up.is_none())
         };
         let (free, over): (Vec<HeldCall>, _) = free.into_iter().partition(owed);
@@ -367,20 +380,20 @@
             PlannedCall { timeout, ..call }
         };
         self.begin(free.into_iter().map(left).collect(), now);
-        let told = |held: &mut HeldNotice| held.lot == lot && held.upto <= upto;
+        let told = |held: &mut HeldNotice| held.group == group && held.upto <= upto;
         let told: Vec<HeldNotice> = self.covered.notices.extract_if(.., told).collect();
         told.into_iter().for_each(|held| self.notify(held.message, held.how, held.id));
     }
 
     /// Gives up a message that another sender owns now, or that is over.
-    fn elsewhere(&mut self, place: (LotId, Item), said: &mut Vec<Event>) {
+    fn elsewhere(&mut self, place: (ReplicaGroupId, Item), said: &mut Vec<Event>) {
         let Some(number) = self.covered.numbers.remove(&place) else { return };
         self.drop_waiting(number);
-        let Some(live) = self.journal.live().get(&number) else { return };
-        let id = live.taken.id.clone();
+        let Some(live) = self.journal.pending().get(&number) else { return };
+        let id = live.accepted.id.clone();
         tracing::debug!(id, lot = place.0.number, "message is owned by another sender now, or over");
-        said.push(Event::Left(MessageId(number)));
-        self.unwritten.push(Record::Over(number));
+        said.push(Event::Withdrawn(MessageId(number)));
+        self.unwritten.push(Record::Closed(number));
         self.forget(number, &id);
     }
 
@@ -389,26 +402,26 @@
         let Adoption { told, tag, heard, known } = &from;
         let class = self.names.borrow().class(&told.taken.class);
         let effect = class.and_then(|class| Some(self.settings.classes.get(class)?.effect));
-        let taken = Taken { owner: told.owner.clone(), effect, ..told.taken.clone() };
+        let taken = AcceptedMessage { owner: told.owner.clone(), effect, ..told.taken.clone() };
         if self.held.contains_key(&taken.id) {
             // This sender has the message already by another way, which provides its outcome.
             let tag = tag.clone();
-            self.tell(&tag, Fact::Over, now);
+            self.tell(&tag, Update::Over, now);
             return Ok(());
         }
         let number = self.next_message;
-        let (id, place) = (taken.id.clone(), (tag.lot, tag.item));
-        let mut records: Vec<Record> = taken_on(number, &taken).collect();
-        records.push(Record::Covered(number, tag.clone(), *heard));
+        let (id, place) = (taken.id.clone(), (tag.group, tag.item));
+        let mut records: Vec<Record> = acceptance_records(number, &taken).collect();
+        records.push(Record::Replicated(number, tag.clone(), *heard));
         for (attempt, intended) in &known.attempts {
             let (message, attempt, endpoint) = (number, *attempt, String::new());
-            records.push(Record::Begun { message, attempt, endpoint, at: intended.at });
+            records.push(Record::AttemptBegun { message, attempt, endpoint, at: intended.at });
             if intended.never_ran {
-                records.push(Record::Ended { message, attempt, never_ran: true });
+                records.push(Record::AttemptEnded { message, attempt, never_ran: true });
             }
         }
         let reach = class.is_some()
-            && self.journal.has_room(&taken, 0)
+            && self.journal.has_capacity(&taken, 0)
             && self.policy.held() < self.settings.max_open;
         let once = class.is_some_and(|class| self.settings.classes[class].effect == Effect::Once);
         let how = match known.given_up {
@@ -426,20 +439,20 @@
         self.next_message = number.wrapping_add(1);
         self.covered.numbers.insert(place, number);
         self.held.insert(id.clone(), number);
-        if self.parts.covering.as_ref().is_some_and(|covering| covering.core.alone(tag.lot)) {
+        if self.parts.takeover.as_ref().is_some_and(|covering| covering.core.is_sole_owner(tag.group)) {
             self.covered.bare.insert(number);
         }
         self.index_adopted(&taken, told.since, tag.epoch, how);
         let attempts = known.attempts.last_key_value().map_or(0, |(last, _)| last + 1);
-        let (from, destination) = (tag.lot.owner, taken.destination);
+        let (from, destination) = (tag.group.owner, taken.destination);
         tracing::debug!(id, from, destination, attempts, ?how, "message adopted");
         if let Some(how) = how {
             self.covered.beyond_reach += u64::from(!reach);
-            self.figures.ended(&taken.class, End::from(how));
+            self.counters.count_ended(&taken.class, MessageEnd::from(how));
             self.unsaid.push((number, how, id));
             return Ok(());
         }
-        let Some(live) = self.journal.live().get(&number).cloned() else { return Ok(()) };
+        let Some(live) = self.journal.pending().get(&number).cloned() else { return Ok(()) };
         self.resumed(number, class.unwrap_or_default(), &live, now, said);
         Ok(())
     }
@@ -449,11 +462,11 @@
         &mut self,
         number: u32,
         class: usize,
-        live: &Live,
+        live: &PendingMessage,
         now: Micros,
         said: &mut Vec<Event>,
     ) {
-        self.enter(live.taken.destination, said);
+        self.enter(live.accepted.destination, said);
         let mut may_have_run: Vec<_> = live
             .attempts
             .iter()
@@ -463,23 +476,23 @@
         may_have_run.extend(self.others_first(live, class));
         let attempts = live.attempts.last().map_or(0, |last| last.number + 1);
         self.attempts.insert(number, attempts);
-        let message = self.message(number, class, &live.taken, now);
+        let message = self.message(number, class, &live.accepted, now);
         said.push(Event::Resumed { message, attempts: attempts.into(), may_have_run });
     }
 
     /// The report on replication, for operators.
     pub(super) fn takeover_report(&self) -> Reply {
-        let Some(covering) = &self.parts.covering else {
-            return Reply::no(&NoCall::TakeoverOff);
+        let Some(covering) = &self.parts.takeover else {
+            return Reply::call_error(&CallError::TakeoverOff);
         };
         let mut report = covering.report(self.clock.now());
-        let covered = self.journal.live().values().filter(|live| live.covered.is_some()).count();
-        report["in_hand"] = json!({"covered": covered, "all": self.journal.live().len(),
+        let covered = self.journal.pending().values().filter(|live| live.replicated.is_some()).count();
+        report["in_hand"] = json!({"covered": covered, "all": self.journal.pending().len(),
                                    "calls_waiting": self.covered.calls.len(),
                                    "notices_waiting": self.covered.notices.len(),
                                    "adoptions_waiting": self.covered.adoptions.len()});
         report["covered_anew"] = json!(self.covered.anew);
         report["beyond_reach"] = json!(self.covered.beyond_reach);
-        Reply::yes(&report)
+        Reply::ok(&report)
     }
 }
--- a/src/net/driver/turn.rs
+++ b/src/net/driver/turn.rs
@@ -6,12 +6,12 @@
 use myrtleyard::interface::*;
 
 use super::super::calls::{Line, Part};
-use super::super::figures::{End, Now};
-use super::super::handover::Order;
+use super::super::counters::{Gauges, MessageEnd};
+use super::super::handover::SuccessorCommand;
 use super::super::intake::Answer;
-use super::super::journal::{Attempt, GivenUp, Live, Record, Taken, taken_on};
-use super::super::parts::indexing::end_of;
-use super::super::{AttemptOver, Inbound};
+use super::super::journal::{AcceptedMessage, Attempt, GivenUp, PendingMessage, Record, acceptance_records};
+use super::super::parts::status::final_state;
+use super::super::{AttemptEnd, Inbound};
 use super::{Driver, Fresh, NO_ROOM_AGAIN};
 
 /// A call that the decision module asks for, with one message.
@@ -59,15 +59,17 @@
         match self.journal.append(&records) {
             Ok(()) => self.written(fresh, decided.calls, now),
             Err(e) => {
-                tracing::error!("writing the journal failed; no message is accepted and no call started: {e}");
+                tracing::error!(
+                    "writing the journal failed; no message is accepted and no call started: {e}"
+                );
                 records.truncate(kept);
                 self.withhold(records, fresh, &decided.calls);
             }
         }
-        self.figures.stand(Now {
+        self.counters.set_gauges(Gauges {
             current: self.policy.held(),
             cluster_size: self.endpoints_listed(),
-            cluster_unhealthy: self.policy.avoided(),
+            cluster_unhealthy: self.policy.unhealthy_endpoints(),
             resident: self.working.resident(),
             forgotten: self.working.forgotten,
         });
@@ -88,19 +90,19 @@
             Action::Cancel { message, attempt } => {
                 self.calls.cancel(message, attempt);
                 if let Some(predecessor) = &self.predecessor {
-                    let _ = predecessor.send(Order::Cancel(message, attempt));
+                    let _ = predecessor.send(SuccessorCommand::Cancel(message, attempt));
                 }
             }
             Action::Probe(endpoint) => self.probe(endpoint),
             Action::CloseIdle(endpoint) => self.calls.close_idle(endpoint),
             Action::Watch => self.wanted.watch.notify_one(),
             Action::FetchList => self.wanted.whole.notify_one(),
-            Action::Tell { to, content } => {
+            Action::SendNote { to, content } => {
                 if let Some(peers) = &self.peers {
-                    peers.tell(to, &content);
+                    peers.send(to, &content);
                 }
             }
-            Action::Remind { at, token } => {
+            Action::SetTimer { at, token } => {
                 self.timers.insert((at, token));
             }
             Action::Log(line) => tracing::info!("{line}"),
@@ -121,7 +123,7 @@
     /// Rejects a message that was submitted in this iteration.
     fn turn_away(&mut self, number: u32, fresh: Fresh, how: GivenUp) {
         self.forget(number, &fresh.taken.id);
-        self.figures.ended(&fresh.taken.class, how.into());
+        self.counters.count_ended(&fresh.taken.class, how.into());
         let (id, destination) = (&fresh.taken.id, fresh.taken.destination);
         tracing::debug!(id, destination, ?how, "message rejected");
         fresh.answer(match how {
@@ -133,36 +135,36 @@
     /// Ends an accepted message undelivered, and returns the journal record for that if the message is still
     /// owed.
     fn give_up(&mut self, number: u32, how: GivenUp) -> Option<Record> {
-        let live = self.journal.live().get(&number)?;
+        let live = self.journal.pending().get(&number)?;
         let unwritten = self.calls.give_up(MessageId(number));
         let never_ran = |attempt: &Attempt| attempt.never_ran || unwritten.contains(&attempt.number);
         // The module does not know whether a call's request was written. Calls made by other senders are not
         // known here at all.
-        let none_ran = live.covered.is_none() && live.attempts.iter().all(never_ran);
+        let none_ran = live.replicated.is_none() && live.attempts.iter().all(never_ran);
         let how = match how {
             GivenUp::Undeliverable if none_ran => GivenUp::Deferred(0),
             how => how,
         };
-        let id = live.taken.id.clone();
-        let (destination, attempts) = (live.taken.destination, live.attempts.len());
+        let id = live.accepted.id.clone();
+        let (destination, attempts) = (live.accepted.destination, live.attempts.len());
         tracing::debug!(id, destination, attempts, ?how, "message given up");
-        self.figures.ended(&live.taken.class, how.into());
-        self.index_ended(number, end_of(how));
+        self.counters.count_ended(&live.accepted.class, how.into());
+        self.index_ended(number, final_state(how));
         self.unsaid.push((number, how, id));
         Some(Record::GivenUp(number, how))
     }
 
     fn record_taken(&mut self, fresh: &BTreeMap<u32, Fresh>, now: Micros, records: &mut Vec<Record>) {
         for (number, fresh) in fresh {
-            records.extend(taken_on(*number, &fresh.taken));
+            records.extend(acceptance_records(*number, &fresh.taken));
             let tag = self.place(&fresh.taken, now);
-            records.extend(tag.map(|tag| Record::Covered(*number, tag, now)));
+            records.extend(tag.map(|tag| Record::Replicated(*number, tag, now)));
         }
     }
 
     fn record_begun(&self, call: &PlannedCall, now: Micros) -> Record {
         let known = self.endpoints.get(&call.endpoint);
-        Record::Begun {
+        Record::AttemptBegun {
             message: call.message.0,
             attempt: call.attempt,
             endpoint: known.map(|known| known.name.clone()).unwrap_or_default(),
@@ -176,7 +178,7 @@
         self.index_taken(&fresh, now);
         for (number, fresh) in fresh {
             self.cover(number, now);
-            let Taken { id, class, destination, .. } = &fresh.taken;
+            let AcceptedMessage { id, class, destination, .. } = &fresh.taken;
             tracing::debug!(id, class, destination, "message accepted");
             let answer = self.taken_answer(&fresh.taken);
             fresh.answer(answer);
@@ -187,10 +189,10 @@
         let calls = self.keep_back(calls, now);
         self.begin(calls, now);
         self.with_parts(|parts, out| {
-            if let Some(covering) = &mut parts.covering {
+            if let Some(covering) = &mut parts.takeover {
                 covering.flush(now, out);
             }
-            if let Some(indexing) = &mut parts.indexing {
+            if let Some(indexing) = &mut parts.status {
                 indexing.flush(now, out);
             }
         });
@@ -203,8 +205,8 @@
         calls.iter().for_each(|call| self.not_made(*call));
         for (number, fresh) in fresh {
             self.forget(number, &fresh.taken.id);
-            self.figures.ended(&fresh.taken.class, End::Deferred);
-            let _ = self.inbound.send(Inbound::Event(Event::Left(MessageId(number))));
+            self.counters.count_ended(&fresh.taken.class, MessageEnd::Deferred);
+            let _ = self.inbound.send(Inbound::Event(Event::Withdrawn(MessageId(number))));
             fresh.answer(Answer::Refused(NO_ROOM_AGAIN));
         }
     }
@@ -227,13 +229,13 @@
     /// Reports to the module that a call was not made.
     pub(super) fn not_made(&self, call: PlannedCall) {
         let outcome = Outcome::Moot { no_slot: false };
-        let end = AttemptOver::unanswered(call.message, call.attempt, call.endpoint, outcome);
-        let _ = self.inbound.send(Inbound::CallOver(vec![end]));
+        let end = AttemptEnd::unanswered(call.message, call.attempt, call.endpoint, outcome);
+        let _ = self.inbound.send(Inbound::CallEnded(vec![end]));
     }
 
     /// Returns the number of the message's next attempt, if the message is in hand.
     fn attempts_of(&mut self, message: MessageId, fresh: &BTreeMap<u32, Fresh>) -> Option<u16> {
-        let known = fresh.contains_key(&message.0) || self.journal.live().contains_key(&message.0);
+        let known = fresh.contains_key(&message.0) || self.journal.pending().contains_key(&message.0);
         let count = self.attempts.entry(message.0).or_default();
         *count += 1;
         known.then_some(*count - 1)
@@ -251,22 +253,22 @@
     pub(super) fn write_by(
         &self,
         number: u32,
-        live: &Live,
+        live: &PendingMessage,
         attempt: Option<u16>,
         now: Micros,
     ) -> Option<Micros> {
         let class = self.policy.class_of(MessageId(number));
-        let class = class.or_else(|| self.names.borrow().class(&live.taken.class))?;
+        let class = class.or_else(|| self.names.borrow().class(&live.accepted.class))?;
         let effect = self
             .settings
             .classes
             .get(class)?
             .effect
-            .stricter(live.taken.effect.unwrap_or(Effect::Repeatable));
+            .stricter(live.accepted.effect.unwrap_or(Effect::Repeatable));
         let Effect::Keyed { window, .. } = effect else { return None };
         let ran =
             live.attempts.iter().filter(|earlier| Some(earlier.number) != attempt && !earlier.never_ran);
-        let covered = live.covered.as_ref().map(|(_, since)| *since).filter(|since| now < since + window);
+        let covered = live.replicated.as_ref().map(|(_, since)| *since).filter(|since| now < since + window);
         let first = ran.map(|earlier| earlier.at).chain(covered).min()?;
         Some(first.saturating_add(window).saturating_sub(self.settings.repeat_margin(window)))
     }
@@ -309,14 +311,14 @@
     /// Returns the message as part of a call, if it is still owed.
     fn part(&mut self, call: &PlannedCall, now: Micros) -> Option<Part> {
         let PlannedCall { message, attempt, endpoint, timeout } = *call;
-        let live = self.journal.live().get(&message.0)?;
+        let live = self.journal.pending().get(&message.0)?;
         let until = now + timeout;
         let write_by = self.write_by(message.0, live, Some(attempt), now).map_or(until, |by| by.min(until));
         let (until, write_by) = (self.clock.instant(until), self.clock.instant(write_by));
-        if let Some(indexing) = &mut self.parts.indexing {
-            indexing.calling(&live.taken, attempt, self.clock.now());
+        if let Some(indexing) = &mut self.parts.status {
+            indexing.attempt_begun(&live.accepted, attempt, self.clock.now());
         }
-        let Taken { id, key, body, .. } = live.taken.clone();
+        let AcceptedMessage { id, key, body, .. } = live.accepted.clone();
         let name = self.endpoints.get(&endpoint).map_or("", |known| known.name.as_str());
         tracing::debug!(id, attempt, endpoint = name, "attempt started");
         Some(Part { message, attempt, id, key, body, until, write_by })
@@ -325,7 +327,7 @@
     /// An endpoint without a parsable address counts as one that refuses connections.
     fn no_line(&self, endpoint: EndpointId, parts: Vec<Part>) {
         let failed = Outcome::ConnectFailed;
-        let end = |part: Part| AttemptOver::unanswered(part.message, part.attempt, endpoint, failed);
-        let _ = self.inbound.send(Inbound::CallOver(parts.into_iter().map(end).collect()));
+        let end = |part: Part| AttemptEnd::unanswered(part.message, part.attempt, endpoint, failed);
+        let _ = self.inbound.send(Inbound::CallEnded(parts.into_iter().map(end).collect()));
     }
 }
--- a/src/net/refusals.rs
+++ b/src/net/errors.rs
@@ -5,17 +5,17 @@
 use std::path::PathBuf;
 
 use hyper::StatusCode;
-use myrtleyard::told;
+use myrtleyard::coded_error;
 
-use super::config::Wrong;
+use super::config::ConfigError;
 use super::log::NoLog;
 
 /// Why the sender does not start. The process prints the error in one line and ends; it has accepted no
 /// message.
 #[derive(Debug, thiserror::Error)]
-pub enum NoStart {
+pub enum StartError {
     #[error("{0}")]
-    Config(#[from] Wrong),
+    Config(#[from] ConfigError),
     #[error("{0}")]
     Log(#[from] NoLog),
     #[error("NODE_LISTEN_FD={number}: {why}")]
@@ -36,7 +36,7 @@
     Listen { address: SocketAddr, why: io::Error },
 }
 
-told! { NoStart {
+coded_error! { StartError {
     Inherited => "start.inherited", "pass a listening socket at the descriptor, or unset NODE_LISTEN_FD";
     Runtime => "start.runtime", "raise the process's limits of descriptors and memory";
     Signals => "start.signals", "raise the process's limit of descriptors";
@@ -51,7 +51,7 @@
 
 /// Why a management call fails.
 #[derive(Debug, thiserror::Error)]
-pub enum NoCall {
+pub enum CallError {
     #[error("starting")]
     Starting,
     #[error("stopping")]
@@ -90,7 +90,7 @@
     Marks(io::Error),
 }
 
-told! { NoCall {
+coded_error! { CallError {
     Starting => "call.starting", "retry in a second; if it persists after 6 s, read the log";
     Stopping => "call.stopping", "call the process that follows this one";
     Leaving => "call.leaving", "do nothing: a process that is ending does not return; start a new one";
@@ -111,7 +111,7 @@
     Marks => "draining.unwritten", "check that the disk has space and the folder is writable, and retry";
 } }
 
-impl NoCall {
+impl CallError {
     /// The HTTP status of the reply.
     pub fn status(&self) -> StatusCode {
         match self {
--- a/src/net/refusals/tests.rs
+++ b/src/net/errors/tests.rs
@@ -1,29 +1,29 @@
 use std::collections::BTreeSet;
 
-use myrtleyard::drain::{Refusal, Unread};
+use myrtleyard::drain::{MarksUnreadable, Refusal};
 use myrtleyard::endpoints::ListError;
-use myrtleyard::estimate::decide::Cut;
-use myrtleyard::estimate::estimator::NoEstimate;
-use myrtleyard::estimate::sending::NoRun;
-use myrtleyard::estimate::summary::NoFilter;
+use myrtleyard::error_code::CodedError;
+use myrtleyard::estimate::decide::LimitExceeded;
+use myrtleyard::estimate::estimator::EstimateError;
+use myrtleyard::estimate::sending::RunError;
+use myrtleyard::estimate::summary::FilterError;
 use myrtleyard::mesh;
 use myrtleyard::plans::limits::Denied;
-use myrtleyard::plans::token::Unreadable;
-use myrtleyard::start::kept::Unfit;
+use myrtleyard::plans::token::TokenError;
+use myrtleyard::start::cached_list::CachedListError;
 use myrtleyard::status::query;
-use myrtleyard::told::Told;
 
-use super::super::driver::estimating::Why;
+use super::super::driver::estimates::EstimateRequestError;
 use super::*;
 
 /// Codes of error replies without an error type of their own, with the source file that produces them.
 const BARE: [(&str, &[&str]); 2] = [
-    (include_str!("../driver/indexed.rs"), &["status-off", "plans-off"]),
-    (include_str!("../parts/reading.rs"), &["read_wide", "read_late", "read_lost", "plan_cut"]),
+    (include_str!("../driver/status_index.rs"), &["status-off", "plans-off"]),
+    (include_str!("../parts/plans.rs"), &["read_wide", "read_late", "read_lost", "plan_cut"]),
 ];
 
 fn status() -> [&'static str; 3] {
-    use query::Refused::{Busy, Ids, Limit};
+    use query::QueryRejected::{Busy, Ids, Limit};
     let all = [Ids(0), Limit(0), Busy];
     // A new variant must be added to `all`; until it is, this match does not compile.
     all.map(|refused| match refused {
@@ -35,21 +35,21 @@
 #[test]
 fn the_page_has_every_code_of_the_sender() {
     let own = [
-        NoStart::CODES,
-        NoCall::CODES,
-        Wrong::CODES,
+        StartError::CODES,
+        CallError::CODES,
+        ConfigError::CODES,
         NoLog::CODES,
         Refusal::CODES,
-        Unread::CODES,
-        Why::CODES,
-        NoEstimate::CODES,
-        NoRun::CODES,
-        NoFilter::CODES,
-        Cut::CODES,
-        mesh::Refused::CODES,
+        MarksUnreadable::CODES,
+        EstimateRequestError::CODES,
+        EstimateError::CODES,
+        RunError::CODES,
+        FilterError::CODES,
+        LimitExceeded::CODES,
+        mesh::SendError::CODES,
         Denied::CODES,
-        Unreadable::CODES,
-        Unfit::CODES,
+        TokenError::CODES,
+        CachedListError::CODES,
         ListError::CODES,
         &status(),
     ];
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -25,13 +25,13 @@
 
 use super::calls::Calls;
 use super::control::Reply;
-use super::intake::{Answer, HandedIn, Intake};
-use super::journal::Taken;
-use super::listing::Known;
+use super::errors::CallError;
+use super::intake::{Answer, Intake, Submission};
+use super::journal::AcceptedMessage;
+use super::listing::KnownEndpoint;
 use super::names::Names;
-use super::refusals::NoCall;
-use super::working::Working;
-use super::{AttemptOver, Clock, Inbound, STOP_WITHIN, Standing};
+use super::working_set::WorkingSet;
+use super::{AttemptEnd, Clock, Inbound, STOP_WITHIN, ServiceState};
 
 /// Lock file, held by the process that owns the folder.
 const LOCK: &str = "owner";
@@ -51,7 +51,7 @@
 /// The complete state of a sender apart from its journal. Fields are encoded by name, so that versions may
 /// differ in the fields that they add.
 #[derive(Deserialize)]
-pub struct Knowledge {
+pub struct HandoverState {
     /// Time on the old process's clock.
     pub now: Micros,
     /// The decision module after its last turn.
@@ -61,7 +61,7 @@
     /// The names in them.
     pub names: Names,
     /// Endpoints by id.
-    pub endpoints: HashMap<EndpointId, Known>,
+    pub endpoints: HashMap<EndpointId, KnownEndpoint>,
     /// Endpoint ids by name.
     pub ids: HashMap<String, EndpointId>,
     /// Number of endpoint ids assigned.
@@ -78,13 +78,13 @@
     pub attempts: HashMap<u32, u16>,
     /// The resident destinations of a long list; in an older process all are resident.
     #[serde(default)]
-    pub working: Working,
+    pub working: WorkingSet,
 }
 
-/// [`Knowledge`] as the old process serializes it, by reference.
+/// [`HandoverState`] as the old process serializes it, by reference.
 #[derive(Serialize)]
-pub struct Knowing<'a> {
-    /// See [`Knowledge`] for this and the following fields.
+pub struct HandoverStateRef<'a> {
+    /// See [`HandoverState`] for this and the following fields.
     pub now: Micros,
     /// The module.
     pub policy: &'a Policy,
@@ -93,7 +93,7 @@
     /// The names in them.
     pub names: &'a Names,
     /// Endpoints by id.
-    pub endpoints: &'a HashMap<EndpointId, Known>,
+    pub endpoints: &'a HashMap<EndpointId, KnownEndpoint>,
     /// Endpoint ids by name.
     pub ids: &'a HashMap<String, EndpointId>,
     /// Number of endpoint ids assigned.
@@ -109,7 +109,7 @@
     /// Number of attempts begun for each message held.
     pub attempts: &'a HashMap<u32, u16>,
     /// The resident destinations of a long list.
-    pub working: &'a Working,
+    pub working: &'a WorkingSet,
     /// Names of the endpoints that the module treats as drained by operators; older versions require the
     /// field.
     pub drained: BTreeSet<String>,
@@ -118,16 +118,16 @@
 /// Events that the old process forwards to the new one.
 #[derive(Serialize, Deserialize)]
 enum Told {
-    HandedIn { number: u64, taken: Taken, owner: Option<String>, class: usize },
+    HandedIn { number: u64, taken: AcceptedMessage, owner: Option<String>, class: usize },
     Withdrawn(String),
-    CallOver(Vec<AttemptOver>),
+    CallOver(Vec<AttemptEnd>),
     Wait(EndpointId, Micros),
     Probed(EndpointId, Outcome, Vec<f32>),
 }
 
 /// Commands of the new process to the old one.
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Order {
+pub enum SuccessorCommand {
     /// Answer the client whose submission was forwarded under this number.
     Answer(u64, Answer),
     /// Cancel an attempt.
@@ -163,12 +163,12 @@
 }
 
 /// Ownership of the state folder; dropping it releases the lock.
-pub struct Claim(#[expect(dead_code, reason = "the lock is held while the file is open")] File);
+pub struct FolderLock(#[expect(dead_code, reason = "the lock is held while the file is open")] File);
 
 /// The old process and its state.
 pub struct Predecessor {
     /// Its state when it handed over.
-    pub knowledge: Box<Knowledge>,
+    pub state: Box<HandoverState>,
     /// The connection to it.
     pub link: Link,
 }
@@ -180,14 +180,14 @@
 ///
 /// # Errors
 /// Fails when the folder cannot be written.
-pub async fn claim(folder: &Path) -> io::Result<(Claim, Option<Predecessor>)> {
+pub async fn acquire_folder(folder: &Path) -> io::Result<(FolderLock, Option<Predecessor>)> {
     std::fs::create_dir_all(folder)?;
     let lock = OpenOptions::new().create(true).truncate(false).write(true).open(folder.join(LOCK))?;
     let mut predecessor = None;
     let mut said = false;
     loop {
         match lock.try_lock() {
-            Ok(()) => return Ok((Claim(lock), predecessor)),
+            Ok(()) => return Ok((FolderLock(lock), predecessor)),
             Err(TryLockError::WouldBlock) => {}
             Err(TryLockError::Error(e)) => return Err(e),
         }
@@ -210,7 +210,7 @@
     let mut stream = UnixStream::connect(folder.join(SOCKET)).await?;
     stream.write_all(ASK).await?;
     let knowledge = Box::new(read_frame(&mut stream).await?);
-    Ok(Predecessor { knowledge, link: Link(stream) })
+    Ok(Predecessor { state: knowledge, link: Link(stream) })
 }
 
 impl Link {
@@ -219,8 +219,8 @@
     pub fn follow(
         self,
         inbound: UnboundedSender<Inbound>,
-        out: Vec<AttemptOver>,
-    ) -> (UnboundedSender<Order>, JoinHandle<()>) {
+        out: Vec<AttemptEnd>,
+    ) -> (UnboundedSender<SuccessorCommand>, JoinHandle<()>) {
         let (from, to) = self.0.into_split();
         let (orders, ordered) = unbounded_channel();
         tokio::task::spawn_local(pass_on(to, ordered));
@@ -230,15 +230,15 @@
 
 async fn follow(
     mut from: OwnedReadHalf,
-    orders: UnboundedSender<Order>,
+    orders: UnboundedSender<SuccessorCommand>,
     inbound: UnboundedSender<Inbound>,
-    mut out: Vec<AttemptOver>,
+    mut out: Vec<AttemptEnd>,
 ) {
     let mut waiting: HashMap<String, JoinHandle<()>> = HashMap::new();
     while let Ok(told) = read_frame(&mut from).await {
         let said = match told {
             Told::HandedIn { number, taken, owner, class } => {
-                let taken = Taken { owner, ..taken };
+                let taken = AcceptedMessage { owner, ..taken };
                 let (answer, answered) = oneshot::channel();
                 let (id, orders) = (taken.id.clone(), orders.clone());
                 waiting.retain(|_, task| !task.is_finished());
@@ -246,11 +246,11 @@
                     id,
                     tokio::task::spawn_local(async move {
                         if let Ok(answer) = answered.await {
-                            let _ = orders.send(Order::Answer(number, answer));
+                            let _ = orders.send(SuccessorCommand::Answer(number, answer));
                         }
                     }),
                 );
-                Inbound::HandedIn(HandedIn { taken, class, answer })
+                Inbound::Submitted(Submission { taken, class, answer })
             }
             Told::Withdrawn(id) => {
                 // The client is gone. The driver must find the answer channel closed when it handles the
@@ -263,18 +263,18 @@
             }
             Told::CallOver(ends) => {
                 let ended =
-                    |o: &AttemptOver| ends.iter().any(|e| (e.message, e.attempt) == (o.message, o.attempt));
+                    |o: &AttemptEnd| ends.iter().any(|e| (e.message, e.attempt) == (o.message, o.attempt));
                 out.retain(|o| !ended(o));
-                Inbound::CallOver(ends)
+                Inbound::CallEnded(ends)
             }
-            Told::Wait(endpoint, wait) => Inbound::Event(Event::Wait { endpoint, wait }),
+            Told::Wait(endpoint, wait) => Inbound::Event(Event::RetryAfter { endpoint, wait }),
             Told::Probed(endpoint, outcome, report) => {
                 Inbound::Event(Event::Probed { endpoint, outcome, report })
             }
         };
         let _ = inbound.send(said);
     }
-    let _ = inbound.send(Inbound::CallOver(out));
+    let _ = inbound.send(Inbound::CallEnded(out));
 }
 
 async fn pass_on<T: Serialize>(mut to: OwnedWriteHalf, mut values: UnboundedReceiver<T>) {
@@ -286,7 +286,7 @@
 }
 
 /// Waits until the next process requests the folder.
-pub async fn successor(folder: &Path) -> io::Result<UnixStream> {
+pub async fn wait_for_successor(folder: &Path) -> io::Result<UnixStream> {
     let path = folder.join(SOCKET);
     // A socket left by an earlier process is stale.
     let _ = std::fs::remove_file(&path);
@@ -303,7 +303,7 @@
 
 /// A new process that has received this process's state except for the last byte. Without that byte it can do
 /// nothing, and the old process can continue as if there had been no request.
-pub struct Offered {
+pub struct PreparedHandover {
     stream: UnixStream,
     last: u8,
 }
@@ -313,13 +313,16 @@
 /// # Errors
 /// Fails if the new process is gone or does not read, or if the state exceeds the frame limit; then nothing
 /// has changed.
-pub async fn offer(mut stream: UnixStream, knowledge: &impl Serialize) -> io::Result<Offered> {
+pub async fn prepare_handover(
+    mut stream: UnixStream,
+    knowledge: &impl Serialize,
+) -> io::Result<PreparedHandover> {
     let mut frame = frame(knowledge)?;
     let last = frame.pop().unwrap_or_default();
     timeout(TOLD_WITHIN, stream.write_all(&frame)).await??;
     // The write succeeds even if the peer has closed and the state is only in the socket's buffer.
     match stream.try_read(&mut [0]) {
-        Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(Offered { stream, last }),
+        Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(PreparedHandover { stream, last }),
         Err(e) => Err(e),
         Ok(_) => Err(io::ErrorKind::ConnectionAborted.into()),
     }
@@ -341,8 +344,13 @@
 
 impl Relay {
     /// Releases the folder to the new process and forwards all further events to it.
-    pub async fn run(mut self, told: Offered, claim: Claim, mut events: UnboundedReceiver<Inbound>) {
-        let Offered { mut stream, last } = told;
+    pub async fn run(
+        mut self,
+        told: PreparedHandover,
+        claim: FolderLock,
+        mut events: UnboundedReceiver<Inbound>,
+    ) {
+        let PreparedHandover { mut stream, last } = told;
         // The lock is free before the new process can read the last byte.
         drop(claim);
         if !matches!(timeout(TOLD_WITHIN, stream.write_all(&[last])).await, Ok(Ok(()))) {
@@ -355,9 +363,9 @@
         let inbound = self.inbound.clone();
         tokio::task::spawn_local(async move {
             while let Ok(order) = read_frame(&mut from).await {
-                let _ = inbound.send(Inbound::Ordered(Some(order)));
+                let _ = inbound.send(Inbound::SuccessorCommand(Some(order)));
             }
-            let _ = inbound.send(Inbound::Ordered(None));
+            let _ = inbound.send(Inbound::SuccessorCommand(None));
         });
         let mut waiting: BTreeMap<u64, oneshot::Sender<Answer>> = BTreeMap::new();
         let mut handed_in = 0;
@@ -365,7 +373,7 @@
             let inbound = match self.stop_at {
                 // The process ends shortly after its last work is done, or when its time is up.
                 Some(at) => {
-                    let idle = self.intake.open() == 0 && self.calls.out() == 0 && waiting.is_empty();
+                    let idle = self.intake.open() == 0 && self.calls.in_flight() == 0 && waiting.is_empty();
                     if idle && events.is_empty() || self.clock.now() >= at {
                         // Leaves time for the last forwarded frame to be written.
                         tokio::time::sleep(AGAIN).await;
@@ -380,7 +388,7 @@
             };
             let Some(inbound) = inbound else { return };
             let said = match inbound {
-                Inbound::HandedIn(HandedIn { taken, class, answer }) => {
+                Inbound::Submitted(Submission { taken, class, answer }) => {
                     handed_in += 1;
                     waiting.insert(handed_in, answer);
                     let owner = taken.owner.clone();
@@ -390,39 +398,39 @@
                     waiting.retain(|_, answer| !answer.is_closed());
                     Told::Withdrawn(id)
                 }
-                Inbound::CallOver(ends) => Told::CallOver(ends),
-                Inbound::Event(Event::Wait { endpoint, wait }) => Told::Wait(endpoint, wait),
+                Inbound::CallEnded(ends) => Told::CallOver(ends),
+                Inbound::Event(Event::RetryAfter { endpoint, wait }) => Told::Wait(endpoint, wait),
                 Inbound::Event(Event::Probed { endpoint, outcome, report }) => {
                     Told::Probed(endpoint, outcome, report)
                 }
-                Inbound::Ordered(Some(Order::Answer(number, answer))) => {
+                Inbound::SuccessorCommand(Some(SuccessorCommand::Answer(number, answer))) => {
                     // A client that no longer waits has been reported as withdrawn.
                     waiting.remove(&number).map(|waiting| waiting.send(answer));
                     continue;
                 }
-                Inbound::Ordered(Some(Order::Cancel(message, attempt))) => {
+                Inbound::SuccessorCommand(Some(SuccessorCommand::Cancel(message, attempt))) => {
                     self.calls.cancel(message, attempt);
                     continue;
                 }
                 // The new process is gone. The journal holds every message that has not ended.
-                Inbound::Ordered(None) => return,
+                Inbound::SuccessorCommand(None) => return,
                 Inbound::Terminate => {
                     self.stop_at.get_or_insert(self.clock.now() + STOP_WITHIN);
                     continue;
                 }
                 Inbound::Service(_, done) => {
-                    let _ = done.send(Standing::HandedOver);
+                    let _ = done.send(ServiceState::HandedOver);
                     continue;
                 }
                 Inbound::Control(_, reply) | Inbound::StatusQuery(_, _, reply) => {
-                    let _ = reply.send(Reply::no(&NoCall::HandedOver));
+                    let _ = reply.send(Reply::call_error(&CallError::HandedOver));
                     continue;
                 }
                 // Left to the new process, which has its own watch of the list, notices and configuration.
                 Inbound::Event(_)
                 | Inbound::Datagram(..)
-                | Inbound::Listed(_)
-                | Inbound::NoticesKept(_)
+                | Inbound::ListReceived(_)
+                | Inbound::NoticesAcknowledged(_)
                 | Inbound::Reloaded(_)
                 | Inbound::Successor(_) => continue,
             };
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -4,12 +4,12 @@
 #[tokio::test(start_paused = true)]
 async fn a_folder_has_one_owner_at_a_time() -> io::Result<()> {
     let folder = tempfile::tempdir()?;
-    let (first, before) = claim(folder.path()).await?;
+    let (first, before) = acquire_folder(folder.path()).await?;
     assert!(before.is_none());
-    let second = timeout(Duration::from_secs(60), claim(folder.path())).await;
+    let second = timeout(Duration::from_secs(60), acquire_folder(folder.path())).await;
     assert!(second.is_err(), "the claim waits while another process owns the folder");
     drop(first);
-    claim(folder.path()).await?;
+    acquire_folder(folder.path()).await?;
     Ok(())
 }
 
@@ -17,7 +17,7 @@
 #[tokio::test(start_paused = true)]
 async fn only_who_asks_for_it_takes_over() -> io::Result<()> {
     let folder = tempfile::tempdir()?;
-    let asked = successor(folder.path());
+    let asked = wait_for_successor(folder.path());
     let calls = async {
         let path = folder.path().join(SOCKET);
         // The socket exists once the other future has been polled.
@@ -44,13 +44,16 @@
 async fn only_what_can_be_read_and_has_a_reader_is_offered() -> io::Result<()> {
     let (here, there) = UnixStream::pair()?;
     drop(there);
-    assert!(offer(here, &"all").await.is_err(), "the peer has closed");
+    assert!(prepare_handover(here, &"all").await.is_err(), "the peer has closed");
     let (here, mut there) = UnixStream::pair()?;
-    assert!(offer(here, &vec![0u8; FRAME_LIMIT as usize]).await.is_err(), "longer than the frame limit");
+    assert!(
+        prepare_handover(here, &vec![0u8; FRAME_LIMIT as usize]).await.is_err(),
+        "longer than the frame limit"
+    );
     let mut told = Vec::new();
     assert_eq!(there.read_to_end(&mut told).await?, 0, "no part of it is written");
     let (here, mut there) = UnixStream::pair()?;
-    let Offered { mut stream, last } = offer(here, &"all").await?;
+    let PreparedHandover { mut stream, last } = prepare_handover(here, &"all").await?;
     let whole = frame(&"all")?;
     let mut told = vec![0; whole.len() - 1];
     there.read_exact(&mut told).await?;
@@ -66,7 +69,7 @@
     let (here, _there) = UnixStream::pair()?;
     let more_than_a_socket_holds = vec![0u8; 8 << 20];
     let begun = tokio::time::Instant::now();
-    assert!(offer(here, &more_than_a_socket_holds).await.is_err());
+    assert!(prepare_handover(here, &more_than_a_socket_holds).await.is_err());
     assert!(begun.elapsed() < TOLD_WITHIN * 2);
     Ok(())
 }
--- a/src/net/intake.rs
+++ b/src/net/intake.rs
@@ -21,9 +21,9 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc::UnboundedSender, oneshot, watch};
 use tokio::time::{Instant, timeout};
 
-use super::journal::Taken;
+use super::journal::AcceptedMessage;
 use super::names::Names;
-use super::{BODY_LIMIT, Clock, Inbound, STOP_WITHIN, Standing};
+use super::{BODY_LIMIT, Clock, Inbound, STOP_WITHIN, ServiceState};
 
 /// A connection that brings no complete request head within this time is closed, so that idle peers do not
 /// use up the connection limit. The platform drops idle connections after 2 s, and requires an answer or a
@@ -56,9 +56,9 @@
 
 /// A message that a client submits, with the channel for its answer.
 #[derive(Debug)]
-pub struct HandedIn {
+pub struct Submission {
     /// The message.
-    pub taken: Taken,
+    pub taken: AcceptedMessage,
     /// Position of its class in the settings.
     pub class: usize,
     /// Receives the answer.
@@ -83,7 +83,7 @@
     clock: Clock,
     names: Rc<RefCell<Names>>,
     inbound: UnboundedSender<Inbound>,
-    standing: watch::Receiver<Standing>,
+    standing: watch::Receiver<ServiceState>,
     /// When the process was asked to end.
     stopping: Cell<Option<Instant>>,
     open: Cell<usize>,
@@ -112,9 +112,9 @@
 }
 
 /// The answer to a readiness call.
-pub fn readiness(standing: Standing) -> Response<Full<Bytes>> {
-    let ready = standing == Standing::InService;
-    plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, standing.said())
+pub fn readiness(standing: ServiceState) -> Response<Full<Bytes>> {
+    let ready = standing == ServiceState::InService;
+    plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, standing.status_line())
 }
 
 /// Marks a response as the last one on its connection.
@@ -145,7 +145,7 @@
         clock: Clock,
         names: Rc<RefCell<Names>>,
         inbound: UnboundedSender<Inbound>,
-        standing: watch::Receiver<Standing>,
+        standing: watch::Receiver<ServiceState>,
     ) -> Self {
         Self { clock, names, inbound, standing, stopping: Cell::default(), open: Cell::new(0) }
     }
@@ -161,7 +161,7 @@
         let noted = self.clone();
         tokio::task::spawn_local(async move {
             let mut standing = noted.standing.clone();
-            if standing.wait_for(|standing| *standing == Standing::Stopping).await.is_ok() {
+            if standing.wait_for(|standing| *standing == ServiceState::Stopping).await.is_ok() {
                 noted.stopping.set(Some(Instant::now()));
             }
         });
@@ -189,7 +189,7 @@
 
     /// Serves up to `most` connections that are still in the listen backlog. Closing the listener would reset
     /// them, together with the requests that their clients have already written.
-    pub async fn admit_waiting(self: &Rc<Self>, door: &TcpListener, most: usize) {
+    pub async fn admit_backlog(self: &Rc<Self>, door: &TcpListener, most: usize) {
         // Lets the runtime poll its sockets again, so that connections that have arrived since are seen.
         tokio::task::yield_now().await;
         let mut look = Context::from_waker(Waker::noop());
@@ -215,10 +215,10 @@
     /// Whether a connection stays open after the current answer.
     fn keeps(&self) -> bool {
         match *self.standing.borrow() {
-            Standing::InService => true,
-            Standing::Stopping => self.stopping.get().is_none_or(|at| at.elapsed() < KEPT_WHILE_STOPPING),
+            ServiceState::InService => true,
+            ServiceState::Stopping => self.stopping.get().is_none_or(|at| at.elapsed() < KEPT_WHILE_STOPPING),
             // Clients that still connect to a process that is not in service get one answer per connection.
-            Standing::Starting | Standing::OutOfService | Standing::HandedOver => false,
+            ServiceState::Starting | ServiceState::OutOfService | ServiceState::HandedOver => false,
         }
     }
 
@@ -250,7 +250,7 @@
             return bad("Req-Kind or the path does not name a class\n");
         };
         let owner = text(&head.headers, "req-owner").map(str::to_owned);
-        if !self.names.borrow().owns(owner.as_deref()) {
+        if !self.names.borrow().accepts_tenant(owner.as_deref()) {
             return bad("Req-Owner does not name a tenant\n");
         }
         let destination = text(&head.headers, "x-consignee").and_then(|pairs| {
@@ -279,10 +279,19 @@
         let id_said = id.clone();
         // The driver sets the effect from the settings that are in force when it accepts the message.
         let effect = None;
-        let taken = Taken { id: id_said, key, class: class_name, owner, effect, destination, deadline, body };
+        let taken = AcceptedMessage {
+            id: id_said,
+            key,
+            class: class_name,
+            owner,
+            effect,
+            destination,
+            deadline,
+            body,
+        };
         let mut withdrawal = Withdrawal { id: Some(id), inbound: &self.inbound };
         let (answer, answered) = oneshot::channel();
-        let _ = self.inbound.send(Inbound::HandedIn(HandedIn { taken, class, answer }));
+        let _ = self.inbound.send(Inbound::Submitted(Submission { taken, class, answer }));
         let answered = answered.await;
         withdrawal.id = None;
         match answered {
--- a/src/net/intake/tests.rs
+++ b/src/net/intake/tests.rs
@@ -5,7 +5,7 @@
 /// Writes these pieces half a second apart; returns what the peer receives, and after which time it is
 /// disconnected.
 async fn told(pieces: &[&str]) -> std::io::Result<(String, Duration)> {
-    let (intake, _events) = intake(Standing::InService);
+    let (intake, _events) = intake(ServiceState::InService);
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     let local = tokio::task::LocalSet::new();
@@ -72,7 +72,7 @@
 }
 
 /// An intake with one class, and the receiver of its events.
-fn intake(standing: Standing) -> (Rc<Intake>, tokio::sync::mpsc::UnboundedReceiver<Inbound>) {
+fn intake(standing: ServiceState) -> (Rc<Intake>, tokio::sync::mpsc::UnboundedReceiver<Inbound>) {
     let (inbound, events) = tokio::sync::mpsc::unbounded_channel();
     let names = Names { classes: vec!["order".into()], ..Names::default() };
     let (_, standing) = watch::channel(standing);
@@ -88,7 +88,7 @@
 /// Serves a client that has written all of `written` before its connection is accepted. Returns what the
 /// client reads, and the ids of the submitted messages, all of which are accepted.
 async fn crossing(written: Vec<u8>) -> std::io::Result<(std::io::Result<String>, Vec<String>)> {
-    let (intake, mut events) = intake(Standing::OutOfService);
+    let (intake, mut events) = intake(ServiceState::OutOfService);
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let mut client = std::net::TcpStream::connect(listener.local_addr()?)?;
     std::io::Write::write_all(&mut client, &written)?;
@@ -106,7 +106,7 @@
                 loop {
                     tokio::select! {
                         read = &mut read => break read,
-                        Some(said) = events.recv() => if let Inbound::HandedIn(message) = said {
+                        Some(said) = events.recv() => if let Inbound::Submitted(message) = said {
                             ids.push(message.taken.id);
                             let _ = message.answer.send(Answer::Taken);
                         },
@@ -151,7 +151,7 @@
 /// Peers that stay connected after the last answer must not occupy the connections meant for clients.
 #[tokio::test(start_paused = true)]
 async fn a_lingering_close_is_over_in_time() -> std::io::Result<()> {
-    let (intake, _events) = intake(Standing::InService);
+    let (intake, _events) = intake(ServiceState::InService);
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     let local = tokio::task::LocalSet::new();
@@ -179,7 +179,7 @@
 /// and count as open before their task has run.
 #[tokio::test]
 async fn whom_the_backlog_holds_at_the_end_is_served() -> std::io::Result<()> {
-    let (intake, mut events) = intake(Standing::Stopping);
+    let (intake, mut events) = intake(ServiceState::Stopping);
     let door = TcpListener::bind("127.0.0.1:0").await?;
     let mut clients = Vec::new();
     for id in ["first", "second"] {
@@ -190,13 +190,13 @@
     }
     tokio::task::LocalSet::new()
         .run_until(async {
-            intake.admit_waiting(&door, 1).await;
+            intake.admit_backlog(&door, 1).await;
             assert_eq!(intake.open(), 1, "no more than the limit");
-            intake.admit_waiting(&door, 9).await;
+            intake.admit_backlog(&door, 9).await;
             assert_eq!(intake.open(), 2);
             drop(door);
             for _ in &clients {
-                let Some(Inbound::HandedIn(message)) = events.recv().await else { panic!("no submission") };
+                let Some(Inbound::Submitted(message)) = events.recv().await else { panic!("no submission") };
                 let _ = message.answer.send(Answer::Taken);
             }
             for client in &mut clients {
--- a/src/net/journal.rs
+++ b/src/net/journal.rs
@@ -9,17 +9,19 @@
 
 use bytes::Bytes;
 use myrtleyard::interface::{Effect, Micros};
-use myrtleyard::takeover::Tag;
-pub use myrtleyard::takeover::lots::GivenUp;
+use myrtleyard::takeover::ReplicaTag;
+pub use myrtleyard::takeover::groups::GivenUp;
 use serde::{Deserialize, Serialize};
 
 /// An update of a message's state. Times are Unix microseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Record {
     /// The sender has accepted the message and is responsible for it until it ends.
-    Taken(u32, Taken),
+    #[serde(rename = "Taken")]
+    Accepted(u32, AcceptedMessage),
     /// An attempt is about to begin.
-    Begun {
+    #[serde(rename = "Begun")]
+    AttemptBegun {
         /// The message.
         message: u32,
         /// Number of the attempt, from 0.
@@ -30,7 +32,8 @@
         at: Micros,
     },
     /// An attempt ended without ending the message.
-    Ended {
+    #[serde(rename = "Ended")]
+    AttemptEnded {
         /// The message.
         message: u32,
         /// Number of the attempt, from 0.
@@ -41,11 +44,13 @@
     /// The module gave the message up; the platform has not acknowledged the notice yet.
     GivenUp(u32, GivenUp),
     /// The message has ended and nothing about it is outstanding.
-    Over(u32),
+    #[serde(rename = "Over")]
+    Closed(u32),
     /// The message's tenant. A record of its own, after the older ones, so that older journals stay readable.
     Owner(u32, String),
     /// The message is replicated: where its backups are, and since when.
-    Covered(u32, Tag, Micros),
+    #[serde(rename = "Covered")]
+    Replicated(u32, ReplicaTag, Micros),
     /// The effect of repeating the message by the settings in force when it was accepted. A record of its own
     /// and the last variant, for the same reason as `Owner`.
     Effect(u32, Effect),
@@ -53,7 +58,7 @@
 
 /// A message as it was submitted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Taken {
+pub struct AcceptedMessage {
     /// The `Req-Id`.
     pub id: String,
     /// The `Idempotency-Key`.
@@ -90,21 +95,21 @@
 
 /// An accepted message that has not ended.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Live {
+pub struct PendingMessage {
     /// The message as it was submitted.
-    pub taken: Taken,
+    pub accepted: AcceptedMessage,
     /// Its attempts, in order.
     pub attempts: Vec<Attempt>,
     /// The final outcome, if only the notice is outstanding.
     pub given_up: Option<GivenUp>,
     /// Where its backups are, and since when; `None` if the message is not replicated.
-    pub covered: Option<(Tag, Micros)>,
+    pub replicated: Option<(ReplicaTag, Micros)>,
 }
 
-impl Live {
+impl PendingMessage {
     /// The outcome of a message whose class is no longer in the settings, so that the module cannot judge it.
-    pub fn unjudged(&self) -> GivenUp {
-        let untried = self.covered.is_none() && self.attempts.iter().all(|attempt| attempt.never_ran);
+    pub fn outcome_without_class(&self) -> GivenUp {
+        let untried = self.replicated.is_none() && self.attempts.iter().all(|attempt| attempt.never_ran);
         if untried { GivenUp::Deferred(0) } else { GivenUp::Undeliverable }
     }
 }
@@ -123,7 +128,7 @@
     file: File,
     length: u64,
     limit: u64,
-    live: BTreeMap<u32, Live>,
+    live: BTreeMap<u32, PendingMessage>,
     /// Upper bound of the bytes that the pending messages need in a compacted file.
     reserved: u64,
     /// The file may end in a torn record that could not be truncated.
@@ -151,13 +156,13 @@
 }
 
 /// The records that are written when a message is accepted.
-pub fn taken_on(message: u32, taken: &Taken) -> impl Iterator<Item = Record> {
+pub fn acceptance_records(message: u32, taken: &AcceptedMessage) -> impl Iterator<Item = Record> {
     let owner = taken.owner.clone().map(|owner| Record::Owner(message, owner));
     let effect = taken.effect.map(|effect| Record::Effect(message, effect));
-    std::iter::once(Record::Taken(message, taken.clone())).chain(owner).chain(effect)
+    std::iter::once(Record::Accepted(message, taken.clone())).chain(owner).chain(effect)
 }
 
-fn need(taken: &Taken) -> u64 {
+fn need(taken: &AcceptedMessage) -> u64 {
     let texts = taken.key.as_ref().map_or(0, String::len) + taken.owner.as_ref().map_or(0, String::len);
     (taken.body.len() + taken.id.len() + taken.class.len() + texts) as u64 + LATER_RECORDS
 }
@@ -193,18 +198,18 @@
     }
 
     /// The messages that have not ended, by number.
-    pub fn live(&self) -> &BTreeMap<u32, Live> {
+    pub fn pending(&self) -> &BTreeMap<u32, PendingMessage> {
         &self.live
     }
 
     /// Whether there is space to store another message until it ends. During a compaction the old and the new
     /// file exist side by side, so pending messages may use less than half of the limit.
-    pub fn has_room(&self, taken: &Taken, pending: u64) -> bool {
+    pub fn has_capacity(&self, taken: &AcceptedMessage, pending: u64) -> bool {
         self.reserved + pending + need(taken) <= self.limit / 5 * 2
     }
 
-    /// The space that the message would reserve, bytes; see [`Journal::has_room`].
-    pub fn room_for(taken: &Taken) -> u64 {
+    /// The space that the message would reserve, bytes; see [`Journal::has_capacity`].
+    pub fn reservation(taken: &AcceptedMessage) -> u64 {
         need(taken)
     }
 
@@ -236,17 +241,24 @@
 
     fn apply(&mut self, record: Record) {
         match record {
-            Record::Taken(message, taken) => {
+            Record::Accepted(message, taken) => {
                 self.reserved += need(&taken);
-                self.live
-                    .insert(message, Live { taken, attempts: Vec::new(), given_up: None, covered: None });
+                self.live.insert(
+                    message,
+                    PendingMessage {
+                        accepted: taken,
+                        attempts: Vec::new(),
+                        given_up: None,
+                        replicated: None,
+                    },
+                );
             }
-            Record::Begun { message, attempt, endpoint, at } => {
+            Record::AttemptBegun { message, attempt, endpoint, at } => {
                 if let Some(live) = self.live.get_mut(&message) {
                     live.attempts.push(Attempt { number: attempt, endpoint, at, never_ran: false });
                 }
             }
-            Record::Ended { message, attempt, never_ran } => {
+            Record::AttemptEnded { message, attempt, never_ran } => {
                 let live = self.live.get_mut(&message);
                 let mut attempts = live.into_iter().flat_map(|live| &mut live.attempts);
                 if let Some(attempt) = attempts.find(|a| a.number == attempt) {
@@ -258,26 +270,26 @@
                     live.given_up = Some(how);
                 }
             }
-            Record::Over(message) => {
+            Record::Closed(message) => {
                 if let Some(live) = self.live.remove(&message) {
-                    self.reserved -= need(&live.taken) + live.covered.map_or(0, |_| COVERED_RECORD);
+                    self.reserved -= need(&live.accepted) + live.replicated.map_or(0, |_| COVERED_RECORD);
                 }
             }
             Record::Owner(message, owner) => {
                 if let Some(live) = self.live.get_mut(&message) {
-                    self.reserved -= need(&live.taken);
-                    live.taken.owner = Some(owner);
-                    self.reserved += need(&live.taken);
+                    self.reserved -= need(&live.accepted);
+                    live.accepted.owner = Some(owner);
+                    self.reserved += need(&live.accepted);
                 }
             }
             Record::Effect(message, effect) => {
                 if let Some(live) = self.live.get_mut(&message) {
-                    live.taken.effect = Some(effect);
+                    live.accepted.effect = Some(effect);
                 }
             }
-            Record::Covered(message, tag, since) => {
+            Record::Replicated(message, tag, since) => {
                 if let Some(live) = self.live.get_mut(&message)
-                    && live.covered.replace((tag, since)).is_none()
+                    && live.replicated.replace((tag, since)).is_none()
                 {
                     self.reserved += COVERED_RECORD;
                 }
@@ -289,18 +301,18 @@
     fn compact(&mut self) -> io::Result<()> {
         let mut bytes = Vec::new();
         for (message, live) in &self.live {
-            for record in taken_on(*message, &live.taken) {
+            for record in acceptance_records(*message, &live.accepted) {
                 frame(&record, &mut bytes)?;
             }
             for Attempt { number, endpoint, at, never_ran } in live.attempts.iter().cloned() {
                 let (message, attempt) = (*message, number);
-                frame(&Record::Begun { message, attempt, endpoint, at }, &mut bytes)?;
+                frame(&Record::AttemptBegun { message, attempt, endpoint, at }, &mut bytes)?;
                 if never_ran {
-                    frame(&Record::Ended { message, attempt, never_ran: true }, &mut bytes)?;
+                    frame(&Record::AttemptEnded { message, attempt, never_ran: true }, &mut bytes)?;
                 }
             }
-            if let Some((tag, since)) = live.covered.clone() {
-                frame(&Record::Covered(*message, tag, since), &mut bytes)?;
+            if let Some((tag, since)) = live.replicated.clone() {
+                frame(&Record::Replicated(*message, tag, since), &mut bytes)?;
             }
             if let Some(how) = live.given_up {
                 frame(&Record::GivenUp(*message, how), &mut bytes)?;
--- a/src/net/journal/tests.rs
+++ b/src/net/journal/tests.rs
@@ -1,9 +1,9 @@
-use myrtleyard::interface::Group;
+use myrtleyard::interface::DedupScope;
 
 use super::*;
 
-fn taken(size: usize) -> Taken {
-    Taken {
+fn taken(size: usize) -> AcceptedMessage {
+    AcceptedMessage {
         id: "id".into(),
         key: Some("key".into()),
         class: "note".into(),
@@ -15,26 +15,26 @@
     }
 }
 
-const LONGEST: Effect = Effect::Keyed { group: Group::Endpoint, window: u64::MAX };
+const LARGEST_EFFECT: Effect = Effect::Keyed { group: DedupScope::Endpoint, window: u64::MAX };
 
 fn begun(message: u32, attempt: u16) -> Record {
-    Record::Begun { message, attempt, endpoint: "e1".into(), at: 5 }
+    Record::AttemptBegun { message, attempt, endpoint: "e1".into(), at: 5 }
 }
 
 #[test]
 fn what_was_appended_is_read_back() -> io::Result<()> {
     let folder = tempfile::tempdir()?;
     let mut journal = Journal::open(folder.path(), 1_000_000)?;
-    journal.append(&[Record::Taken(1, taken(3)), begun(1, 0), Record::Taken(2, taken(0))])?;
-    journal.append(&[Record::Ended { message: 1, attempt: 0, never_ran: true }, begun(1, 2)])?;
-    journal.append(&[Record::Over(2), Record::Taken(3, taken(1))])?;
+    journal.append(&[Record::Accepted(1, taken(3)), begun(1, 0), Record::Accepted(2, taken(0))])?;
+    journal.append(&[Record::AttemptEnded { message: 1, attempt: 0, never_ran: true }, begun(1, 2)])?;
+    journal.append(&[Record::Closed(2), Record::Accepted(3, taken(1))])?;
     journal.append(&[Record::GivenUp(3, GivenUp::Deferred(9))])?;
     let again = Journal::open(folder.path(), 1_000_000)?;
-    assert_eq!(again.live(), journal.live());
-    let attempts: Vec<_> = again.live()[&1].attempts.iter().map(|a| (a.number, a.never_ran)).collect();
+    assert_eq!(again.pending(), journal.pending());
+    let attempts: Vec<_> = again.pending()[&1].attempts.iter().map(|a| (a.number, a.never_ran)).collect();
     assert_eq!(attempts, [(0, true), (2, false)]);
-    assert_eq!(again.live()[&3].given_up, Some(GivenUp::Deferred(9)));
-    assert_eq!(again.live().keys().copied().collect::<Vec<_>>(), [1, 3]);
+    assert_eq!(again.pending()[&3].given_up, Some(GivenUp::Deferred(9)));
+    assert_eq!(again.pending().keys().copied().collect::<Vec<_>>(), [1, 3]);
     Ok(())
 }
 
@@ -45,16 +45,16 @@
     let folder = tempfile::tempdir()?;
     let limit = 20_000;
     let mut journal = Journal::open(folder.path(), limit)?;
-    let with = Taken { effect: Some(LONGEST), ..taken(3) };
-    let records: Vec<_> = taken_on(1, &with).chain(taken_on(2, &taken(3))).collect();
+    let with = AcceptedMessage { effect: Some(LARGEST_EFFECT), ..taken(3) };
+    let records: Vec<_> = acceptance_records(1, &with).chain(acceptance_records(2, &taken(3))).collect();
     journal.append(&records)?;
     while journal.length <= limit / 2 {
-        journal.append(&taken_on(3, &taken(900)).chain([Record::Over(3)]).collect::<Vec<_>>())?;
+        journal.append(&acceptance_records(3, &taken(900)).chain([Record::Closed(3)]).collect::<Vec<_>>())?;
     }
     journal.compact()?;
     let again = Journal::open(folder.path(), limit)?;
-    let effects: Vec<_> = again.live().values().map(|live| live.taken.effect).collect();
-    assert_eq!(effects, [Some(LONGEST), None]);
+    let effects: Vec<_> = again.pending().values().map(|live| live.accepted.effect).collect();
+    assert_eq!(effects, [Some(LARGEST_EFFECT), None]);
     Ok(())
 }
 
@@ -64,21 +64,21 @@
 fn a_torn_tail_is_cut_off_wherever_it_was_torn() -> io::Result<()> {
     let folder = tempfile::tempdir()?;
     let path = folder.path().join("journal");
-    Journal::open(folder.path(), 1_000_000)?.append(&[Record::Taken(1, taken(3))])?;
+    Journal::open(folder.path(), 1_000_000)?.append(&[Record::Accepted(1, taken(3))])?;
     let whole = fs::read(&path)?;
-    Journal::open(folder.path(), 1_000_000)?.append(&[Record::Taken(2, taken(3))])?;
+    Journal::open(folder.path(), 1_000_000)?.append(&[Record::Accepted(2, taken(3))])?;
     let both = fs::read(&path)?;
     for torn in whole.len()..both.len() {
         fs::write(&path, &both[..torn])?;
         let mut journal = Journal::open(folder.path(), 1_000_000)?;
-        assert_eq!(journal.live().len(), 1, "{torn}");
-        journal.append(&[Record::Taken(3, taken(3))])?;
-        assert_eq!(Journal::open(folder.path(), 1_000_000)?.live().len(), 2, "{torn}");
+        assert_eq!(journal.pending().len(), 1, "{torn}");
+        journal.append(&[Record::Accepted(3, taken(3))])?;
+        assert_eq!(Journal::open(folder.path(), 1_000_000)?.pending().len(), 2, "{torn}");
     }
     let mut bad = both.clone();
     bad[whole.len() + FRAME] ^= 1;
     fs::write(&path, &bad)?;
-    assert_eq!(Journal::open(folder.path(), 1_000_000)?.live().len(), 1, "a changed byte");
+    assert_eq!(Journal::open(folder.path(), 1_000_000)?.pending().len(), 1, "a changed byte");
     Ok(())
 }
 
@@ -93,12 +93,12 @@
     let mut longest = 0;
     for n in 0..2_000 {
         let message = taken(n as usize % 900);
-        if !journal.has_room(&message, 0) {
-            journal.append(&[Record::Over(live.remove(0))])?;
+        if !journal.has_capacity(&message, 0) {
+            journal.append(&[Record::Closed(live.remove(0))])?;
             continue;
         }
         let before = journal.length;
-        journal.append(&[Record::Taken(n, message), begun(n, 0)])?;
+        journal.append(&[Record::Accepted(n, message), begun(n, 0)])?;
         if journal.length < before {
             assert!(before + journal.length <= limit, "{before} and {}", journal.length);
         }
@@ -107,7 +107,7 @@
     }
     assert!(live.len() > 3 && longest > limit / 2, "{} live, {longest} long", live.len());
     let again = Journal::open(folder.path(), limit)?;
-    assert_eq!(again.live(), journal.live());
-    assert_eq!(again.live().keys().copied().collect::<Vec<_>>(), live);
+    assert_eq!(again.pending(), journal.pending());
+    assert_eq!(again.pending().keys().copied().collect::<Vec<_>>(), live);
     Ok(())
 }
--- a/src/net/listing.rs
+++ b/src/net/listing.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The version of a list and, if it is a complete list, its number of entries.
-pub fn version(list: &List) -> (u64, Option<usize>) {
+pub fn list_version(list: &List) -> (u64, Option<usize>) {
     match list {
         List::Entries(list) => (list.index, list.snapshot.then_some(list.endpoints.len())),
         List::Table { index, table } => (*index, Some(table.len())),
@@ -16,7 +16,7 @@
 
 /// An endpoint, as given by the list.
 #[derive(Serialize, Deserialize)]
-pub struct Known {
+pub struct KnownEndpoint {
     /// Name of the endpoint.
     pub name: String,
     /// Its destination.
@@ -27,7 +27,7 @@
     pub listed: bool,
     /// The attributes passed to the module; missing in a handover from an older version.
     #[serde(default)]
-    pub shape: Option<Shape>,
+    pub shape: Option<EndpointAttributes>,
     /// Names of its zone and kind, because positions change with the settings. Missing in a handover from an
     /// older version.
     #[serde(default)]
@@ -41,7 +41,7 @@
 
 /// The attributes that the list gives for an endpoint besides its address.
 #[derive(Clone, Copy, Serialize, Deserialize)]
-pub struct Shape {
+pub struct EndpointAttributes {
     /// Its zone, by position in the settings.
     pub zone: u16,
     /// Its kind, by position in the settings.
@@ -52,7 +52,7 @@
     pub active: bool,
 }
 
-impl Known {
+impl KnownEndpoint {
     /// Whether discovery marks the endpoint as active.
     pub fn active(&self) -> bool {
         self.shape.is_some_and(|shape| shape.active)
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -8,7 +8,7 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-use myrtleyard::told;
+use myrtleyard::coded_error;
 use tracing::callsite::Identifier;
 use tracing::{Event, Subscriber};
 use tracing_subscriber::fmt::MakeWriter;
@@ -17,7 +17,7 @@
 use tracing_subscriber::{EnvFilter, Registry};
 
 /// Maximum number of lines from one callsite in each [`WINDOW`].
-const MOST: u32 = 20;
+const MAX_LINES: u32 = 20;
 const WINDOW: Duration = Duration::from_secs(1);
 
 /// Why the log cannot be set up.
@@ -39,7 +39,7 @@
     Twice(#[from] tracing_subscriber::util::TryInitError),
 }
 
-told! { NoLog {
+coded_error! { NoLog {
     Level => "log.level", "set NODE_LOG to error, warn, info, debug or trace, or unset it";
     Form => "log.form", "set NODE_LOG_FORM to text or json, or unset it";
     Twice => "log.twice", "report it to the developers";
@@ -132,7 +132,7 @@
             left_out = kind.left_out;
             *kind = Kind { since: now, lines: 0, left_out: 0 };
         }
-        if kind.lines == MOST {
+        if kind.lines == MAX_LINES {
             kind.left_out += 1;
             return (false, 0);
         }
--- a/src/net/log/tests.rs
+++ b/src/net/log/tests.rs
@@ -10,7 +10,7 @@
     let now = Instant::now();
     let (Some(one), Some(other)) = (kind(&one), kind(&other)) else { return };
     let through = (0..1000).filter(|_| bounded.admits(one.clone(), now).0).count();
-    assert_eq!(through, MOST as usize);
+    assert_eq!(through, MAX_LINES as usize);
     assert_eq!(bounded.admits(other, now), (true, 0));
-    assert_eq!(bounded.admits(one, now + WINDOW), (true, 1000 - u64::from(MOST)));
+    assert_eq!(bounded.admits(one, now + WINDOW), (true, 1000 - u64::from(MAX_LINES)));
 }
--- a/src/net/mgmt.rs
+++ b/src/net/mgmt.rs
@@ -15,9 +15,9 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use myrtleyard::check;
+use myrtleyard::error_code::CodedError;
 use myrtleyard::interface::Micros;
 use myrtleyard::status::Query;
-use myrtleyard::told::Told;
 use percent_encoding::percent_decode_str;
 use serde::de::DeserializeOwned;
 use serde_json::json;
@@ -26,11 +26,11 @@
 use tokio::time::{Instant, timeout};
 
 use super::config::{self, InForce};
-use super::control::{Ask, Reply, StatusCall};
-use super::figures::Figures;
+use super::control::{ControlRequest, Reply, StatusCall};
+use super::counters::Counters;
+use super::errors::CallError;
 use super::intake::{SESSION_TOKEN, closing, linger, plain, readiness};
-use super::refusals::NoCall;
-use super::{Inbound, Standing};
+use super::{Inbound, ServiceState};
 
 /// Maximum number of connections at a time.
 pub const PLACES: usize = 16;
@@ -57,8 +57,8 @@
 
 /// The management server.
 pub struct Mgmt {
-    standing: watch::Receiver<Standing>,
-    figures: Rc<Figures>,
+    standing: watch::Receiver<ServiceState>,
+    counters: Rc<Counters>,
     in_force: InForce,
     inbound: UnboundedSender<Inbound>,
 }
@@ -66,12 +66,12 @@
 impl Mgmt {
     /// Creates the state shared by all calls.
     pub fn new(
-        standing: watch::Receiver<Standing>,
-        figures: Rc<Figures>,
+        standing: watch::Receiver<ServiceState>,
+        counters: Rc<Counters>,
         in_force: InForce,
         inbound: UnboundedSender<Inbound>,
     ) -> Self {
-        Self { standing, figures, in_force, inbound }
+        Self { standing, counters, in_force, inbound }
     }
 
     /// Accepts calls for as long as the process runs.
@@ -119,26 +119,26 @@
         Ok(closing(match path.as_str() {
             "/control/ready" if get => readiness(*self.standing.borrow()),
             "/control/counters" if get => {
-                let mut response = Response::new(Full::new(Bytes::from(self.figures.json())));
+                let mut response = Response::new(Full::new(Bytes::from(self.counters.json())));
                 response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
                 response
             }
             "/control/out-of-service" if post => match within(request.uri().query()) {
                 Ok(None) => self.service(false).await,
-                Ok(within) => self.ask(Ask::OutOfService(within)).await,
-                Err(why) => answered(Reply::no(&why)),
+                Ok(within) => self.ask(ControlRequest::OutOfService(within)).await,
+                Err(why) => answered(Reply::call_error(&why)),
             },
             "/control/in-service" if post => self.service(true).await,
-            "/control/drain" if get => self.ask(Ask::Drain).await,
-            "/control/endpoints" if get => self.ask(Ask::Endpoints).await,
-            "/control/members" if get => self.ask(Ask::Members).await,
-            "/control/takeover" if get => self.ask(Ask::Takeover).await,
-            "/control/estimate" if get => self.ask(Ask::Estimates).await,
+            "/control/drain" if get => self.ask(ControlRequest::Drain).await,
+            "/control/endpoints" if get => self.ask(ControlRequest::Endpoints).await,
+            "/control/members" if get => self.ask(ControlRequest::Members).await,
+            "/control/takeover" if get => self.ask(ControlRequest::Takeover).await,
+            "/control/estimate" if get => self.ask(ControlRequest::Estimates).await,
             "/control/estimate" if post => {
-                self.ask_with(request, |body| Ok(Ask::Estimate(body.to_vec()))).await
+                self.ask_with(request, |body| Ok(ControlRequest::Estimate(body.to_vec()))).await
             }
-            "/control/status" if get => self.ask(Ask::Status).await,
-            "/control/plans" if get => self.ask(Ask::Plans).await,
+            "/control/status" if get => self.ask(ControlRequest::Status).await,
+            "/control/plans" if get => self.ask(ControlRequest::Plans).await,
             "/control/status/query" if post => {
                 let token = token(&request);
                 let wants =
@@ -147,7 +147,7 @@
                 match whole(request, QUERY_BODY).await {
                     Ok(body) => match serde_json::from_slice(&body) {
                         Ok(query) => self.status(StatusCall { query, token, route, estimate }, begun).await,
-                        Err(e) => answered(Reply::no(&NoCall::Query(e))),
+                        Err(e) => answered(Reply::call_error(&CallError::Query(e))),
                     },
                     Err(no) => answered(no),
                 }
@@ -157,14 +157,14 @@
                     let token = token(&request);
                     self.status(StatusCall { query, token, route, estimate }, begun).await
                 }
-                None => answered(Reply::no(&NoCall::Message)),
+                None => answered(Reply::call_error(&CallError::Message)),
             },
-            "/control/start" if get => self.ask(Ask::Start).await,
+            "/control/start" if get => self.ask(ControlRequest::Start).await,
             "/control/endpoints/drain" if post => {
-                self.ask_with(request, |body| read(body).map(Ask::DrainEndpoints)).await
+                self.ask_with(request, |body| read(body).map(ControlRequest::DrainEndpoints)).await
             }
             "/control/endpoints/restore" if post => {
-                self.ask_with(request, |body| read(body).map(Ask::RestoreEndpoints)).await
+                self.ask_with(request, |body| read(body).map(ControlRequest::RestoreEndpoints)).await
             }
             "/control/config/check" if post => answered(self.check(request).await),
             "/control/ready" | "/control/counters" | "/control/drain" | "/control/endpoints"
@@ -187,34 +187,36 @@
         let (done, how) = oneshot::channel();
         let _ = self.inbound.send(Inbound::Service(wanted, done));
         match how.await {
-            Ok(now @ (Standing::InService | Standing::OutOfService)) => plain(StatusCode::OK, now.said()),
+            Ok(now @ (ServiceState::InService | ServiceState::OutOfService)) => {
+                plain(StatusCode::OK, now.status_line())
+            }
             // A process that is stopping or has handed over does not return to service.
-            Ok(now) => plain(StatusCode::CONFLICT, now.said()),
+            Ok(now) => plain(StatusCode::CONFLICT, now.status_line()),
             Err(_) => plain(StatusCode::SERVICE_UNAVAILABLE, "stopping\n"),
         }
     }
 
     /// Forwards a request to the driver and answers with its reply. While the process is starting there is no
     /// driver to ask.
-    async fn ask(&self, ask: Ask) -> Response<Full<Bytes>> {
-        if *self.standing.borrow() == Standing::Starting {
-            return answered(Reply::no(&NoCall::Starting));
+    async fn ask(&self, ask: ControlRequest) -> Response<Full<Bytes>> {
+        if *self.standing.borrow() == ServiceState::Starting {
+            return answered(Reply::call_error(&CallError::Starting));
         }
         let (reply, replied) = oneshot::channel();
         let _ = self.inbound.send(Inbound::Control(ask, reply));
-        let gone = || Reply::no(&NoCall::Stopping);
+        let gone = || Reply::call_error(&CallError::Stopping);
         answered(replied.await.unwrap_or_else(|_| gone()))
     }
 
     /// Queries the status index of the tier, within what is left of the call's time limit.
     async fn status(&self, call: StatusCall, begun: Instant) -> Response<Full<Bytes>> {
-        if *self.standing.borrow() == Standing::Starting {
-            return answered(Reply::no(&NoCall::Starting));
+        if *self.standing.borrow() == ServiceState::Starting {
+            return answered(Reply::call_error(&CallError::Starting));
         }
         let within = ANSWER_WITHIN.saturating_sub(begun.elapsed()).as_micros() as Micros;
         let (reply, replied) = oneshot::channel();
         let _ = self.inbound.send(Inbound::StatusQuery(Box::new(call), within, reply));
-        let gone = || Reply::no(&NoCall::Stopping);
+        let gone = || Reply::call_error(&CallError::Stopping);
         answered(replied.await.unwrap_or_else(|_| gone()))
     }
 
@@ -222,12 +224,12 @@
     async fn ask_with(
         &self,
         request: Request<Incoming>,
-        read: impl FnOnce(&[u8]) -> Result<Ask, NoCall>,
+        read: impl FnOnce(&[u8]) -> Result<ControlRequest, CallError>,
     ) -> Response<Full<Bytes>> {
         match whole(request, SMALL_BODY).await {
             Ok(body) => match read(&body) {
                 Ok(ask) => self.ask(ask).await,
-                Err(why) => answered(Reply::no(&why)),
+                Err(why) => answered(Reply::call_error(&why)),
             },
             Err(no) => answered(no),
         }
@@ -235,7 +237,7 @@
 
     /// Checks a configuration: its faults, or what it would change. It is not applied and not counted.
     async fn check(&self, request: Request<Incoming>) -> Reply {
-        let text = match whole(request, check::LARGEST).await {
+        let text = match whole(request, check::MAX_DOCUMENT_BYTES).await {
             Ok(text) => text,
             Err(no) => return no,
         };
@@ -245,14 +247,14 @@
             config::check(&text, Some(&in_force)).map(|config| check::changes(&in_force, &config.document))
         });
         match checked.await {
-            Ok(Ok(changes)) => Reply::yes(&json!({"valid": true, "changes": changes})),
+            Ok(Ok(changes)) => Reply::ok(&json!({"valid": true, "changes": changes})),
             Ok(Err(faults)) => {
-                let why = NoCall::Faults(faults.len());
+                let why = CallError::Faults(faults.len());
                 let body = json!({"valid": false, "faults": faults, "code": why.code(),
                                   "error": why.to_string(), "remedy": why.remedy()});
                 Reply::new(why.status(), &body)
             }
-            Err(e) => Reply::no(&NoCall::Check(e)),
+            Err(e) => Reply::call_error(&CallError::Check(e)),
         }
     }
 }
@@ -278,21 +280,21 @@
 async fn whole(request: Request<Incoming>, most: usize) -> Result<Bytes, Reply> {
     match timeout(BODY_WITHIN, Limited::new(request.into_body(), most).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Err(_) => Err(Reply::no(&NoCall::BodyLate)),
-        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(Reply::no(&NoCall::BodyLong(most))),
-        Ok(Err(_)) => Err(Reply::no(&NoCall::BodyCut)),
+        Err(_) => Err(Reply::call_error(&CallError::BodyLate)),
+        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(Reply::call_error(&CallError::BodyLong(most))),
+        Ok(Err(_)) => Err(Reply::call_error(&CallError::BodyCut)),
     }
 }
 
 /// Parses the time limit of a drain: absent, or a whole number of milliseconds over 0.
-fn within(query: Option<&str>) -> Result<Option<Micros>, NoCall> {
+fn within(query: Option<&str>) -> Result<Option<Micros>, CallError> {
     let Some(query) = query else { return Ok(None) };
     let ms = query.strip_prefix("within_ms=").and_then(|ms| ms.parse::<u32>().ok()).filter(|ms| *ms > 0);
-    let ms = ms.ok_or(NoCall::Within)?;
+    let ms = ms.ok_or(CallError::Within)?;
     Ok(Some(Micros::from(ms) * 1000))
 }
 
-fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, NoCall> {
+fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, CallError> {
     Ok(serde_json::from_slice(body)?)
 }
 
--- a/src/net/mgmt/tests.rs
+++ b/src/net/mgmt/tests.rs
@@ -6,7 +6,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_call_is_answered_within_a_second_behind_silent_callers() -> std::io::Result<()> {
     let (inbound, _events) = tokio::sync::mpsc::unbounded_channel();
-    let (_standing, standing) = watch::channel(Standing::InService);
+    let (_standing, standing) = watch::channel(ServiceState::InService);
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     let local = tokio::task::LocalSet::new();
@@ -37,7 +37,7 @@
 #[tokio::test]
 async fn an_answer_to_a_call_that_is_too_long_arrives_whole() -> std::io::Result<()> {
     let (inbound, _events) = tokio::sync::mpsc::unbounded_channel();
-    let (_standing, standing) = watch::channel(Standing::InService);
+    let (_standing, standing) = watch::channel(ServiceState::InService);
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let mut caller = std::net::TcpStream::connect(listener.local_addr()?)?;
     let head = "POST /control/endpoints/drain HTTP/1.1\r\nHost: mgmt\r\nContent-Length: 60000\r\n\r\n";
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -4,12 +4,12 @@
 pub mod calls;
 pub mod config;
 pub mod control;
+pub mod counters;
 pub mod driver;
-pub mod figures;
+pub mod errors;
 pub mod handover;
 pub mod intake;
 pub mod journal;
-pub mod lasting;
 pub mod listing;
 pub mod log;
 pub mod mgmt;
@@ -17,8 +17,8 @@
 pub mod parts;
 pub mod peers;
 pub mod platform;
-pub mod refusals;
-pub mod working;
+pub mod state_file;
+pub mod working_set;
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
@@ -35,7 +35,7 @@
 
 /// Whether this process accepts clients and, if not, why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum ServiceState {
     /// Startup has not finished.
     Starting,
     /// Clients are accepted.
@@ -48,9 +48,9 @@
     Stopping,
 }
 
-impl Standing {
+impl ServiceState {
     /// The line that readiness and service calls answer with.
-    pub fn said(self) -> &'static str {
+    pub fn status_line(self) -> &'static str {
         match self {
             Self::Starting => "starting\n",
             Self::InService => "ready\n",
@@ -65,38 +65,38 @@
 #[derive(Debug)]
 pub enum Inbound {
     /// A client submitted a message.
-    HandedIn(intake::HandedIn),
+    Submitted(intake::Submission),
     /// A client disconnected before it was answered: the message with this `Req-Id` is not accepted.
     Withdrawn(String),
     /// The attempts of one call ended.
-    CallOver(Vec<AttemptOver>),
+    CallEnded(Vec<AttemptEnd>),
     /// An event that is passed to the decision module unchanged.
     Event(Event),
     /// A datagram of another sender, with that sender's rank.
     Datagram(u16, Vec<u8>),
     /// Discovery sent a list of endpoints, or changes to it.
-    Listed(List),
+    ListReceived(List),
     /// The platform has acknowledged the notices of these messages.
-    NoticesKept(Vec<MessageId>),
+    NoticesAcknowledged(Vec<MessageId>),
     /// The process was asked to end.
     Terminate,
     /// A new process of this sender asks to take over.
     Successor(UnixStream),
     /// The new process sent a command; `None` when it has gone.
-    Ordered(Option<handover::Order>),
+    SuccessorCommand(Option<handover::SuccessorCommand>),
     /// The configuration was read again, or the reason why it is rejected.
-    Reloaded(Result<Box<config::Config>, config::Wrong>),
+    Reloaded(Result<Box<config::Config>, config::ConfigError>),
     /// Operators put the process in service (`true`) or out of service. The resulting state is sent back.
-    Service(bool, oneshot::Sender<Standing>),
+    Service(bool, oneshot::Sender<ServiceState>),
     /// Any other request of operators.
-    Control(control::Ask, oneshot::Sender<control::Reply>),
+    Control(control::ControlRequest, oneshot::Sender<control::Reply>),
     /// A query of the status index, with the time within which the answer is due.
     StatusQuery(Box<control::StatusCall>, Micros, oneshot::Sender<control::Reply>),
 }
 
 /// How one attempt ended.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct AttemptOver {
+pub struct AttemptEnd {
     /// The message.
     pub message: MessageId,
     /// Number of the attempt.
@@ -113,7 +113,7 @@
     pub report: Vec<f32>,
 }
 
-impl AttemptOver {
+impl AttemptEnd {
     /// An attempt for which this process has seen no answer.
     pub fn unanswered(message: MessageId, attempt: u16, endpoint: EndpointId, outcome: Outcome) -> Self {
         Self { message, attempt, endpoint, outcome, gone: false, took: 0, report: vec![] }
@@ -135,7 +135,7 @@
     }
 
     /// Sets the clock ahead if it is behind `other`, the time of another process's clock.
-    pub fn from(self, other: Micros) -> Self {
+    pub fn advanced_to(self, other: Micros) -> Self {
         Self { base: self.base + other.saturating_sub(self.now()), ..self }
     }
 
--- a/src/net/names.rs
+++ b/src/net/names.rs
@@ -24,7 +24,7 @@
 
 impl Names {
     /// Whether messages of this tenant are accepted. At a site without tenants, all messages are.
-    pub fn owns(&self, tenant: Option<&str>) -> bool {
+    pub fn accepts_tenant(&self, tenant: Option<&str>) -> bool {
         self.tenants.is_empty() || tenant.is_some_and(|tenant| self.tenants.iter().any(|t| t == tenant))
     }
 
@@ -48,7 +48,7 @@
 /// true for a position, because a message uses it, no other class gets that position, so messages under way
 /// keep the class that they were accepted with. The number of positions is at most that of the classes plus
 /// one for each earlier class that is still in use.
-pub fn following(
+pub fn align_positions(
     (mut settings, mut names): (Settings, Names),
     before: &Settings,
     known: &Names,
--- a/src/net/parts/draining.rs
+++ b/src/net/parts/draining.rs
@@ -4,26 +4,26 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use myrtleyard::drain::{Mark, Marks, Unread};
+use myrtleyard::drain::{Mark, Marks, MarksUnreadable};
+use myrtleyard::error_code::CodedError;
 use myrtleyard::interface::{Listing, Micros};
-use myrtleyard::told::Told;
 use serde_json::{Value, json};
 
-use super::super::lasting;
+use super::super::state_file;
 use super::Part;
 
 /// The draining part.
-pub struct Draining {
+pub struct DrainingPart {
     marks: Marks,
     at: PathBuf,
 }
 
-impl Draining {
+impl DrainingPart {
     /// Creates the part with the marks that an earlier process left. Marks that cannot be read are logged and
     /// dropped; on-call staff set them again.
     pub fn open(folder: &Path, most: usize) -> Self {
         let at = folder.join("drained");
-        let read = lasting::read(&at).map(|text| text.map(|text| Marks::read(most, &text)));
+        let read = state_file::read(&at).map(|text| text.map(|text| Marks::read(most, &text)));
         let marks = match read {
             Ok(None) => Marks::new(most),
             Ok(Some(Ok(marks))) => marks,
@@ -33,7 +33,7 @@
                 Marks::new(most)
             }
             Err(e) => {
-                let code = Unread::CODES[0];
+                let code = MarksUnreadable::CODES[0];
                 tracing::error!(code, "cannot read the drain marks; no endpoint is marked: {e}");
                 Marks::new(most)
             }
@@ -43,7 +43,7 @@
 
     /// Maximum size of the files for this number of marks, bytes.
     pub fn room(most: usize) -> u64 {
-        Marks::room(most)
+        Marks::max_bytes(most)
     }
 
     /// The marks in force.
@@ -55,18 +55,18 @@
     ///
     /// # Errors
     /// Fails when they cannot be written; then the old marks stay in force.
-    pub fn keep(&mut self, marks: Marks) -> io::Result<()> {
-        lasting::write(&self.at, &marks.written())?;
+    pub fn store(&mut self, marks: Marks) -> io::Result<()> {
+        state_file::write(&self.at, &marks.to_json())?;
         self.marks = marks;
         Ok(())
     }
 
     /// Removes the marks on endpoints that are no longer in discovery's list. If the change cannot be
     /// written, a later process reads the marks again and removes them again.
-    pub fn forget(&mut self, listed: impl Fn(&str) -> bool) {
-        let kept = self.marks.kept(listed);
+    pub fn remove_unlisted(&mut self, listed: impl Fn(&str) -> bool) {
+        let kept = self.marks.retain_listed(listed);
         if kept != self.marks
-            && let Err(e) = self.keep(kept.clone())
+            && let Err(e) = self.store(kept.clone())
         {
             tracing::error!("cannot write the drain marks: {e}");
             self.marks = kept;
@@ -74,8 +74,8 @@
     }
 
     /// The state of an endpoint for the module, from its state in discovery and its mark.
-    pub fn over(&self, name: &str, listing: Listing) -> Listing {
-        self.marks.over(name, listing)
+    pub fn effective(&self, name: &str, listing: Listing) -> Listing {
+        self.marks.apply_to(name, listing)
     }
 
     /// Names of the marked endpoints.
@@ -84,7 +84,7 @@
     }
 }
 
-impl Part for Draining {
+impl Part for DrainingPart {
     fn report(&self, now: Micros) -> Value {
         let mark = |(name, mark): (&str, Mark)| json!({"name": name, "age_ms": now.saturating_sub(mark.since) / 1000, "forced": mark.forced});
         self.marks.iter().map(mark).collect()
--- a/src/net/parts/estimating.rs
+++ b/src/net/parts/estimate.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use myrtleyard::channel::SEGMENT;
-use myrtleyard::estimate::estimator::{Estimator, Told};
+use myrtleyard::estimate::estimator::{Estimator, QueryEstimate};
 use myrtleyard::estimate::learned::{Basis, Touched};
 use myrtleyard::interface::Micros;
 use myrtleyard::membership::tier_of;
@@ -13,18 +13,18 @@
 use serde_json::{Value, json};
 
 use super::super::config::Config;
-use super::indexing::Indexing;
-use super::view::View;
+use super::membership::MembershipPart;
+use super::status::StatusPart;
 use super::{Out, Part};
 
 /// Maximum duration of a query, microseconds: every management call is answered within a second.
 const WITHIN: Micros = 800_000;
 
 /// Maximum number of running queries whose answers are learned from.
-const MOST_UNDER_WAY: usize = 256;
+const MAX_UNDER_WAY: usize = 256;
 
 /// The estimates part.
-pub struct Estimating {
+pub struct EstimatePart {
     /// The estimator.
     pub core: Estimator,
     /// The basis of the predictions for running queries, by query number.
@@ -33,7 +33,7 @@
     due: Micros,
 }
 
-impl Estimating {
+impl EstimatePart {
     /// Creates the part; `None` without the section `status`.
     pub fn open(config: &Config, now: Micros) -> Option<Self> {
         let (section, membership) = (config.status.as_ref()?, config.membership.as_ref()?);
@@ -50,28 +50,34 @@
     }
 
     /// Updates the membership view, and summarizes this sender's own shards when that is due.
-    pub fn look(&mut self, now: Micros, view: Option<&View>, mut indexing: Option<&mut Indexing>) {
+    pub fn update_view(
+        &mut self,
+        now: Micros,
+        view: Option<&MembershipPart>,
+        mut indexing: Option<&mut StatusPart>,
+    ) {
         for (number, answer) in indexing.iter_mut().flat_map(|part| part.answered.drain(..)) {
             self.answered(number, &answer);
         }
-        if now < self.due && !self.core.makes(now) {
+        if now < self.due && !self.core.summaries_due(now) {
             return;
         }
-        view.into_iter().for_each(|view| self.core.look(view.facts(now)));
-        if let Some(index) = indexing.map(|indexing| &indexing.core).filter(|_| self.core.makes(now)) {
+        view.into_iter().for_each(|view| self.core.set_view(view.view(now)));
+        if let Some(index) = indexing.map(|indexing| &indexing.core).filter(|_| self.core.summaries_due(now))
+        {
             self.core.summarise(now, now, (index.own_log(), index.last()), || index.own_entries());
         }
     }
 
     /// A query was started; the estimator learns from the cost of its answer.
-    pub fn asked(&mut self, number: u64, basis: Basis) {
-        if self.under_way.len() < MOST_UNDER_WAY {
+    pub fn query_started(&mut self, number: u64, basis: Basis) {
+        if self.under_way.len() < MAX_UNDER_WAY {
             self.under_way.insert(number, basis);
         }
     }
 
     /// Schedules the part's next call at once, because a budget was requested.
-    pub fn wake(&mut self, now: Micros) {
+    pub fn wake_now(&mut self, now: Micros) {
         self.due = now;
     }
 
@@ -94,12 +100,12 @@
     }
 
     /// Predicts what a query would touch, and how it would be decided. The sender's clock is Unix time.
-    pub fn told(&self, now: Micros, query: &Query) -> Told {
-        self.core.told(now, now, query, WITHIN)
+    pub fn estimate(&self, now: Micros, query: &Query) -> QueryEstimate {
+        self.core.estimate(now, now, query, WITHIN)
     }
 }
 
-impl Part for Estimating {
+impl Part for EstimatePart {
     fn due(&self) -> Option<Micros> {
         Some(self.due.min(self.core.due()))
     }
@@ -110,7 +116,7 @@
     }
 
     fn datagram(&mut self, now: Micros, from: u16, bytes: &[u8], out: &mut Out) -> bool {
-        let own = self.core.claims(bytes);
+        let own = self.core.accepts(bytes);
         if own {
             self.core.receive(now, from, bytes);
             self.core.flush(now, out);
--- a/src/net/parts/view.rs
+++ b/src/net/parts/membership.rs
@@ -4,14 +4,14 @@
 use std::net::SocketAddr;
 
 use myrtleyard::interface::Micros;
-use myrtleyard::membership::{self, Change, Facts, MAGIC, Member, Membership, Place, Rank, State};
+use myrtleyard::membership::{self, Change, MAGIC, Member, Membership, MembershipView, Place, Rank, State};
 use serde_json::{Value, json};
 
 use super::super::config::Config;
 use super::{Out, Part};
 
 /// The membership part.
-pub struct View {
+pub struct MembershipPart {
     core: Membership,
     section: membership::Config,
     peers: Vec<SocketAddr>,
@@ -22,7 +22,7 @@
     told: u64,
 }
 
-impl View {
+impl MembershipPart {
     /// Creates the part; `None` without its section. The members are the senders of the tier, by rank.
     pub fn open(config: &Config, now: Micros) -> Option<Self> {
         let section = config.membership.clone()?;
@@ -55,12 +55,12 @@
     fn member(&self, rank: usize, member: &Member, now: Micros) -> Value {
         let ago = |at: Micros| now.saturating_sub(at) / 1000;
         let address = self.peers.get(rank);
-        let accusers: Vec<Rank> = self.core.accused_by(rank as Rank).collect();
+        let accusers: Vec<Rank> = self.core.suspected_by(rank as Rank).collect();
         json!({"rank": rank, "address": address.map(SocketAddr::to_string),
                "host": address.map(|address| address.ip().to_string()),
                "zone": self.zones.get(usize::from(member.record.zone)),
                "state": member.state, "for_ms": ago(member.since), "incarnation": member.record.incarnation,
-               "heard_ms": member.heard.map(ago), "news_ms": ago(member.seen), "accused_by": accusers})
+               "heard_ms": member.last_heard.map(ago), "news_ms": ago(member.last_updated), "accused_by": accusers})
     }
 }
 
@@ -72,10 +72,10 @@
     Some(Place { own, size: config.peers.len(), tier, zone: zone.unwrap_or(u8::MAX) })
 }
 
-impl View {
+impl MembershipPart {
     /// The facts about members on which other parts may base decisions.
-    pub fn facts(&self, now: Micros) -> Facts {
-        self.core.facts(now)
+    pub fn view(&self, now: Micros) -> MembershipView {
+        self.core.view(now)
     }
 
     /// Logs the changes since the last call.
@@ -93,7 +93,7 @@
     }
 }
 
-impl Part for View {
+impl Part for MembershipPart {
     fn due(&self) -> Option<Micros> {
         Some(self.core.due())
     }
@@ -112,7 +112,7 @@
     }
 
     fn serving(&mut self, now: Micros, serving: bool, out: &mut Out) {
-        if serving { self.core.stay(now) } else { self.core.leave(now, out) }
+        if serving { self.core.rejoin(now) } else { self.core.leave(now, out) }
     }
 
     fn report(&self, now: Micros) -> Value {
@@ -124,14 +124,14 @@
             json!({"ago_ms": ago(change.at), "rank": change.member, "incarnation": change.incarnation,
                    "from": change.from, "to": change.to})
         });
-        let (stops, stopped) = self.core.stops();
+        let (stops, stopped) = self.core.pauses();
         json!({"own": self.core.own(), "size": members.len(), "tier": self.section.tier,
                "period_ms": self.core.period() / 1000, "version": self.core.version,
                "digest": format!("{:08x}", self.core.digest()),
                "alive": count(State::Alive), "suspect": count(State::Suspect), "dead": count(State::Dead),
                "left": count(State::Left), "joining": count(State::Joining),
                "isolated": self.core.isolated(now), "minority": self.core.minority(),
-               "bounds_ms": {"accused_after": self.core.patience() / 1000, "stale_after": self.core.stale_after() / 1000},
+               "bounds_ms": {"accused_after": self.core.suspicion_timeout() / 1000, "stale_after": self.core.stale_after() / 1000},
                "own_stops": stops, "stopped_ms": stopped.map(ago), "datagrams": self.core.counts,
                "members": listed.collect::<Vec<_>>(), "changes": changes.collect::<Vec<_>>()})
     }
