--- a/src/net/parts/mod.rs
+++ b/src/net/parts/mod.rs
@@ -3,29 +3,29 @@
 //! is driven by time and datagrams, returns the datagrams to send and the time of its next call, and reports
 //! to operators. No part decides what happens to a message.
 
-pub mod covering;
 pub mod draining;
-pub mod estimating;
-pub mod indexing;
-pub mod reading;
-pub mod starting;
-pub mod view;
+pub mod estimate;
+pub mod membership;
+pub mod plans;
+pub mod start;
+pub mod status;
+pub mod takeover;
 
 use std::path::Path;
 
 use myrtleyard::interface::Micros;
-use myrtleyard::start::kept::ROOM;
-use myrtleyard::takeover::lots::Memory;
+use myrtleyard::start::cached_list::MAX_FOLDER_BYTES;
+use myrtleyard::takeover::groups::DurableState;
 use serde_json::Value;
 
 use super::config::Config;
-use covering::Covering;
-use draining::Draining;
-use estimating::Estimating;
-use indexing::Indexing;
-use reading::Reading;
-use starting::Starting;
-use view::View;
+use draining::DrainingPart;
+use estimate::EstimatePart;
+use membership::MembershipPart;
+use plans::PlansPart;
+use start::StartPart;
+use status::StatusPart;
+use takeover::TakeoverPart;
 
 /// Datagrams to other senders, with the rank of the receiver.
 pub type Out = Vec<(u16, Vec<u8>)>;
@@ -55,68 +55,68 @@
 /// The parts that this sender has.
 pub struct Parts {
     /// Drain marks that operators have set on endpoints.
-    pub draining: Option<Draining>,
+    pub draining: Option<DrainingPart>,
     /// The membership view.
-    pub view: Option<View>,
+    pub membership: Option<MembershipPart>,
     /// Replication of messages to backups.
-    pub covering: Option<Covering>,
+    pub takeover: Option<TakeoverPart>,
     /// Cost estimates of queries and runs.
-    pub estimating: Option<Estimating>,
+    pub estimate: Option<EstimatePart>,
     /// The status index.
-    pub indexing: Option<Indexing>,
+    pub status: Option<StatusPart>,
     /// Coordination of simultaneous starts.
-    pub starting: Option<Starting>,
+    pub start: Option<StartPart>,
     /// Reads by plan.
-    pub reading: Option<Reading>,
+    pub plans: Option<PlansPart>,
 }
 
 impl Parts {
     /// Creates the parts that the configuration enables. Their persistent state is in `folder`.
     pub fn open(config: &Config, folder: &Path, now: Micros) -> Self {
         Self {
-            draining: config.draining.map(|section| Draining::open(folder, section.max_marks)),
-            view: View::open(config, now),
-            covering: Covering::open(config, folder, now),
-            estimating: Estimating::open(config, now),
-            indexing: Indexing::open(config, folder, now),
-            starting: Starting::open(config, folder, now),
-            reading: Reading::open(config),
+            draining: config.draining.map(|section| DrainingPart::open(folder, section.max_marks)),
+            membership: MembershipPart::open(config, now),
+            takeover: TakeoverPart::open(config, folder, now),
+            estimate: EstimatePart::open(config, now),
+            status: StatusPart::open(config, folder, now),
+            start: StartPart::open(config, folder, now),
+            plans: PlansPart::open(config),
         }
     }
 
     /// Maximum size of the parts' files in the state folder, bytes.
     pub fn room(config: &Config) -> u64 {
-        let marks = config.draining.map_or(0, |section| Draining::room(section.max_marks));
-        let index = config.status.as_ref().map_or(0, |section| Indexing::room(section, config.disk));
-        let list = config.start.as_ref().map_or(0, |_| ROOM);
-        marks + index + list + config.takeover.as_ref().map_or(0, |_| Memory::ROOM)
+        let marks = config.draining.map_or(0, |section| DrainingPart::room(section.max_marks));
+        let index = config.status.as_ref().map_or(0, |section| StatusPart::room(section, config.disk));
+        let list = config.start.as_ref().map_or(0, |_| MAX_FOLDER_BYTES);
+        marks + index + list + config.takeover.as_ref().map_or(0, |_| DurableState::MAX_BYTES)
     }
 
     /// Applies a changed configuration. Draining, replication and the status index stay as they were at the
     /// start, because their disk space was reserved then.
     pub fn adopt(&mut self, config: &Config, now: Micros, out: &mut Out) {
-        self.estimating.iter_mut().for_each(|estimating| estimating.adopt(config));
-        match &mut self.reading {
+        self.estimate.iter_mut().for_each(|estimating| estimating.adopt(config));
+        match &mut self.plans {
             Some(reading) => reading.adopt(config),
-            None => self.reading = Reading::open(config),
+            None => self.plans = PlansPart::open(config),
         }
-        match (&mut self.view, &config.membership) {
+        match (&mut self.membership, &config.membership) {
             (Some(view), Some(_)) => view.adopt(config, now),
             (Some(view), None) => {
                 view.serving(now, false, out);
-                self.view = None;
+                self.membership = None;
             }
-            (None, _) => self.view = View::open(config, now),
+            (None, _) => self.membership = MembershipPart::open(config, now),
         }
     }
 
     fn each(&mut self) -> impl Iterator<Item = &mut dyn Part> {
         let draining = self.draining.as_mut().map(|part| part as &mut dyn Part);
-        let view = self.view.as_mut().map(|part| part as &mut dyn Part);
-        let covering = self.covering.as_mut().map(|part| part as &mut dyn Part);
-        let estimating = self.estimating.as_mut().map(|part| part as &mut dyn Part);
-        let indexing = self.indexing.as_mut().map(|part| part as &mut dyn Part);
-        let starting = self.starting.as_mut().map(|part| part as &mut dyn Part);
+        let view = self.membership.as_mut().map(|part| part as &mut dyn Part);
+        let covering = self.takeover.as_mut().map(|part| part as &mut dyn Part);
+        let estimating = self.estimate.as_mut().map(|part| part as &mut dyn Part);
+        let indexing = self.status.as_mut().map(|part| part as &mut dyn Part);
+        let starting = self.start.as_mut().map(|part| part as &mut dyn Part);
         let early = draining.into_iter().chain(view).chain(covering);
         early.chain(indexing).chain(estimating).chain(starting)
     }
@@ -124,45 +124,44 @@
     /// Time of the next call of [`Parts::tick`], if any part needs one.
     pub fn due(&self) -> Option<Micros> {
         let draining = self.draining.as_ref().and_then(Part::due);
-        let view = self.view.as_ref().and_then(Part::due);
-        let covering = self.covering.as_ref().and_then(Part::due);
-        let estimating = self.estimating.as_ref().and_then(Part::due);
-        let indexing = self.indexing.as_ref().and_then(Part::due);
-        let starting = self.starting.as_ref().and_then(Part::due);
+        let view = self.membership.as_ref().and_then(Part::due);
+        let covering = self.takeover.as_ref().and_then(Part::due);
+        let estimating = self.estimate.as_ref().and_then(Part::due);
+        let indexing = self.status.as_ref().and_then(Part::due);
+        let starting = self.start.as_ref().and_then(Part::due);
         let early = draining.into_iter().chain(view).chain(covering);
         // An answer of the index that is available is processed at once.
-        let answered = self.indexing.as_ref().filter(|indexing| indexing.has_answers()).map(|_| 0);
-        let reading = self.reading.as_ref().and_then(Part::due);
+        let answered = self.status.as_ref().filter(|indexing| indexing.has_answers()).map(|_| 0);
+        let reading = self.plans.as_ref().and_then(Part::due);
         let index = indexing.into_iter().chain(answered).chain(reading).chain(estimating);
         early.chain(index).chain(starting).min()
     }
 
     /// Calls the parts whose time has come.
     pub fn tick(&mut self, now: Micros, out: &mut Out) {
-        if let Some(covering) = self.covering.as_mut().filter(|covering| covering.chooses(now)) {
-            let facts = self.view.as_ref().map(|view| view.facts(now));
-            covering.look(facts.as_ref());
+        if let Some(covering) = self.takeover.as_mut().filter(|covering| covering.may_choose_backups(now)) {
+            let facts = self.membership.as_ref().map(|view| view.view(now));
+            covering.update_view(facts.as_ref());
         }
-        if let Some(indexing) = self.indexing.as_mut().filter(|indexing| indexing.core.looks(now)) {
-            indexing.look(self.view.as_ref().map(|view| view.facts(now)));
+        if let Some(indexing) = self.status.as_mut().filter(|indexing| indexing.core.view_due(now)) {
+            indexing.update_view(self.membership.as_ref().map(|view| view.view(now)));
         }
-        if let Some(estimating) = &mut self.estimating {
-            estimating.look(now, self.view.as_ref(), self.indexing.as_mut());
+        if let Some(estimating) = &mut self.estimate {
+            estimating.update_view(now, self.membership.as_ref(), self.status.as_mut());
         }
-        if let Some(starting) = self.starting.as_mut().filter(|part| part.due().is_some_and(|due| due <= now))
-        {
-            starting.look(self.view.as_ref().map(|view| view.facts(now)).as_ref());
+        if let Some(starting) = self.start.as_mut().filter(|part| part.due().is_some_and(|due| due <= now)) {
+            starting.update_view(self.membership.as_ref().map(|view| view.view(now)).as_ref());
         }
         for part in self.each().filter(|part| part.due().is_some_and(|due| due <= now)) {
             part.tick(now, out);
         }
-        let index = (&mut self.indexing, &mut self.estimating);
-        if let ((Some(indexing), Some(estimating)), Some(reading)) = (index, &mut self.reading) {
+        let index = (&mut self.status, &mut self.estimate);
+        if let ((Some(indexing), Some(estimating)), Some(reading)) = (index, &mut self.plans) {
             let answers = indexing.answers();
             if !answers.is_empty() || reading.due().is_some_and(|due| due <= now) {
-                let facts = self.view.as_ref().map(|view| view.facts(now));
-                reading.look(now, (&mut *indexing, facts.as_ref(), &mut *estimating));
-                reading.go_on(now, answers, (indexing, facts.as_ref(), estimating));
+                let facts = self.membership.as_ref().map(|view| view.view(now));
+                reading.update_view(now, (&mut *indexing, facts.as_ref(), &mut *estimating));
+                reading.advance(now, answers, (indexing, facts.as_ref(), estimating));
             }
         }
     }
--- a/src/net/parts/reading.rs
+++ b/src/net/parts/plans.rs
@@ -5,32 +5,32 @@
 use std::rc::Rc;
 
 use hyper::StatusCode;
-use myrtleyard::estimate::charged::Charged;
-use myrtleyard::estimate::decide::{Cut, Decided};
-use myrtleyard::estimate::lend::ASK_EVERY;
+use myrtleyard::estimate::budget_lease::REQUEST_INTERVAL;
+use myrtleyard::estimate::charged::ChargedQuery;
+use myrtleyard::estimate::decide::{Decided, LimitExceeded};
 use myrtleyard::estimate::{Decision, Reason};
 use myrtleyard::interface::Micros;
-use myrtleyard::membership::{Facts, tier_of};
+use myrtleyard::membership::{MembershipView, tier_of};
 use myrtleyard::plans::limits::{Denied, Plans, Tally};
-use myrtleyard::plans::route::{Holder, Log, MOST_HOLDERS, Need, Role, Route, Stated, World};
+use myrtleyard::plans::route::{Holder, HolderReply, Log, MAX_HOLDERS, Need, Role, Route, RouteContext};
 use myrtleyard::plans::session::{Ask, Ended, Outcome, Read, Verdict};
 use myrtleyard::plans::token::Token;
-use myrtleyard::plans::{Level, Otherwise, Plan, limits};
-use myrtleyard::status::query::{Answer, Missing, Refused, Routes, Told, Touched, Why};
+use myrtleyard::plans::{Fallback, Level, Plan, limits};
+use myrtleyard::status::query::{Answer, LogRead, Missing, MissingReason, QueryRejected, Routes, Touched};
 use myrtleyard::status::shards::key_of;
-use myrtleyard::status::{Entry, Life, LogId, Positions, Query, Rank, Reached};
+use myrtleyard::status::{Entry, Generation, LogId, Positions, Query, Rank, Watermark};
 use serde_json::{Value, json};
 use tokio::sync::oneshot;
 
 use super::super::config::Config;
 use super::super::control::{Reply, StatusCall};
-use super::super::journal::Taken;
+use super::super::journal::AcceptedMessage;
 use super::Part;
-use super::estimating::Estimating;
-use super::indexing::{Indexing, refused};
+use super::estimate::EstimatePart;
+use super::status::{StatusPart, refused};
 
 /// Maximum number of reads under way.
-const MOST_READS: usize = 64;
+const MAX_READS: usize = 64;
 /// How long before a query's time is up the index has to answer, so that its answer arrives in time,
 /// microseconds.
 const MARGIN: Micros = 30_000;
@@ -41,15 +41,15 @@
 const LOOK_EVERY: Micros = 20_000;
 /// Number of candidate replicas of a log that are considered besides its owner. A replica further down the
 /// order, chosen because too many better candidates are away, is not queried.
-const KEEPERS: usize = MOST_HOLDERS - 1;
+const KEEPERS: usize = MAX_HOLDERS - 1;
 /// Stands for an owner's current incarnation, whichever it is. Real incarnations are drawn from 1 on.
-const ANY_LIFE: Life = Life(0);
+const ANY_GENERATION: Generation = Generation(0);
 
 /// An answer of the index, with its rows and what it states about them.
 type Rows = Rc<Answer>;
 
 /// The other parts that a read needs: the index, the facts of the membership view, and the estimates.
-type Around<'a> = (&'a mut Indexing, Option<&'a Facts>, &'a mut Estimating);
+type Around<'a> = (&'a mut StatusPart, Option<&'a MembershipView>, &'a mut EstimatePart);
 
 /// A read that is admitted by its plan and waits for its tenant's budget.
 struct Asked {
@@ -71,11 +71,11 @@
     token: Token,
     logs: Vec<LogId>,
     shows: (bool, bool),
-    charged: Charged,
-    cut: Option<Cut>,
+    charged: ChargedQuery,
+    cut: Option<LimitExceeded>,
     begun: Micros,
     reply: oneshot::Sender<Reply>,
-    told: Vec<Told>,
+    told: Vec<LogRead>,
     touched: Vec<Touched>,
     missing: Vec<Missing>,
 }
@@ -87,7 +87,7 @@
 }
 
 /// The reads part.
-pub struct Reading {
+pub struct PlansPart {
     plans: Plans,
     /// Whether the section is present. If it is removed, reads under way still complete.
     on: bool,
@@ -97,13 +97,13 @@
     next: u64,
     under: BTreeMap<u64, Under>,
     out: BTreeMap<u64, Out>,
-    /// Reads that wait for a share of their tenant's budget, at most [`MOST_READS`] together with those under
+    /// Reads that wait for a share of their tenant's budget, at most [`MAX_READS`] together with those under
     /// way, and when they check again.
     waiting: Vec<Asked>,
     look_at: Micros,
 }
 
-impl Reading {
+impl PlansPart {
     /// Creates the part; `None` without its section or without the index.
     pub fn open(config: &Config) -> Option<Self> {
         let section = config.plans.clone()?;
@@ -129,14 +129,14 @@
 
     /// The session token that a client gets with its 202, if its tenant's plan has sessions and the message
     /// is in the index.
-    pub fn token(&self, taken: &Taken, indexing: &Indexing) -> Option<String> {
+    pub fn token(&self, taken: &AcceptedMessage, indexing: &StatusPart) -> Option<String> {
         let tenant = taken.owner.as_deref().unwrap_or_default();
         if !self.on || !self.plans.entitled(tenant) {
             return None;
         }
         let held = indexing.core.log().table().get(&key_of(tenant, &taken.id))?;
         let mut token = Token::default();
-        token.see(indexing.core.own_log(), held.number);
+        token.observe(indexing.core.own_log(), held.number);
         Some(token.text(self.tier))
     }
 
@@ -158,8 +158,8 @@
                 return drop(reply.send(denial(&denied)));
             }
         };
-        if self.under.len() + self.waiting.len() >= MOST_READS {
-            return drop(reply.send(refused(&Refused::Busy)));
+        if self.under.len() + self.waiting.len() >= MAX_READS {
+            return drop(reply.send(refused(&QueryRejected::Busy)));
         }
         let shows = (route, route || estimate);
         let asked = Asked { query, plan, token, shows, begun: now, within, reply };
@@ -180,21 +180,21 @@
     fn take_on(&mut self, mut asked: Asked, now: Micros, around: Around<'_>) {
         let name = self.plans.of(&asked.query.tenant).0.to_owned();
         let estimating = around.2;
-        let begun = Charged::begin(&mut estimating.core, now, &asked.query);
+        let begun = ChargedQuery::begin(&mut estimating.core, now, &asked.query);
         // Sends the budget messages now.
-        estimating.wake(now);
+        estimating.wake_now(now);
         let charged = match begun {
             Ok(charged) => charged,
             Err(decided) => {
                 if let Decision::Later { after, .. } = decided.decision {
                     let until = asked.begun + asked.within.min(Micros::from(asked.plan.wait_ms) * 1000);
-                    let comes = after <= ASK_EVERY || now.saturating_add(after) <= until;
+                    let comes = after <= REQUEST_INTERVAL || now.saturating_add(after) <= until;
                     if now < until && comes && !asked.reply.is_closed() {
                         self.look_at = now + LOOK_EVERY;
                         self.waiting.push(asked);
                         return;
                     }
-                    estimating.core.put_off();
+                    estimating.core.count_later();
                 }
                 let denied = denied(name, &asked.plan, &decided);
                 return self.deny(asked, &denied);
@@ -202,7 +202,7 @@
         };
         if let Decision::Narrowed { from, reason } = charged.decided.decision {
             let seen = asked.token.overflowed() || asked.token.logs().next().is_some();
-            if seen && asked.plan.otherwise == Otherwise::Refuse {
+            if seen && asked.plan.otherwise == Fallback::Refuse {
                 // What the session has already seen must not be left out.
                 let estimate = estimating.core.predict(now, &asked.query);
                 let whole = Decided { decision: Decision::Refused { reason }, estimate };
@@ -221,7 +221,12 @@
             Err(wide) => {
                 charged.end(&mut around.2.core, now, Ok(None));
                 let remedy = "query by ids, or for a shorter time range";
-                return drop(reply.send(Reply::typed(StatusCode::BAD_REQUEST, "read_wide", wide, remedy)));
+                return drop(reply.send(Reply::error_with_code(
+                    StatusCode::BAD_REQUEST,
+                    "read_wide",
+                    wide,
+                    remedy,
+                )));
             }
         };
         let plan = name;
@@ -244,12 +249,12 @@
         };
         self.next += 1;
         self.under.insert(self.next, under);
-        self.go_on(now, Vec::new(), around);
+        self.advance(now, Vec::new(), around);
     }
 
     /// The logs that a read consists of: those that its token names, and the current log of each owner,
     /// whichever its incarnation is, unless the token names the only log of that owner known here.
-    fn logs(&self, token: &Token, indexing: &Indexing, now: Micros) -> Vec<LogId> {
+    fn logs(&self, token: &Token, indexing: &StatusPart, now: Micros) -> Vec<LogId> {
         let positions = indexing.core.positions(now);
         let hints = indexing.core.hints().values();
         let mut known: BTreeMap<Rank, Vec<LogId>> = BTreeMap::new();
@@ -265,12 +270,12 @@
         };
         let owners = (0..self.size).filter_map(|rank| Rank::try_from(rank).ok());
         let owners = owners.filter(|owner| token.overflowed() || !named(*owner));
-        let any = owners.map(|owner| LogId { owner, life: ANY_LIFE });
+        let any = owners.map(|owner| LogId { owner, generation: ANY_GENERATION });
         any.chain(token.logs().map(|(log, _)| log)).collect()
     }
 
     /// Advances all reads: checks answers of the index, and queries the logs that are still open.
-    pub fn go_on(&mut self, now: Micros, answers: Vec<(u64, Answer)>, around: Around<'_>) {
+    pub fn advance(&mut self, now: Micros, answers: Vec<(u64, Answer)>, around: Around<'_>) {
         let (indexing, facts, estimating) = around;
         for (number, answer) in answers {
             self.answered(number, answer);
@@ -294,7 +299,7 @@
                 let more = if of || rank == own { 0 } else { NOT_CHOSEN };
                 estimating.core.price(now, rank).saturating_add(more)
             };
-            let world = World { own, here: &here, facts, logs: &logs, cost: &cost, busy: &|_| false };
+            let world = RouteContext { own, here: &here, facts, logs: &logs, cost: &cost, busy: &|_| false };
             let asks = under.core.step(now, &world);
             if under.core.is_over() {
                 if let Some(under) = self.under.remove(&number) {
@@ -311,7 +316,7 @@
     }
 
     /// Retries the reads that wait for budget.
-    pub fn look(&mut self, now: Micros, (indexing, facts, estimating): Around<'_>) {
+    pub fn update_view(&mut self, now: Micros, (indexing, facts, estimating): Around<'_>) {
         if now < self.look_at {
             return;
         }
@@ -327,8 +332,8 @@
         read: u64,
         asks: Vec<Ask>,
         now: Micros,
-        indexing: &mut Indexing,
-    ) -> Result<(), Refused> {
+        indexing: &mut StatusPart,
+    ) -> Result<(), QueryRejected> {
         let Some(under) = self.under.get(&read) else { return Ok(()) };
         let mut batches: Vec<(Routes, Out, Micros)> = Vec::new();
         for Ask { number, to, logs, by } in asks {
@@ -362,7 +367,7 @@
         under.missing.extend(answer.missing.iter().cloned());
         for told in answer.logs.iter().filter(|told| !logs.iter().any(|asked| asked.0 == told.log)) {
             if told.shown > 0 {
-                under.core.came(told.log, told.shown.max(told.reached.upto));
+                under.core.record_shown(told.log, told.shown.max(told.reached.upto));
             }
         }
         for (log, need, from, number) in logs {
@@ -371,7 +376,7 @@
         }
     }
 
-    fn end(&mut self, under: Under, now: Micros, estimating: &mut Estimating) {
+    fn end(&mut self, under: Under, now: Micros, estimating: &mut EstimatePart) {
         let Under { core, query, plan, token, shows, begun, reply: to, told, touched, missing, .. } = under;
         let (charged, cut) = (under.charged, under.cut);
         let ended = core.ended();
@@ -447,7 +452,7 @@
             if shows.1 {
                 body["estimate"] = estimate;
             }
-            Reply::yes(&body)
+            Reply::ok(&body)
         };
         charged.end(&mut estimating.core, now, cut.map_or(whole, Err));
         reply.token = session;
@@ -456,7 +461,7 @@
     }
 }
 
-impl Part for Reading {
+impl Part for PlansPart {
     fn due(&self) -> Option<Micros> {
         let looks = (!self.waiting.is_empty()).then_some(self.look_at);
         self.under.values().filter_map(|under| under.core.due()).chain(looks).min()
@@ -480,55 +485,57 @@
             .collect();
         json!({"plans": plans, "reads": counts.collect::<Vec<_>>(), "under_way": self.under.len(),
                "waiting": self.waiting.len(),
-               "bounds": {"reads": MOST_READS, "tenants": limits::MOST_TENANTS}})
+               "bounds": {"reads": MAX_READS, "tenants": limits::MAX_TENANTS}})
     }
 }
 
 /// What a queried sender states about a log, by the answer of the index, and the position up to which the
 /// answer may have shown the log.
-fn stated(answer: &Answer, log: LogId, need: Need, from: Rank) -> (Stated, u64) {
-    let of: Vec<&Told> =
+fn stated(answer: &Answer, log: LogId, need: Need, from: Rank) -> (HolderReply, u64) {
+    let of: Vec<&LogRead> =
         answer.logs.iter().filter(|told| told.log.owner == log.owner && told.server == from).collect();
     let Some(first) = of.first() else {
         let silent = answer
             .missing
             .iter()
-            .any(|missing| missing.owner == log.owner && !matches!(missing.why, Why::NotHeld));
-        return (if silent { Stated::Silent } else { Stated::Nothing }, 0);
+            .any(|missing| missing.owner == log.owner && !matches!(missing.why, MissingReason::NotHeld));
+        return (if silent { HolderReply::Silent } else { HolderReply::Nothing }, 0);
     };
     let owner = from == log.owner;
-    if log.life == ANY_LIFE {
+    if log.generation == ANY_GENERATION {
         // An owner reports its current incarnation first. Positions shown are counted per log, not here.
         let newest = of.iter().max_by_key(|told| told.reached.as_of).unwrap_or(first);
         return match owner {
-            true => (Stated::Has(first.reached), 0),
+            true => (HolderReply::Has(first.reached), 0),
             // The replica has no claim about the log yet.
-            false if newest.reached.as_of == 0 => (Stated::Nothing, 0),
-            false => (Stated::Has(newest.reached), 0),
+            false if newest.reached.as_of == 0 => (HolderReply::Nothing, 0),
+            false => (HolderReply::Has(newest.reached), 0),
         };
     }
     match of.iter().find(|told| told.log == log) {
         // The owner has got back from replicas what they stored of its earlier incarnation. That may be
         // enough for the read, but it is not complete.
         Some(told) if owner && first.log != log => match need {
-            Need::Upto(_) if need.met(log, from, told.reached) => (Stated::Has(told.reached), told.shown),
-            _ => (Stated::Over, told.shown),
+            Need::Upto(_) if need.met(log, from, told.reached) => {
+                (HolderReply::Has(told.reached), told.shown)
+            }
+            _ => (HolderReply::Over, told.shown),
         },
-        Some(told) if !owner && told.reached.as_of == 0 => (Stated::Nothing, told.shown),
-        Some(told) => (Stated::Has(told.reached), told.shown),
-        None if owner => (Stated::Over, 0),
-        None => (Stated::Nothing, 0),
+        Some(told) if !owner && told.reached.as_of == 0 => (HolderReply::Nothing, told.shown),
+        Some(told) => (HolderReply::Has(told.reached), told.shown),
+        None if owner => (HolderReply::Over, 0),
+        None => (HolderReply::Nothing, 0),
     }
 }
 
 /// The senders that may hold each log, with their positions: possible replicas by the index, and senders that
 /// have announced the log. Second, the positions of the logs in this sender.
-fn holders(logs: &[LogId], own: Rank, indexing: &Indexing, now: Micros) -> (Vec<Log>, Positions) {
+fn holders(logs: &[LogId], own: Rank, indexing: &StatusPart, now: Micros) -> (Vec<Log>, Positions) {
     let index = &indexing.core;
     let positions = index.positions(now);
-    let none = Reached { upto: 0, as_of: 0 };
-    let reached = |positions: &Positions, log: LogId| match log.life {
-        ANY_LIFE => {
+    let none = Watermark { upto: 0, as_of: 0 };
+    let reached = |positions: &Positions, log: LogId| match log.generation {
+        ANY_GENERATION => {
             let of = positions.iter().filter(|held| held.0.owner == log.owner);
             of.map(|held| *held.1).max_by_key(|reached| reached.as_of)
         }
@@ -536,7 +543,7 @@
     };
     let mut here = Positions::new();
     let holders = |log: &LogId| {
-        let mut ranks = index.keepers_of(log.owner, KEEPERS);
+        let mut ranks = index.candidates_of(log.owner, KEEPERS);
         ranks.push(log.owner);
         ranks.extend(index.hints().iter().filter(|hint| reached(hint.1, *log).is_some()).map(|hint| *hint.0));
         ranks.sort_unstable();
@@ -578,7 +585,7 @@
     let parts = ended.parts.iter().map(|part| {
         let answer = part.answer.as_ref();
         let (server, reached) = (answer.map(|answer| answer.0), answer.map(|answer| answer.1));
-        json!({"owner": part.log.owner, "life": part.log.life, "need": part.need, "verdict": part.verdict,
+        json!({"owner": part.log.owner, "life": part.log.generation, "need": part.need, "verdict": part.verdict,
                "hops": part.hops, "server": server, "reached": reached})
     });
     Value::Array(parts.collect())
@@ -622,7 +629,7 @@
 }
 
 /// The predicted cost of a read, the decision, and the actual cost.
-fn estimate(charged: &Charged) -> Value {
+fn estimate(charged: &ChargedQuery) -> Value {
     let (decided, (shards, bytes)) = (&charged.decided, charged.read());
     let prediction = &decided.estimate.prediction;
     json!({"shards": prediction.shards, "bytes": prediction.bytes, "bound": prediction.bound,
@@ -647,7 +654,7 @@
 fn put_together(
     query: &Query,
     ended: &Ended<Rows>,
-    (told, touched, missing): (Vec<Told>, Vec<Touched>, Vec<Missing>),
+    (told, touched, missing): (Vec<LogRead>, Vec<Touched>, Vec<Missing>),
 ) -> Answer {
     let mut answers: Vec<&Rows> = Vec::new();
     let mut reached: Vec<Rank> = Vec::new();
@@ -692,7 +699,7 @@
             named.push(missing);
         }
     }
-    let mut logs: Vec<Told> = Vec::new();
+    let mut logs: Vec<LogRead> = Vec::new();
     for told in told {
         if !logs.iter().any(|known| known.log == told.log && known.server == told.server) {
             logs.push(told);
--- a/src/net/parts/starting.rs
+++ b/src/net/parts/start.rs
@@ -8,18 +8,18 @@
 use std::time::Duration;
 
 use myrtleyard::endpoints::reader::List;
+use myrtleyard::error_code::CodedError;
 use myrtleyard::interface::Micros;
-use myrtleyard::membership::{Facts, State};
-use myrtleyard::start::kept::{EVERY, Kept, MOST_BYTES};
-use myrtleyard::start::{Begin, Failed, Named, Phase, Start};
-use myrtleyard::told::Told;
+use myrtleyard::membership::{MembershipView, State};
+use myrtleyard::start::cached_list::{CachedList, MAX_BYTES, MIN_WRITE_INTERVAL};
+use myrtleyard::start::{Begin, CallFailure, Named, Phase, Start};
 use serde_json::{Value, json};
 use tokio::sync::Notify;
 
 use super::super::Clock;
 use super::super::config::Config;
-use super::super::lasting;
-use super::super::listing::{ListBody, Listing, version};
+use super::super::listing::{ListBody, Listing, list_version};
+use super::super::state_file;
 use super::{Out, Part};
 
 /// How often a waiting call to the list service checks its slot again. Hints from other senders move the
@@ -27,13 +27,13 @@
 const LOOK: Duration = Duration::from_millis(100);
 
 /// The startup part.
-pub struct Starting {
+pub struct StartPart {
     /// The state of the start, shared with the task that follows the list.
     pub core: Rc<RefCell<Start>>,
     list_at: PathBuf,
     lives_at: PathBuf,
     /// The cached list that this process starts from, if it is usable.
-    pub from: Option<ListBody>,
+    pub initial_list: Option<ListBody>,
     /// Origin of the list in use, for the report.
     source: &'static str,
     kept_at: Option<Micros>,
@@ -69,23 +69,23 @@
     }
 }
 
-impl Starting {
+impl StartPart {
     /// Creates the part with the state that earlier processes left; `None` without its section. State that
     /// cannot be read is logged and ignored.
     pub fn open(config: &Config, folder: &Path, now: Micros) -> Option<Self> {
         let section = config.start.as_ref()?;
         let own = config.rank()?;
         let (list_at, lives_at) = (folder.join("list"), folder.join("lives"));
-        let lives = lasting::read(&lives_at).ok().flatten().and_then(|bytes| bytes.first().copied());
+        let lives = state_file::read(&lives_at).ok().flatten().and_then(|bytes| bytes.first().copied());
         let lives = lives.unwrap_or(0);
         // Counts this start as failed until the process has completed it.
-        if let Err(e) = lasting::write(&lives_at, &[lives.saturating_add(1)]) {
+        if let Err(e) = state_file::write(&lives_at, &[lives.saturating_add(1)]) {
             tracing::warn!("cannot store the count of starts: {e}");
         }
         let tier = myrtleyard::membership::tier_of(&section.tier);
-        let read = lasting::read(&list_at).map_err(|e| e.to_string());
+        let read = state_file::read(&list_at).map_err(|e| e.to_string());
         let read = read.and_then(|bytes| {
-            let kept = bytes.map(|bytes| postcard::from_bytes::<Kept<Listing>>(&bytes));
+            let kept = bytes.map(|bytes| postcard::from_bytes::<CachedList<Listing>>(&bytes));
             kept.transpose().map_err(|e| e.to_string())
         });
         let kept = match read {
@@ -96,8 +96,8 @@
             }
         };
         let active = kept.as_ref().map(|kept| active(&kept.entries)).unwrap_or_default();
-        let bears = kept.as_ref().filter(|kept| kept.tier == tier).map(|kept| kept.bears);
-        let fit = kept.filter(|kept| match kept.fit(tier, version(&config.known).0, now) {
+        let capacity = kept.as_ref().filter(|kept| kept.tier == tier).map(|kept| kept.capacity);
+        let fit = kept.filter(|kept| match kept.fit(tier, list_version(&config.known).0, now) {
             Ok(()) => true,
             Err(why) => {
                 let (code, remedy) = (why.code(), why.remedy());
@@ -112,31 +112,31 @@
             None if entries(&config.known) == 0 => "none",
             None => "configuration",
         };
-        let index = from.as_ref().map_or(version(&config.known).0, |from| from.index);
+        let index = from.as_ref().map_or(list_version(&config.known).0, |from| from.index);
         let begin = Begin {
             own,
             size: config.peers.len(),
             version: index,
-            bears,
+            capacity,
             lives: lives.into(),
-            watched: !config.settings.must_ask,
+            watched: !config.settings.list_on_request,
             grace: config.settings.rules.drain_grace,
             seed: config.seed,
         };
         let mut core = Start::new(section, begin, now);
         match (&from, &config.known) {
-            (Some(list), _) | (None, List::Entries(list)) => core.begins_from(index, named(&list.endpoints)),
+            (Some(list), _) | (None, List::Entries(list)) => core.load_cached(index, named(&list.endpoints)),
             (None, List::Table { table, .. }) => {
-                core.begins_from(index, table.iter().map(|listing| of(&listing)))
+                core.load_cached(index, table.iter().map(|listing| of(&listing)))
             }
         }
         let core = Rc::new(RefCell::new(core));
-        let written = (now.saturating_sub(EVERY), false);
+        let written = (now.saturating_sub(MIN_WRITE_INTERVAL), false);
         Some(Self {
             core,
             list_at,
             lives_at,
-            from,
+            initial_list: from,
             source,
             kept_at,
             written,
@@ -147,36 +147,36 @@
     }
 
     /// Updates the number of senders that are present by the membership view.
-    pub fn look(&mut self, facts: Option<&Facts>) {
+    pub fn update_view(&mut self, facts: Option<&MembershipView>) {
         let Some(facts) = facts else { return };
         let gone = |state: State| matches!(state, State::Dead | State::Left);
         let there = facts.members.iter().filter(|member| !gone(member.state)).count();
-        self.core.borrow_mut().look(there);
+        self.core.borrow_mut().set_peers(there);
     }
 
     /// The list service sent a list; `list` is the complete result.
-    pub fn listed(&mut self, now: Micros, version: u64, list: &[Listing]) {
+    pub fn list_received(&mut self, now: Micros, version: u64, list: &[Listing]) {
         self.core.borrow_mut().listed(now, version, named(list).collect());
         self.source = "list service";
         self.written.1 = true;
         // A process that starts from the file must not call removed endpoints, so removals are stored at
         // once.
         let away = !self.active.is_subset(&active(list));
-        if away || now >= self.written.0 + EVERY {
-            self.keep(now, list);
+        if away || now >= self.written.0 + MIN_WRITE_INTERVAL {
+            self.store_list(now, list);
         }
     }
 
     /// The list service sent a list that is too long to be stored or to be sent to other senders.
-    pub fn listed_long(&mut self, now: Micros, version: u64) {
+    pub fn long_list_received(&mut self, now: Micros, version: u64) {
         self.core.borrow_mut().listed_long(now, version);
         self.source = "list service";
-        self.keep_none(now);
+        self.discard_cached_list(now);
     }
 
     /// Removes the stored list, because the current one is too long to be stored: the next process starts
     /// without a list rather than from an outdated one.
-    pub fn keep_none(&mut self, now: Micros) {
+    pub fn discard_cached_list(&mut self, now: Micros) {
         self.written = (now, false);
         if std::mem::replace(&mut self.unkept, true) {
             return;
@@ -192,24 +192,24 @@
     }
 
     /// Whether the list has changed and its last storing is long enough ago to store it again.
-    pub fn to_keep(&self, now: Micros) -> bool {
-        self.written.1 && now >= self.written.0 + EVERY
+    pub fn is_store_due(&self, now: Micros) -> bool {
+        self.written.1 && now >= self.written.0 + MIN_WRITE_INTERVAL
     }
 
     /// Stores the list.
-    pub fn keep(&mut self, now: Micros, list: &[Listing]) {
+    pub fn store_list(&mut self, now: Micros, list: &[Listing]) {
         self.unkept = false;
         let core = self.core.borrow();
         let (version, at) = core.list();
-        let bears = if core.phase().0 == Phase::Steady { core.learned() } else { core.bears() };
+        let capacity = if core.phase().0 == Phase::Steady { core.learned() } else { core.capacity() };
         let entries = list.to_vec();
-        let kept = Kept { tier: core.tier(), at: at.unwrap_or(now), version, bears, entries };
+        let kept = CachedList { tier: core.tier(), at: at.unwrap_or(now), version, capacity, entries };
         drop(core);
         self.written = (now, false);
         let bytes = postcard::to_allocvec(&kept).unwrap_or_default();
-        if bytes.len() > MOST_BYTES {
+        if bytes.len() > MAX_BYTES {
             tracing::warn!(bytes = bytes.len(), "the endpoint list is too long to be cached");
-        } else if let Err(e) = lasting::write(&self.list_at, &bytes) {
+        } else if let Err(e) = state_file::write(&self.list_at, &bytes) {
             tracing::warn!("cannot store the endpoint list: {e}");
             self.written.1 = true;
         } else {
@@ -218,12 +218,12 @@
     }
 
     /// The pacing handle for the task that follows the list.
-    pub fn pace(&self, clock: Clock) -> Rc<Pace> {
-        Rc::new(Pace { core: self.core.clone(), clock, moved: Notify::new() })
+    pub fn list_pacer(&self, clock: Clock) -> Rc<ListPacer> {
+        Rc::new(ListPacer { core: self.core.clone(), clock, moved: Notify::new() })
     }
 }
 
-impl Part for Starting {
+impl Part for StartPart {
     fn due(&self) -> Option<Micros> {
         Some(self.core.borrow().due())
     }
@@ -236,7 +236,7 @@
             // What was learned about the list service is stored together with the list, in the next turn that
             // does so.
             self.written.1 = true;
-            if let Err(e) = lasting::write(&self.lives_at, &[0]) {
+            if let Err(e) = state_file::write(&self.lives_at, &[0]) {
                 tracing::warn!("cannot store the count of starts: {e}");
             }
         }
@@ -256,27 +256,27 @@
                         "told_by_others_to_be_gone": core.hidden()},
                "calls": core.counts, "old_messages_waiting": core.backlog.left(),
                "starting": core.starters() as u64, "spread_ms": core.spread(now) / 1000,
-               "bears_per_s": core.bears(), "others_bear_per_s": core.others_bear(),
-               "wider": core.trouble(now).exp2(), "starts_in_a_row": core.lives() + 1})
+               "bears_per_s": core.capacity(), "others_bear_per_s": core.lowest_peer_capacity(),
+               "wider": core.trouble(now).exp2(), "starts_in_a_row": core.failed_starts() + 1})
     }
 }
 
 /// Schedules the calls to the list service for the task that follows the list.
-pub struct Pace {
+pub struct ListPacer {
     core: Rc<RefCell<Start>>,
     clock: Clock,
     moved: Notify,
 }
 
-impl Pace {
+impl ListPacer {
     /// Waits for this sender's slot and starts a call in it. Returns whether to request the whole list.
-    pub async fn turn(&self) -> bool {
+    pub async fn wait_turn(&self) -> bool {
         loop {
             let now = self.clock.now();
             let at = self.core.borrow().ask_at(now).unwrap_or(now);
             if at <= now {
                 let mut core = self.core.borrow_mut();
-                let whole = core.whole();
+                let whole = core.has_list();
                 core.asked(now);
                 return whole;
             }
@@ -289,7 +289,7 @@
     }
 
     /// Reports the result of the call: whether its answer had news, or how it failed.
-    pub fn ended(&self, how: Result<bool, Failed>) {
+    pub fn call_ended(&self, how: Result<bool, CallFailure>) {
         let now = self.clock.now();
         match how {
             Ok(news) => self.core.borrow_mut().answered(now, news),
@@ -298,8 +298,8 @@
     }
 
     /// The address of the list service has changed.
-    pub fn moved(&self) {
-        self.core.borrow_mut().moved(self.clock.now());
+    pub fn service_moved(&self) {
+        self.core.borrow_mut().address_changed(self.clock.now());
         self.moved.notify_one();
     }
 }
--- a/src/net/parts/starting/tests.rs
+++ b/src/net/parts/start/tests.rs
@@ -27,30 +27,30 @@
 #[test]
 fn a_kept_list_is_begun_from_or_left_out_and_early_ends_are_counted() -> std::io::Result<()> {
     let folder = tempfile::tempdir()?;
-    let open = |tier: &str, known, now| Starting::open(&configured(tier, known)?, folder.path(), now);
-    let from = |tier: &str, known, now| open(tier, known, now).and_then(|part| part.from);
+    let open = |tier: &str, known, now| StartPart::open(&configured(tier, known)?, folder.path(), now);
+    let from = |tier: &str, known, now| open(tier, known, now).and_then(|part| part.initial_list);
     let kept = [listing("s-1"), listing("s-2")];
     let Some(mut first) = open("x", 40, NOW) else { panic!("the part is off") };
-    assert_eq!((first.source, first.core.borrow().lives()), ("none", 0));
-    first.listed(NOW, 43, &kept);
+    assert_eq!((first.source, first.core.borrow().failed_starts()), ("none", 0));
+    first.list_received(NOW, 43, &kept);
     let Some(second) = from("x", 40, NOW + 1) else { panic!("the cached list is not used") };
     assert_eq!((second.index, &second.endpoints[..]), (43, &kept[..]));
     // Additions are stored only after a while; removals are stored at once.
     let mut later = vec![listing("s-1"), listing("s-2"), listing("s-3")];
-    first.listed(NOW + 2, 44, &later);
+    first.list_received(NOW + 2, 44, &later);
     assert_eq!(from("x", 40, NOW + 2).map(|from| from.index), Some(43));
     "leaving".clone_into(&mut later[1].status);
-    first.listed(NOW + 3, 45, &later);
+    first.list_received(NOW + 3, 45, &later);
     assert_eq!(from("x", 40, NOW + 3).map(|from| from.endpoints), Some(later.clone()));
     later.remove(0);
-    first.listed(NOW + 4, 46, &later);
+    first.list_received(NOW + 4, 46, &later);
     assert_eq!(from("x", 40, NOW + 4).map(|from| from.endpoints), Some(later));
-    first.listed(NOW + EVERY + 4, 43, &kept);
+    first.list_received(NOW + MIN_WRITE_INTERVAL + 4, 43, &kept);
     assert!(from("y", 40, NOW).is_none() && from("x", 44, NOW).is_none());
     assert!(from("x", 40, NOW + 86_400_000_000).is_none() && from("x", 40, NOW - 86_400_000_000).is_none());
     // No process has completed its start yet; six were begun.
-    let lives = open("x", 40, NOW).map(|part| part.core.borrow().lives());
-    assert_eq!(lives, Some(myrtleyard::start::kept::MOST_LIVES));
+    let lives = open("x", 40, NOW).map(|part| part.core.borrow().failed_starts());
+    assert_eq!(lives, Some(myrtleyard::start::cached_list::MAX_FAILED_STARTS));
     let path = folder.path().join("list");
     let whole = std::fs::read(&path)?;
     for end in (0..whole.len()).step_by(7) {
--- a/src/net/parts/indexing.rs
+++ b/src/net/parts/status.rs
@@ -9,18 +9,18 @@
 
 use hyper::StatusCode;
 use myrtleyard::interface::Micros;
-use myrtleyard::membership::{Facts, tier_of};
-use myrtleyard::status::folder::{LEAST_ROOM, Step};
+use myrtleyard::membership::{MembershipView, tier_of};
+use myrtleyard::status::folder::{MIN_ROOM, Step};
 use myrtleyard::status::index::{Index, Place};
 use myrtleyard::status::log::{Restored, restore};
-use myrtleyard::status::query::{Answer, LONGEST, Refused};
+use myrtleyard::status::query::{Answer, MAX_QUERY_TIME, QueryRejected};
 use myrtleyard::status::{Config as Section, Entry, Query, Rank, State};
 use serde_json::{Value, json};
 use tokio::sync::oneshot;
 
 use super::super::config::Config;
 use super::super::control::Reply;
-use super::super::journal::{GivenUp, Live, Taken};
+use super::super::journal::{AcceptedMessage, GivenUp, PendingMessage};
 use super::{Out, Part};
 
 /// Pause before the first retry after a failed write; it doubles with each further failure.
@@ -29,10 +29,10 @@
 /// 202.
 const AGAIN_AT_MOST: Micros = 300_000_000;
 /// Maximum size of a segment file, bytes; a longer file is treated as corrupt.
-const LONGEST_SEGMENT: u64 = 64 << 20;
+const MAX_SEGMENT_LEN: u64 = 64 << 20;
 
 /// The status index part.
-pub struct Indexing {
+pub struct StatusPart {
     /// The index.
     pub core: Index,
     own: Rank,
@@ -66,7 +66,7 @@
         let file = file?;
         let at = file.file_name().to_str().and_then(|name| name.strip_prefix("status.")?.parse::<u64>().ok());
         let Some(at) = at else { continue };
-        let readable = file.metadata().is_ok_and(|data| data.len() <= LONGEST_SEGMENT);
+        let readable = file.metadata().is_ok_and(|data| data.len() <= MAX_SEGMENT_LEN);
         let bytes = if readable { fs::read(file.path()).ok() } else { None };
         found.push((at, bytes.unwrap_or_else(|| SPOILT.to_vec())));
     }
@@ -91,7 +91,7 @@
     RandomState::new().hash_one(std::process::id())
 }
 
-impl Indexing {
+impl StatusPart {
     /// Creates the part with the log that earlier processes left; `None` without its section.
     pub fn open(config: &Config, folder: &Path, now: Micros) -> Option<Self> {
         let section = config.status.as_ref()?;
@@ -128,32 +128,32 @@
     /// Maximum size of the index in the state folder, bytes: at most a quarter of `disk`, the limit of the
     /// whole folder.
     pub fn room(section: &Section, disk: u64) -> u64 {
-        (u64::from(section.room_mb) * 1_000_000).min(disk / 4).max(LEAST_ROOM)
+        (u64::from(section.room_mb) * 1_000_000).min(disk / 4).max(MIN_ROOM)
     }
 
     /// Reconciles the index with the journal at startup. Messages pending in the journal are added to the
     /// index if its files were lost; messages pending in the index but not in the journal have ended.
-    pub fn settle<'a>(&mut self, live: impl Iterator<Item = &'a Live> + Clone, now: Micros) {
+    pub fn reconcile<'a>(&mut self, live: impl Iterator<Item = &'a PendingMessage> + Clone, now: Micros) {
         let owed: std::collections::BTreeSet<&str> =
-            live.clone().map(|live| live.taken.id.as_str()).collect();
+            live.clone().map(|live| live.accepted.id.as_str()).collect();
         self.core.settle(now, |entry| owed.contains(entry.id.as_str()));
         for live in live {
-            let tenant = live.taken.owner.as_deref().unwrap_or_default();
-            if !self.core.knows(tenant, &live.taken.id) {
+            let tenant = live.accepted.owner.as_deref().unwrap_or_default();
+            if !self.core.contains(tenant, &live.accepted.id) {
                 let first = live.attempts.first().map(|attempt| attempt.at);
-                let since = live.covered.as_ref().map(|(_, since)| *since).or(first).unwrap_or(now);
-                self.taken(&live.taken, since.min(now), 0);
+                let since = live.replicated.as_ref().map(|(_, since)| *since).or(first).unwrap_or(now);
+                self.message_accepted(&live.accepted, since.min(now), 0);
             }
             if let Some(how) = live.given_up {
-                self.ended(&live.taken, end_of(how), now);
+                self.message_ended(&live.accepted, final_state(how), now);
             }
         }
     }
 
     /// Adds an accepted message: with epoch 0 if it was submitted here, with a later one if it was adopted
     /// from another sender.
-    pub fn taken(&mut self, taken: &Taken, at: Micros, epoch: u32) -> Option<u64> {
-        self.core.taken(Entry {
+    pub fn message_accepted(&mut self, taken: &AcceptedMessage, at: Micros, epoch: u32) -> Option<u64> {
+        self.core.accepted(Entry {
             id: taken.id.clone(),
             class: taken.class.clone(),
             tenant: taken.owner.clone().unwrap_or_default(),
@@ -169,7 +169,7 @@
     }
 
     /// Records the start of a call for a message.
-    pub fn calling(&mut self, taken: &Taken, attempt: u16, now: Micros) {
+    pub fn attempt_begun(&mut self, taken: &AcceptedMessage, attempt: u16, now: Micros) {
         let tenant = taken.owner.as_deref().unwrap_or_default();
         self.core.change(now, tenant, &taken.id, |entry| {
             entry.states = entry.states.with(State::Calling);
@@ -178,15 +178,15 @@
     }
 
     /// Records the end of a message.
-    pub fn ended(&mut self, taken: &Taken, end: State, now: Micros) {
+    pub fn message_ended(&mut self, taken: &AcceptedMessage, end: State, now: Micros) {
         let tenant = taken.owner.as_deref().unwrap_or_default();
         self.core.change(now, tenant, &taken.id, |entry| entry.states = entry.states.with(end));
     }
 
     /// Writes the changes to the folder. They are not sent to any other sender before.
-    pub fn keep(&mut self, now: Micros) {
-        if self.core.is_unkept() && self.failed.is_none_or(|(at, pause)| now >= at + pause) {
-            self.core.keep_again();
+    pub fn store(&mut self, now: Micros) {
+        if self.core.is_not_persisted() && self.failed.is_none_or(|(at, pause)| now >= at + pause) {
+            self.core.resume_writing();
         }
         for step in self.core.write() {
             if let Err(e) = self.carry_out(&step) {
@@ -198,7 +198,7 @@
                 };
                 self.failed = Some((now, pause));
                 self.open = None;
-                for step in self.core.not_written(now) {
+                for step in self.core.write_failed(now) {
                     // After a failed step, carrying out the others would leave an incarnation that looks
                     // complete.
                     if let Err(e) = self.carry_out(&step) {
@@ -238,18 +238,18 @@
     }
 
     /// Updates the membership view.
-    pub fn look(&mut self, facts: Option<Facts>) {
-        self.core.look(facts);
+    pub fn update_view(&mut self, facts: Option<MembershipView>) {
+        self.core.set_view(facts);
     }
 
     /// Writes the changes to the folder, replicates them, and delivers answers.
     pub fn flush(&mut self, now: Micros, out: &mut Out) {
-        self.keep(now);
+        self.store(now);
         self.core.tick(now, out);
-        for (number, answer) in self.core.answers() {
+        for (number, answer) in self.core.take_answers() {
             match self.waiting.remove(&number) {
                 // The send fails if the caller is gone.
-                Some(waiting) => drop(waiting.send(Reply::yes(&answer))),
+                Some(waiting) => drop(waiting.send(Reply::ok(&answer))),
                 None => self.others.push((number, answer.clone())),
             }
             self.answered.push((number, answer));
@@ -276,7 +276,7 @@
         reply: oneshot::Sender<Reply>,
     ) -> Option<u64> {
         let routes = self.core.routes();
-        match self.core.ask(now, query, routes, within.min(LONGEST)) {
+        match self.core.ask(now, query, routes, within.min(MAX_QUERY_TIME)) {
             Ok(number) => {
                 self.waiting.insert(number, reply);
                 Some(number)
@@ -290,23 +290,23 @@
 }
 
 /// The reply to a rejected query.
-pub fn refused(why: &Refused) -> Reply {
+pub fn refused(why: &QueryRejected) -> Reply {
     let status = match why {
-        Refused::Busy => StatusCode::SERVICE_UNAVAILABLE,
-        Refused::Ids(_) | Refused::Limit(_) => StatusCode::BAD_REQUEST,
+        QueryRejected::Busy => StatusCode::SERVICE_UNAVAILABLE,
+        QueryRejected::Ids(_) | QueryRejected::Limit(_) => StatusCode::BAD_REQUEST,
     };
-    Reply::typed(status, why.code(), why, why.remedy())
+    Reply::error_with_code(status, why.code(), why, why.remedy())
 }
 
 /// The final state of a message that was given up.
-pub fn end_of(how: GivenUp) -> State {
+pub fn final_state(how: GivenUp) -> State {
     match how {
         GivenUp::Deferred(_) => State::Deferred,
         GivenUp::Undeliverable => State::Undeliverable,
     }
 }
 
-impl Part for Indexing {
+impl Part for StatusPart {
     fn due(&self) -> Option<Micros> {
         Some(self.core.due())
     }
@@ -316,7 +316,7 @@
     }
 
     fn datagram(&mut self, now: Micros, from: u16, bytes: &[u8], _out: &mut Out) -> bool {
-        let own = self.core.claims(bytes);
+        let own = self.core.accepts(bytes);
         if own {
             // Replies are sent at the end of the turn.
             self.core.receive(now, from, bytes);
@@ -325,7 +325,7 @@
     }
 
     fn report(&self, now: Micros) -> Value {
-        json!({"own": self.own, "kept": !self.core.is_unkept(), "index": self.core.report(now)})
+        json!({"own": self.own, "kept": !self.core.is_not_persisted(), "index": self.core.report(now)})
     }
 }
 
--- a/src/net/parts/indexing/tests.rs
+++ b/src/net/parts/status/tests.rs
@@ -18,9 +18,9 @@
 #[test]
 fn a_segment_that_cant_be_read_makes_for_a_new_life() -> io::Result<()> {
     let (Some(config), folder) = (configured(), tempfile::tempdir()?) else { panic!("the part is off") };
-    let open = || Indexing::open(&config, folder.path(), 1_000_000);
+    let open = || StatusPart::open(&config, folder.path(), 1_000_000);
     let Some(mut first) = open() else { panic!("the part is off") };
-    first.keep(1_000_000);
+    first.store(1_000_000);
     let life = first.core.own_log();
     assert_eq!(open().map(|part| part.core.own_log()), Some(life));
     // A folder cannot be read as a file.
@@ -34,12 +34,12 @@
 fn a_folder_that_stays_full_is_tried_ever_more_rarely() -> io::Result<()> {
     let (Some(config), folder) = (configured(), tempfile::tempdir()?) else { panic!("the part is off") };
     let gone = folder.path().join("gone");
-    let Some(mut part) = Indexing::open(&config, &gone, 0) else { panic!("the part is off") };
-    (0..1_000).for_each(|second| part.keep(second * 1_000_000));
+    let Some(mut part) = StatusPart::open(&config, &gone, 0) else { panic!("the part is off") };
+    (0..1_000).for_each(|second| part.store(second * 1_000_000));
     // Retries at 0, 5, 15, 35, 75, 155, 315, 615 and 915 s.
     assert_eq!(part.core.counts.renewed, 9);
     fs::create_dir(&gone)?;
-    (1_000..1_220).for_each(|second| part.keep(second * 1_000_000));
-    assert!(!part.core.is_unkept());
+    (1_000..1_220).for_each(|second| part.store(second * 1_000_000));
+    assert!(!part.core.is_not_persisted());
     Ok(())
 }
--- a/src/net/parts/covering.rs
+++ b/src/net/parts/takeover.rs
@@ -8,17 +8,17 @@
 
 use myrtleyard::channel::TAKEOVER;
 use myrtleyard::interface::Micros;
-use myrtleyard::membership::{Fact, Facts, State};
-use myrtleyard::takeover::lots::Memory;
-use myrtleyard::takeover::{Fit, Takeover};
+use myrtleyard::membership::{MemberView, MembershipView, State};
+use myrtleyard::takeover::groups::DurableState;
+use myrtleyard::takeover::{BackupFitness, Takeover};
 use serde_json::{Value, json};
 
 use super::super::config::Config;
-use super::super::lasting;
+use super::super::state_file;
 use super::{Out, Part};
 
 /// The replication part.
-pub struct Covering {
+pub struct TakeoverPart {
     /// The protocol.
     pub core: Takeover,
     at: PathBuf,
@@ -33,13 +33,13 @@
     RandomState::new().hash_one(std::process::id())
 }
 
-impl Covering {
+impl TakeoverPart {
     /// Creates the part with the promises of earlier processes; `None` without its section.
     pub fn open(config: &Config, folder: &Path, now: Micros) -> Option<Self> {
         let section = config.takeover.as_ref()?;
         let own = config.rank()?;
         let at = folder.join("promises");
-        let read = lasting::read(&at).map_err(|e| e.to_string());
+        let read = state_file::read(&at).map_err(|e| e.to_string());
         let read = read.and_then(|text| {
             text.map(|text| postcard::from_bytes(&text)).transpose().map_err(|e| e.to_string())
         });
@@ -48,7 +48,7 @@
             None
         });
         let unwritten = memory.is_none();
-        let memory = memory.unwrap_or_else(|| Memory { id: chance(), promises: BTreeMap::new() });
+        let memory = memory.unwrap_or_else(|| DurableState { id: chance(), promises: BTreeMap::new() });
         let host = |rank: usize| config.peers.get(rank).map(|peer| peer.ip());
         let elsewhere = (0..config.peers.len()).map(|rank| host(rank) != host(own.into())).collect();
         let core = Takeover::new(section, own, config.peers.len(), chance(), memory, now);
@@ -56,27 +56,27 @@
     }
 
     /// Whether the next tick may choose backups.
-    pub fn chooses(&self, now: Micros) -> bool {
-        now >= self.core.ticks_at()
+    pub fn may_choose_backups(&self, now: Micros) -> bool {
+        now >= self.core.next_tick_at()
     }
 
     /// Updates, from the membership view, which senders are suitable as backups.
-    pub fn look(&mut self, facts: Option<&Facts>) {
+    pub fn update_view(&mut self, facts: Option<&MembershipView>) {
         let fit = |(rank, elsewhere): (usize, &bool)| match facts.and_then(|facts| facts.members.get(rank)) {
-            _ if !elsewhere => Fit::No,
-            Some(Fact { state: State::Dead | State::Left, .. }) => Fit::No,
-            Some(Fact { near: true, .. }) => Fit::Near,
-            _ => Fit::Far,
+            _ if !elsewhere => BackupFitness::Unfit,
+            Some(MemberView { state: State::Dead | State::Left, .. }) => BackupFitness::Unfit,
+            Some(MemberView { same_zone: true, .. }) => BackupFitness::Near,
+            _ => BackupFitness::Far,
         };
-        self.core.set_fits(self.elsewhere.iter().enumerate().map(fit).collect());
+        self.core.set_backup_fitness(self.elsewhere.iter().enumerate().map(fit).collect());
     }
 
     /// Sends what is due, after the promises that it depends on are persisted.
     pub fn flush(&mut self, now: Micros, out: &mut Out) {
-        self.unwritten |= self.core.to_remember().is_some();
+        self.unwritten |= self.core.take_unsaved_state().is_some();
         if self.unwritten {
-            let written = postcard::to_allocvec(self.core.memory()).map_err(std::io::Error::other);
-            self.unwritten = match written.and_then(|bytes| lasting::write(&self.at, &bytes)) {
+            let written = postcard::to_allocvec(self.core.durable_state()).map_err(std::io::Error::other);
+            self.unwritten = match written.and_then(|bytes| state_file::write(&self.at, &bytes)) {
                 Ok(()) => false,
                 Err(e) => {
                     tracing::error!("cannot persist the promises to other senders; none is sent: {e}");
@@ -90,7 +90,7 @@
     }
 }
 
-impl Part for Covering {
+impl Part for TakeoverPart {
     fn due(&self) -> Option<Micros> {
         Some(self.core.due())
     }
@@ -115,12 +115,12 @@
     }
 
     fn report(&self, now: Micros) -> Value {
-        let (lots, messages, bytes) = self.core.holding();
-        let covers = self.core.covers(now).into_iter();
+        let (groups, messages, bytes) = self.core.held_for_others();
+        let covers = self.core.current_backups(now).into_iter();
         let covers: Vec<Value> =
             covers.map(|(rank, heard)| json!({"rank": rank, "heard_ms": heard / 1000})).collect();
         let mut report = json!({"lease_ms": self.core.lease() / 1000, "covers": covers,
-                                "held_for_others": {"lots": lots, "messages": messages, "bytes": bytes}});
+                                "held_for_others": {"lots": groups, "messages": messages, "bytes": bytes}});
         if let (Some(report), Ok(Value::Object(counts))) =
             (report.as_object_mut(), serde_json::to_value(&self.core.counts))
         {
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -61,12 +61,12 @@
     }
 
     /// Replaces the addresses of the senders of the tier.
-    pub fn adopt(&self, peers: &[SocketAddr]) {
+    pub fn set_addresses(&self, peers: &[SocketAddr]) {
         *self.peers.borrow_mut() = peers.to_vec();
     }
 
     /// Number of datagrams dropped because their source is not a sender of the tier.
-    pub fn strangers(&self) -> u64 {
+    pub fn unknown_senders(&self) -> u64 {
         self.strangers.get()
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// Sends a datagram to one sender, or to all; it may be lost.
-    pub fn tell(&self, to: Option<u16>, content: &[u8]) {
+    pub fn send(&self, to: Option<u16>, content: &[u8]) {
         let address = match to {
             Some(rank) => self.peers.borrow().get(usize::from(rank)).copied(),
             None => self.all,
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -1,6 +1,6 @@
 //! The platform: following the list of endpoints, and notices of messages that ended undelivered.
 
-mod arrival;
+mod list_body;
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,21 +14,21 @@
 use hyper::{Request, Response, StatusCode};
 use myrtleyard::endpoints::reader::List;
 use myrtleyard::endpoints::{Bounds, ListError};
+use myrtleyard::error_code::CodedError;
 use myrtleyard::interface::{Event, MessageId, Settings};
-use myrtleyard::start::Failed;
-use myrtleyard::told::Told;
+use myrtleyard::start::CallFailure;
 use serde::Serialize;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, timeout, timeout_at};
 
 use super::calls::Conn;
-use super::figures::Figures;
+use super::counters::Counters;
 use super::journal::GivenUp;
-use super::listing::version;
-use super::parts::starting::Pace;
+use super::listing::list_version;
+use super::parts::start::ListPacer;
 use super::{BODY_LIMIT, Inbound};
-use arrival::{Arrival, Begun};
+use list_body::{Arrival, Begun};
 
 /// Timeout of a poll, if all senders poll one discovery, which rejects requests that have waited for 2 s. A
 /// poll that is silent for longer is broken, and what it missed counts as reported 6 s after it fell silent.
@@ -43,7 +43,7 @@
 /// twice in a row, is below 6 s; silent once, it is below the 4 s after which an update counts as reported if
 /// discovery has moved.
 const SHORTEST_HOLD: Duration = Duration::from_millis(500);
-const LONGEST_HOLD: Duration = Duration::from_secs(2);
+const MAX_HOLD_TIME: Duration = Duration::from_secs(2);
 /// Hold time of a watch at one service for all senders, where one call per second from each would be too much
 /// load. What the service reports counts as reported once it is written.
 const SHARED_HOLD: Duration = Duration::from_secs(20);
@@ -55,10 +55,10 @@
 const AGAIN: Duration = Duration::from_millis(50);
 /// Maximum number of doublings of [`AGAIN`] after refused lists; [`rest_after_refusal`] limits the pause
 /// before that is reached.
-const MOST_DOUBLINGS: u32 = 10;
+const MAX_DOUBLINGS: u32 = 10;
 /// Maximum pause after refused short lists from an agent: updates that follow a run of them are delayed by
 /// this much, and calls to an agent cost nothing.
-const MOST_AT_AGENT: Duration = Duration::from_secs(1);
+const MAX_AT_AGENT: Duration = Duration::from_secs(1);
 /// Maximum length of an error text in a log line, in characters.
 const SHOWN: usize = 200;
 /// Timeout of a notice, after which it is sent again.
@@ -139,13 +139,13 @@
 /// overdue already; there the time counts from its end. For a watch held by a service for all senders, the
 /// longest timeout of a watch at an agent is used instead, since both report what they have immediately.
 fn rest_after_refusal(refused: u32, took: Duration, patience: Duration) -> Duration {
-    let at_agent = patience <= LONGEST_HOLD + WATCH_SLACK;
-    let patience = patience.min(LONGEST_HOLD + WATCH_SLACK);
+    let at_agent = patience <= MAX_HOLD_TIME + WATCH_SLACK;
+    let patience = patience.min(MAX_HOLD_TIME + WATCH_SLACK);
     let short = took <= patience + POLL_SLACK;
     let spent = if short { took } else { Duration::ZERO };
     let most = (TOLD_WITHIN - POLL_SLACK).saturating_sub(spent + patience);
-    let most = if short && at_agent { most.min(MOST_AT_AGENT) } else { most };
-    let doubled = AGAIN * (1 << refused.saturating_sub(1).min(MOST_DOUBLINGS));
+    let most = if short && at_agent { most.min(MAX_AT_AGENT) } else { most };
+    let doubled = AGAIN * (1 << refused.saturating_sub(1).min(MAX_DOUBLINGS));
     doubled.min(most).max(AGAIN)
 }
 
@@ -179,12 +179,15 @@
     /// As the settings say; `shared` if one service answers the watches of all senders, rather than an agent
     /// on this machine.
     pub fn new(settings: &Settings, shared: bool, known: u64, seed: u64) -> Self {
-        match settings.must_ask {
-            true => Self::Ask(Duration::from_micros(settings.ask_round()), fastrand::Rng::with_seed(seed)),
+        match settings.list_on_request {
+            true => Self::Ask(
+                Duration::from_micros(settings.list_request_round()),
+                fastrand::Rng::with_seed(seed),
+            ),
             false if shared => Self::Watch(known, SHARED_HOLD),
             false => {
                 let hold = Duration::from_micros(settings.rules.drain_grace / 2);
-                Self::Watch(known, hold.clamp(SHORTEST_HOLD, LONGEST_HOLD))
+                Self::Watch(known, hold.clamp(SHORTEST_HOLD, MAX_HOLD_TIME))
             }
         }
     }
@@ -203,9 +206,9 @@
 pub async fn follow(
     discovery: watch::Receiver<SocketAddr>,
     following: Following,
-    pace: Option<Rc<Pace>>,
+    pace: Option<Rc<ListPacer>>,
     wanted: Rc<Wanted>,
-    figures: Rc<Figures>,
+    counters: Rc<Counters>,
     inbound: UnboundedSender<Inbound>,
 ) {
     let address = *discovery.borrow();
@@ -215,7 +218,7 @@
         following,
         pace,
         wanted,
-        figures,
+        counters,
         inbound,
         bounds,
         conn,
@@ -234,16 +237,16 @@
     /// A response that started as a list and is not a valid one.
     Refused(ListError),
     /// No response, or one that is not a list.
-    Failed(Failed),
+    Failed(CallFailure),
 }
 
 impl Brought {
     /// The failure as the pace counts it.
-    fn failed(&self) -> Option<Failed> {
+    fn failed(&self) -> Option<CallFailure> {
         match self {
             Self::List(_) => None,
-            Self::Refused(ListError::Cut(_)) => Some(Failed::Silence),
-            Self::Refused(_) => Some(Failed::Answer),
+            Self::Refused(ListError::Truncated(_)) => Some(CallFailure::NoAnswer),
+            Self::Refused(_) => Some(CallFailure::Rejected),
             Self::Failed(how) => Some(*how),
         }
     }
@@ -257,14 +260,14 @@
     until: Instant,
     bounds: Bounds,
 ) -> Result<Begun, Brought> {
-    let silent = Brought::Failed(Failed::Silence);
+    let silent = Brought::Failed(CallFailure::NoAnswer);
     let Ok(Ok((mut conn, answer))) = timeout_at(until, answered(conn, address, request)).await else {
         return Err(silent);
     };
     let (head, body) = answer.into_parts();
     if head.status != StatusCode::OK {
         let whole = timeout_at(until, conn.body(body)).await;
-        return Err(if matches!(whole, Ok(Ok(_))) { Brought::Failed(Failed::Answer) } else { silent });
+        return Err(if matches!(whole, Ok(Ok(_))) { Brought::Failed(CallFailure::Rejected) } else { silent });
     }
     Arrival::new(conn, body, until, bounds).begin().await.map_err(Brought::Refused)
 }
@@ -273,9 +276,9 @@
 struct Follower {
     discovery: watch::Receiver<SocketAddr>,
     following: Following,
-    pace: Option<Rc<Pace>>,
+    pace: Option<Rc<ListPacer>>,
     wanted: Rc<Wanted>,
-    figures: Rc<Figures>,
+    counters: Rc<Counters>,
     inbound: UnboundedSender<Inbound>,
     bounds: Bounds,
     conn: Option<Conn>,
@@ -317,7 +320,7 @@
             self.following = otherwise;
         }
         if let Some(pace) = &self.pace {
-            self.whole |= pace.turn().await;
+            self.whole |= pace.wait_turn().await;
         }
         let address = *self.discovery.borrow_and_update();
         if address != self.address {
@@ -368,7 +371,7 @@
     /// Reads a long list; `None` if discovery moves meanwhile. A request for the complete list waits for its
     /// end: otherwise a list whose transfer takes longer than the interval of such requests would never
     /// arrive.
-    async fn long(&mut self, long: arrival::Long) -> Option<Brought> {
+    async fn long(&mut self, long: list_body::Long) -> Option<Brought> {
         let read = tokio::select! {
             read = long.read() => read,
             Ok(()) = self.discovery.changed() => {
@@ -393,22 +396,22 @@
     /// Discovery has moved.
     fn moved(&mut self) {
         self.conn = None;
-        self.pace.iter().for_each(|pace| pace.moved());
+        self.pace.iter().for_each(|pace| pace.service_moved());
     }
 
     /// Reports the result of a call to the pace.
     fn count(&self, brought: &Brought) {
         let (Some(pace), Following::Watch(from, _)) = (&self.pace, &self.following) else { return };
-        pace.ended(match (brought, brought.failed()) {
-            (Brought::List(list), _) => Ok(version(list).0 != *from),
-            (_, failed) => Err(failed.unwrap_or(Failed::Answer)),
+        pace.call_ended(match (brought, brought.failed()) {
+            (Brought::List(list), _) => Ok(list_version(list).0 != *from),
+            (_, failed) => Err(failed.unwrap_or(CallFailure::Rejected)),
         });
     }
 
     /// Records an accepted list. Returns the pause before the next call.
     fn rest_after_list(&mut self, list: &List) -> Duration {
-        let (index, endpoints) = version(list);
-        self.figures.list_taken(index, endpoints);
+        let (index, endpoints) = list_version(list);
+        self.counters.count_list_accepted(index, endpoints);
         (self.whole, self.refused) = (false, 0);
         match &mut self.following {
             Following::Watch(from, _) => {
@@ -424,7 +427,7 @@
     /// Records a refused list, from a call that took `took`. Returns the pause before the next call.
     fn rest_after_refused(&mut self, why: &ListError, took: Duration) -> Duration {
         let (code, remedy) = (why.code(), why.remedy());
-        let refused = self.figures.list_refused(code);
+        let refused = self.counters.count_list_refused(code);
         let shown: String = why.to_string().replace(['\n', '\r'], " ").chars().take(SHOWN).collect();
         tracing::warn!(
             code,
@@ -454,7 +457,7 @@
     /// Reports the result of a call to the driver. Returns false if the driver is gone.
     fn tell(&self, brought: Brought) -> bool {
         let said = match brought {
-            Brought::List(list) => Inbound::Listed(list),
+            Brought::List(list) => Inbound::ListReceived(list),
             // A failed poll is not reported: the module's retry rule is made for the simulator's adapter,
             // where the next poll may come later. Here this task polls again by itself.
             _ if matches!(self.following, Following::Ask(..)) => return true,
@@ -541,7 +544,7 @@
             Ok(Ok((StatusCode::NO_CONTENT, _))) => {
                 owed.retain(|message, _| !told.contains(message));
                 most = usize::MAX;
-                if inbound.send(Inbound::NoticesKept(told)).is_err() {
+                if inbound.send(Inbound::NoticesAcknowledged(told)).is_err() {
                     return;
                 }
             }
@@ -550,7 +553,7 @@
             Ok(Ok((StatusCode::BAD_REQUEST, _))) => {
                 tracing::warn!("the platform rejected a notice as malformed; the notice is dropped");
                 owed.retain(|message, _| !told.contains(message));
-                let _ = inbound.send(Inbound::NoticesKept(told));
+                let _ = inbound.send(Inbound::NoticesAcknowledged(told));
             }
             _ => {
                 conn = None;
--- a/src/net/platform/arrival.rs
+++ b/src/net/platform/list_body.rs
@@ -17,7 +17,7 @@
 /// Up to this number of bytes, a body is collected and read in place.
 pub const INLINE: usize = 256 << 10;
 /// The minimum rate of a body beyond [`INLINE`] after its call's timeout, in bytes per second.
-pub const LEAST_RATE: u64 = 4_000_000;
+pub const MIN_RATE: u64 = 4_000_000;
 /// Maximum number of chunks queued for the thread. A chunk is the result of one read of the connection: some
 /// 400 KiB at most.
 const WAITING: usize = 8;
@@ -48,7 +48,7 @@
 }
 
 impl Arrival {
-    /// A body that must be complete by `until`, plus the time that [`LEAST_RATE`] grants to a long one.
+    /// A body that must be complete by `until`, plus the time that [`MIN_RATE`] grants to a long one.
     pub fn new(conn: Conn, body: Incoming, until: Instant, bounds: Bounds) -> Self {
         Self { conn, body, until, bounds, received: 0 }
     }
@@ -72,13 +72,13 @@
     /// The time by which the next bytes must arrive.
     fn deadline(&self) -> Instant {
         let beyond = self.received.saturating_sub(INLINE as u64);
-        self.until + Duration::from_micros(beyond.saturating_mul(1_000_000) / LEAST_RATE)
+        self.until + Duration::from_micros(beyond.saturating_mul(1_000_000) / MIN_RATE)
     }
 
     /// The next bytes, or `None` at the end.
     async fn piece(&mut self) -> Result<Option<Bytes>, ListError> {
         let piece = timeout_at(self.deadline(), self.conn.piece(&mut self.body)).await;
-        let Ok(Ok(piece)) = piece else { return Err(ListError::Cut(self.received)) };
+        let Ok(Ok(piece)) = piece else { return Err(ListError::Truncated(self.received)) };
         self.received += piece.as_ref().map_or(0, |piece| piece.len() as u64);
         if self.received > self.bounds.bytes {
             return Err(ListError::Bytes(self.bounds.bytes));
--- a/src/net/platform/tests.rs
+++ b/src/net/platform/tests.rs
@@ -7,7 +7,7 @@
 use tokio::task::LocalSet;
 
 use super::super::listing::ListBody;
-use super::arrival::{INLINE, LEAST_RATE};
+use super::list_body::{INLINE, MIN_RATE};
 use super::*;
 
 const PATIENCE: Duration = Duration::from_secs(15);
@@ -71,7 +71,7 @@
         stream.write_all(answer.as_bytes()).await?;
         let heard = timeout(PATIENCE, agent.1.recv()).await?;
         assert!(
-            matches!(heard, Some(Inbound::Listed(List::Entries(ListBody { index: 7, .. })))),
+            matches!(heard, Some(Inbound::ListReceived(List::Entries(ListBody { index: 7, .. })))),
             "{heard:?}"
         );
         assert_eq!(asked(&mut stream).await?, "/v1/endpoints?from=7&hold_ms=1000");
@@ -163,13 +163,16 @@
         let list = "{\"index\":7,\"snapshot\":true,\"endpoints\":[]}";
         let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{list}", list.len());
         stream.write_all(answer.as_bytes()).await?;
-        assert!(matches!(agent.1.recv().await, Some(Inbound::Listed(_))));
+        assert!(matches!(agent.1.recv().await, Some(Inbound::ListReceived(_))));
         asked(&mut stream).await?;
         // The request was read, and no byte of a response is sent.
         drop(stream);
         let (mut stream, _) = timeout(Duration::from_millis(50), agent.asked()).await??;
         stream.write_all(answer.as_bytes()).await?;
-        assert!(matches!(agent.1.recv().await, Some(Inbound::Listed(_))), "the call was reported as failed");
+        assert!(
+            matches!(agent.1.recv().await, Some(Inbound::ListReceived(_))),
+            "the call was reported as failed"
+        );
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -223,11 +226,14 @@
             took + most + Duration::from_secs(2) < Duration::from_secs(6),
             "the next poll is too late after {took:?}"
         );
-        assert!(least >= Duration::from_millis(600) && most == least * 2, "all senders poll at the same time after {took:?}");
+        assert!(
+            least >= Duration::from_millis(600) && most == least * 2,
+            "all senders poll at the same time after {took:?}"
+        );
     }
     // The longest hold time, silent twice in a row; and silent once, where discovery has moved and 4 s are
     // left.
-    let longest = Following::Watch(1, LONGEST_HOLD);
+    let longest = Following::Watch(1, MAX_HOLD_TIME);
     assert!((longest.patience() + AGAIN) * 2 < Duration::from_secs(6));
     assert!(longest.patience() + AGAIN < Duration::from_secs(4));
 }
@@ -259,16 +265,16 @@
     address: SocketAddr,
     following: Following,
     bounds: Bounds,
-) -> (Rc<Figures>, UnboundedReceiver<Inbound>, watch::Sender<SocketAddr>) {
+) -> (Rc<Counters>, UnboundedReceiver<Inbound>, watch::Sender<SocketAddr>) {
     let (inbound, heard) = unbounded_channel();
     let (moves, discovery) = watch::channel(address);
-    let figures = Rc::<Figures>::default();
+    let counters = Rc::<Counters>::default();
     let follower = Follower {
         discovery,
         following,
         pace: None,
         wanted: Rc::default(),
-        figures: figures.clone(),
+        counters: counters.clone(),
         inbound,
         bounds,
         conn: None,
@@ -277,12 +283,12 @@
         refused: 0,
     };
     tokio::task::spawn_local(follower.run());
-    (figures, heard, moves)
+    (counters, heard, moves)
 }
 
 /// The counters on lists; null before the first list is refused.
-fn counted(figures: &Figures) -> serde_json::Value {
-    let all: serde_json::Value = serde_json::from_slice(&figures.json()).unwrap_or_default();
+fn counted(counters: &Counters) -> serde_json::Value {
+    let all: serde_json::Value = serde_json::from_slice(&counters.json()).unwrap_or_default();
     all["list"].clone()
 }
 
@@ -296,10 +302,11 @@
 async fn a_list_of_any_length_is_taken_and_its_connection_goes_on() -> io::Result<()> {
     let run = async {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let (figures, mut heard, _moves) = followed(listener.local_addr()?, short_watch(), Bounds::default());
+        let (counters, mut heard, _moves) =
+            followed(listener.local_addr()?, short_watch(), Bounds::default());
         let agent = Agent(listener, unbounded_channel().1);
         let (mut stream, _) = agent.asked().await?;
-        assert!(counted(&figures).is_null());
+        assert!(counted(&counters).is_null());
         // The counters report on lists once one was refused.
         stream.write_all(answer("{").as_bytes()).await?;
         stream = agent.asked().await?.0;
@@ -307,14 +314,14 @@
         for (index, endpoints) in [(2, 10), (3, 10_000), (4, 1500), (5, 20_000)] {
             stream.write_all(answer(&list(index, endpoints)).as_bytes()).await?;
             let listed = timeout(PATIENCE, heard.recv()).await?;
-            let Some(Inbound::Listed(listed)) = listed else { panic!("{endpoints}: {listed:?}") };
-            assert_eq!(version(&listed), (index, Some(endpoints)));
-            assert_eq!(counted(&figures)["endpoints"], endpoints);
-            assert_eq!(counted(&figures)["index"], index);
+            let Some(Inbound::ListReceived(listed)) = listed else { panic!("{endpoints}: {listed:?}") };
+            assert_eq!(list_version(&listed), (index, Some(endpoints)));
+            assert_eq!(counted(&counters)["endpoints"], endpoints);
+            assert_eq!(counted(&counters)["index"], index);
             let path = asked(&mut stream).await?;
             assert_eq!(path, format!("/v1/endpoints?from={index}&hold_ms=500"), "on the same connection");
         }
-        assert_eq!(counted(&figures)["refused"], 1);
+        assert_eq!(counted(&counters)["refused"], 1);
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -330,7 +337,7 @@
         let agent = Agent(listener, unbounded_channel().1);
         let (mut stream, _) = agent.asked().await?;
         let text = answer(&list(2, 60_000));
-        let piece = LEAST_RATE as usize / 2;
+        let piece = MIN_RATE as usize / 2;
         assert!(text.len() > 3 * piece, "{} bytes", text.len());
         let began = Instant::now();
         for piece in text.as_bytes().chunks(piece) {
@@ -339,7 +346,9 @@
         }
         assert!(began.elapsed() > short_watch().patience());
         let listed = timeout(PATIENCE, heard.recv()).await?;
-        assert!(matches!(&listed, Some(Inbound::Listed(list)) if version(list) == (2, Some(60_000))));
+        assert!(
+            matches!(&listed, Some(Inbound::ListReceived(list)) if list_version(list) == (2, Some(60_000)))
+        );
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -377,14 +386,14 @@
         let played = cases.map(|(text, code)| {
             tokio::task::spawn_local(async move {
                 let listener = TcpListener::bind("127.0.0.1:0").await?;
-                let (figures, mut heard, _moves) =
+                let (counters, mut heard, _moves) =
                     followed(listener.local_addr()?, short_watch(), Bounds::default());
                 let asks = asks_in_five_seconds(&listener, text.as_bytes()).await?;
                 assert!((4..=12).contains(&asks), "{code}: {asks}");
-                let refused = counted(&figures)["refused"].as_u64().unwrap_or_default() as usize;
+                let refused = counted(&counters)["refused"].as_u64().unwrap_or_default() as usize;
                 assert!(refused == asks || refused + 1 == asks, "{code}: {refused} of {asks}");
-                assert_eq!(counted(&figures)["refused_in_a_row"], refused);
-                assert_eq!(counted(&figures)["last_error"], code);
+                assert_eq!(counted(&counters)["refused_in_a_row"], refused);
+                assert_eq!(counted(&counters)["last_error"], code);
                 while let Ok(said) = heard.try_recv() {
                     assert!(matches!(said, Inbound::Event(Event::ListFailed)), "{code}: {said:?}");
                 }
@@ -405,7 +414,7 @@
 async fn the_first_list_that_is_taken_ends_a_row_of_refused_ones() -> io::Result<()> {
     let run = async {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let (figures, _heard, _moves) = followed(listener.local_addr()?, short_watch(), Bounds::default());
+        let (counters, _heard, _moves) = followed(listener.local_addr()?, short_watch(), Bounds::default());
         let agent = Agent(listener, unbounded_channel().1);
         let (mut stream, _) = agent.asked().await?;
         for index in 2..5 {
@@ -418,9 +427,9 @@
             }
             stream.write_all(answer(&list(index, 3)).as_bytes()).await?;
             asked(&mut stream).await?;
-            assert_eq!(counted(&figures)["refused_in_a_row"], 0);
+            assert_eq!(counted(&counters)["refused_in_a_row"], 0);
         }
-        assert_eq!(counted(&figures)["refused"], 12);
+        assert_eq!(counted(&counters)["refused"], 12);
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -433,7 +442,7 @@
     let run = async {
         for first in [0, INLINE + 1000] {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
-            let (figures, _heard, _moves) =
+            let (counters, _heard, _moves) =
                 followed(listener.local_addr()?, short_watch(), Bounds::default());
             let agent = Agent(listener, unbounded_channel().1);
             let (mut stream, _) = agent.asked().await?;
@@ -449,7 +458,7 @@
             let after = began.elapsed();
             let most = short_watch().patience() + AGAIN + Duration::from_millis(250);
             assert!(after < most, "next call {after:?} after {first} bytes");
-            assert_eq!(counted(&figures)["last_error"], "list.cut");
+            assert_eq!(counted(&counters)["last_error"], "list.cut");
         }
         Ok(())
     };
@@ -463,7 +472,7 @@
         let bounds = Bounds { bytes: 4 << 20, ..Bounds::default() };
         for text in [&[b' '; 1 << 16][..], b"{\"index\":1,\"index\":1,"] {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
-            let (figures, _heard, _moves) = followed(listener.local_addr()?, short_watch(), bounds);
+            let (counters, _heard, _moves) = followed(listener.local_addr()?, short_watch(), bounds);
             let agent = Agent(listener, unbounded_channel().1);
             let (mut stream, _) = agent.asked().await?;
             stream.write_all(head(usize::MAX >> 1).as_bytes()).await?;
@@ -474,7 +483,7 @@
                 assert!(written < 64 << 20, "the body is read beyond its limit");
             }
             agent.asked().await?;
-            let code = counted(&figures)["last_error"].clone();
+            let code = counted(&counters)["last_error"].clone();
             assert!(code == "list.bytes" || code == "list.malformed", "{code}");
         }
         Ok(())
@@ -488,8 +497,8 @@
 async fn a_long_list_is_left_when_discovery_moves() -> io::Result<()> {
     let run = async {
         let (old, new) = (TcpListener::bind("127.0.0.1:0").await?, TcpListener::bind("127.0.0.1:0").await?);
-        let following = Following::Watch(1, LONGEST_HOLD);
-        let (figures, mut heard, moves) = followed(old.local_addr()?, following, Bounds::default());
+        let following = Following::Watch(1, MAX_HOLD_TIME);
+        let (counters, mut heard, moves) = followed(old.local_addr()?, following, Bounds::default());
         let (old, new_address) = (Agent(old, unbounded_channel().1), new.local_addr()?);
         let new = Agent(new, unbounded_channel().1);
         let (mut stream, _) = old.asked().await?;
@@ -499,12 +508,16 @@
         let moved = Instant::now();
         moves.send_replace(new_address);
         let (mut stream, path) = new.asked().await?;
-        assert!(moved.elapsed() < Duration::from_millis(250), "the new address was asked after {:?}", moved.elapsed());
+        assert!(
+            moved.elapsed() < Duration::from_millis(250),
+            "the new address was asked after {:?}",
+            moved.elapsed()
+        );
         assert_eq!(path, "/v1/endpoints?from=1&hold_ms=2000");
-        assert!(heard.try_recv().is_err() && counted(&figures).is_null());
+        assert!(heard.try_recv().is_err() && counted(&counters).is_null());
         stream.write_all(answer(&list(9, 1)).as_bytes()).await?;
         let listed = timeout(PATIENCE, heard.recv()).await?;
-        assert!(matches!(&listed, Some(Inbound::Listed(list)) if version(list) == (9, Some(1))));
+        assert!(matches!(&listed, Some(Inbound::ListReceived(list)) if list_version(list) == (9, Some(1))));
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -515,7 +528,7 @@
 async fn a_wish_for_the_whole_list_waits_for_a_long_one() -> io::Result<()> {
     let run = async {
         let wanted = Rc::new(Wanted::default());
-        let mut agent = Agent::new(Following::Watch(1, LONGEST_HOLD), wanted.clone()).await?;
+        let mut agent = Agent::new(Following::Watch(1, MAX_HOLD_TIME), wanted.clone()).await?;
         let (mut stream, _) = agent.asked().await?;
         let text = answer(&list(2, 5000));
         let (first, last) = text.as_bytes().split_at(text.len() - 1);
@@ -525,7 +538,9 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         stream.write_all(last).await?;
         let listed = timeout(PATIENCE, agent.1.recv()).await?;
-        assert!(matches!(&listed, Some(Inbound::Listed(list)) if version(list) == (2, Some(5000))));
+        assert!(
+            matches!(&listed, Some(Inbound::ListReceived(list)) if list_version(list) == (2, Some(5000)))
+        );
         assert_eq!(asked(&mut stream).await?, "/v1/endpoints");
         Ok(())
     };
@@ -536,10 +551,14 @@
 /// sent must be reported within 6 s.
 #[test]
 fn the_rest_after_refused_lists_is_bounded_by_when_news_counts_as_told() {
-    for hold in [SHORTEST_HOLD, Duration::from_secs(1), LONGEST_HOLD] {
+    for hold in [SHORTEST_HOLD, Duration::from_secs(1), MAX_HOLD_TIME] {
         let patience = Following::Watch(1, hold).patience();
         for took in [Duration::ZERO, hold, patience] {
-            assert_eq!(rest_after_refusal(1, took, patience), AGAIN, "a single refusal costs no more than a failed call");
+            assert_eq!(
+                rest_after_refusal(1, took, patience),
+                AGAIN,
+                "a single refusal costs no more than a failed call"
+            );
             for refused in [2, 5, 8, 100, u32::MAX] {
                 let rest = rest_after_refusal(refused, took, patience);
                 assert!(
@@ -549,7 +568,7 @@
             }
         }
         // However many were refused before, the agent's first good list is fetched soon.
-        assert!(rest_after_refusal(u32::MAX, patience, patience) <= MOST_AT_AGENT);
+        assert!(rest_after_refusal(u32::MAX, patience, patience) <= MAX_AT_AGENT);
         // The transfer took longer than the call's timeout: the time counts from its end.
         let rest = rest_after_refusal(100, Duration::from_secs(30), patience);
         assert!(rest + patience + POLL_SLACK <= TOLD_WITHIN && rest > Duration::from_secs(2), "{rest:?}");
@@ -565,7 +584,7 @@
 #[tokio::test]
 async fn the_whole_list_is_asked_for_after_too_many_changes() -> io::Result<()> {
     let run = async {
-        let mut agent = Agent::new(Following::Watch(1, LONGEST_HOLD), Rc::default()).await?;
+        let mut agent = Agent::new(Following::Watch(1, MAX_HOLD_TIME), Rc::default()).await?;
         let (mut stream, _) = agent.asked().await?;
         let changes = list(2, CHANGES + 1).replacen("\"snapshot\":true", "\"snapshot\":false", 1);
         // The follower may have stopped reading before the end.
--- a/src/net/working.rs
+++ b/src/net/working_set.rs
@@ -19,7 +19,7 @@
 pub const LEAVE_AT_ONCE: usize = 32;
 /// Maximum number of evicted destinations whose route state is saved, at some 200 bytes each; see [`Place`]
 /// for which is dropped first.
-pub const MOST_KEPT: usize = 16_384;
+pub const MAX_KEPT: usize = 16_384;
 
 /// Shortest time between two fetches of the complete list because the table has accumulated many changes or
 /// is full.
@@ -41,7 +41,7 @@
 struct Kept {
     /// Its position in the order of dropping.
     place: Place,
-    /// How limits were reported at that time; see [`Working::limits_told_otherwise`].
+    /// How limits were reported at that time; see [`WorkingSet::limits_told_otherwise`].
     form: u32,
     /// Its routes: an encoded list of [`Named`].
     routes: Bytes,
@@ -50,7 +50,7 @@
 /// Which destinations are resident. With up to [`ALL_RESIDENT`] destinations all are, and this is empty.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Working {
+pub struct WorkingSet {
     /// The list has more destinations than may all be resident.
     pub beyond: bool,
     /// The complete list in that case; none after a handover, until the list has been fetched.
@@ -66,7 +66,7 @@
     form: u32,
     /// [`ROUTES_FORM`] of the version that saved them.
     routes_form: u32,
-    /// Number of states dropped because there were more than [`MOST_KEPT`].
+    /// Number of states dropped because there were more than [`MAX_KEPT`].
     pub forgotten: u64,
     /// When the complete list was last fetched because of the table.
     pub asked_at: Micros,
@@ -78,7 +78,7 @@
     pub listed: usize,
 }
 
-impl Working {
+impl WorkingSet {
     /// Number of destinations that the module knows.
     pub fn resident(&self) -> usize {
         if self.beyond { self.used.len() } else { self.listed }
@@ -111,7 +111,7 @@
     }
 
     /// Resident destinations that were idle for [`IDLE_FOR`], as many as may be evicted at once. The caller
-    /// must report each as evicted ([`Working::left`]) or as kept ([`Working::stays`]).
+    /// must report each as evicted ([`WorkingSet::left`]) or as kept ([`WorkingSet::stays`]).
     pub fn idle(&mut self, now: Micros) -> Vec<u32> {
         let mut idle = Vec::new();
         while idle.len() < LEAVE_AT_ONCE
@@ -152,7 +152,7 @@
         self.next += 1;
         self.kept.insert(destination, Kept { place, form, routes: routes.into() });
         self.order.insert(place, destination);
-        if self.order.len() > MOST_KEPT
+        if self.order.len() > MAX_KEPT
             && let Some((_, oldest)) = self.order.pop_first()
         {
             self.kept.remove(&oldest);
@@ -166,7 +166,7 @@
         self.order.remove(&kept.place);
         let mut routes: Vec<Named> = postcard::from_bytes(&kept.routes).unwrap_or_default();
         if kept.form != self.form {
-            routes.iter_mut().for_each(|(_, route)| route.forget_limit());
+            routes.iter_mut().for_each(|(_, route)| route.clear_advertised_limit());
         }
         routes
     }
--- a/src/net/working/tests.rs
+++ b/src/net/working_set/tests.rs
@@ -7,8 +7,8 @@
 
 #[test]
 fn states_are_kept_up_to_the_most_and_the_oldest_goes_first() {
-    let mut working = Working::default();
-    for destination in 0..=MOST_KEPT as u32 {
+    let mut working = WorkingSet::default();
+    for destination in 0..=MAX_KEPT as u32 {
         working.left(destination, &routes(), false);
     }
     assert_eq!(working.forgotten, 1);
@@ -23,11 +23,11 @@
 /// are.
 #[test]
 fn states_that_bind_are_dropped_last() {
-    let mut working = Working::default();
+    let mut working = WorkingSet::default();
     for destination in 0..100 {
         working.left(destination, &routes(), true);
     }
-    for destination in 100..MOST_KEPT as u32 + 200 {
+    for destination in 100..MAX_KEPT as u32 + 200 {
         working.left(destination, &routes(), false);
     }
     assert_eq!(working.forgotten, 200);
@@ -38,7 +38,7 @@
 /// Routes are encoded by field position, so states of a version with other fields must not be decoded.
 #[test]
 fn states_of_another_form_are_dropped_and_counted() {
-    let mut working = Working::default();
+    let mut working = WorkingSet::default();
     working.left(1, &routes(), true);
     assert_eq!(working.drop_other_form(), 0);
     working.routes_form = ROUTES_FORM + 1;
@@ -49,8 +49,8 @@
 /// A destination that is evicted repeatedly must occupy one entry only.
 #[test]
 fn a_place_is_free_again_once_its_state_is_taken() {
-    let mut working = Working::default();
-    for _ in 0..2 * MOST_KEPT {
+    let mut working = WorkingSet::default();
+    for _ in 0..2 * MAX_KEPT {
         working.left(7, &routes(), false);
         assert_eq!(working.take(7).len(), 1);
     }
@@ -59,7 +59,7 @@
 
 #[test]
 fn who_was_used_of_late_is_not_idle() {
-    let mut working = Working { beyond: true, ..Working::default() };
+    let mut working = WorkingSet { beyond: true, ..WorkingSet::default() };
     assert!(working.touch(1, 0) && working.touch(2, 0));
     assert!(!working.touch(2, IDLE_FOR / 2));
     assert!(working.idle(IDLE_FOR - 1).is_empty());
@@ -73,7 +73,7 @@
 
 #[test]
 fn no_turn_has_more_leave_than_may_at_once() {
-    let mut working = Working { beyond: true, ..Working::default() };
+    let mut working = WorkingSet { beyond: true, ..WorkingSet::default() };
     for destination in 0..LEAVE_AT_ONCE as u32 + 1 {
         working.touch(destination, 0);
     }
--- a/src/plans/adopted.rs
+++ b/src/plans/adopted.rs
@@ -7,11 +7,11 @@
 use crate::status::Rank;
 
 /// Numbers beyond a gap that are remembered of one cover; more of them are forgotten, which only says less.
-pub const MOST_BEYOND: usize = 1_024;
+pub const MAX_BEYOND: usize = 1_024;
 
 /// What one cover knows of the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Known {
+pub struct ReplicaNumbers {
     /// All changes up to this number.
     pub upto: u64,
     /// These beyond it.
@@ -21,7 +21,7 @@
 /// An adoption of one log by its two covers' facts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Adopted {
-    told: BTreeMap<Rank, Known>,
+    told: BTreeMap<Rank, ReplicaNumbers>,
     covers: Option<(Rank, Rank)>,
 }
 
@@ -32,12 +32,12 @@
     }
 
     /// A cover has told all that it knows. What it told before holds still.
-    pub fn told(&mut self, cover: Rank, known: Known) {
+    pub fn report(&mut self, cover: Rank, known: ReplicaNumbers) {
         if self.covers.is_some_and(|covers| cover == covers.0 || cover == covers.1) {
             let held = self.told.entry(cover).or_default();
             held.upto = held.upto.max(known.upto);
             held.beyond.extend(known.beyond);
-            while held.beyond.len() > MOST_BEYOND {
+            while held.beyond.len() > MAX_BEYOND {
                 held.beyond.pop_last();
             }
         }
--- a/src/plans/limits.rs
+++ b/src/plans/limits.rs
@@ -6,14 +6,14 @@
 use serde::Serialize;
 
 use super::session::{Outcome, Verdict};
-use super::token::{Token, Unreadable};
+use super::token::{Token, TokenError};
 use super::{Config, Level, Plan};
+use crate::coded_error;
+use crate::error_code::CodedError;
 use crate::interface::Micros;
-use crate::told;
-use crate::told::Told;
 
 /// Tenants whose rate and counts are kept at most.
-pub const MOST_TENANTS: usize = 1_024;
+pub const MAX_TENANTS: usize = 1_024;
 /// Whoever does not fit shares this one's rate and counts. No tenant is called so.
 pub const OTHERS: &str = "(others)";
 /// The plan of those that have none of their own.
@@ -34,7 +34,7 @@
     },
     /// Its token can't be read.
     #[error("{0}")]
-    Token(#[from] Unreadable),
+    Token(#[from] TokenError),
     /// The tenant's reads of this second are used up at this sender.
     #[error("plan {plan} allows {reads_per_s} reads a second; the next one in {after_ms} ms")]
     Rate {
@@ -80,12 +80,12 @@
 impl Denied {
     /// A stable name.
     pub fn code(&self) -> &'static str {
-        Told::code(self)
+        CodedError::code(self)
     }
 
     /// What an operator can do.
     pub fn remedy(&self) -> &'static str {
-        Told::remedy(self)
+        CodedError::remedy(self)
     }
 
     /// When it may be asked again, milliseconds; nothing if that alone does not help.
@@ -97,7 +97,7 @@
     }
 }
 
-told! { Denied {
+coded_error! { Denied {
     NoSession => "plan_no_session", "read without a token, or give the tenant a plan with level session and send SIGHUP";
     Rate => "plan_rate", "have the tenant read less often, or raise reads_per_s and send SIGHUP";
     Later => "plan_later", "wait for again_ms, or raise queries_per_min or bytes_per_min and send SIGHUP";
@@ -207,11 +207,11 @@
 
     fn charge(&mut self, tenant: &str, reads_per_s: u32, now: Micros) -> Result<(), Micros> {
         let each = (BURST / Micros::from(reads_per_s.max(1))).max(1);
-        if !self.full_at.contains_key(tenant) && self.full_at.len() >= MOST_TENANTS {
+        if !self.full_at.contains_key(tenant) && self.full_at.len() >= MAX_TENANTS {
             // Who is at rest needs no place.
             self.full_at.retain(|_, full_at| *full_at > now);
         }
-        let known = self.full_at.contains_key(tenant) || self.full_at.len() < MOST_TENANTS;
+        let known = self.full_at.contains_key(tenant) || self.full_at.len() < MAX_TENANTS;
         let full_at = self.full_at.entry(if known { tenant } else { OTHERS }.to_owned()).or_default();
         // A clock that stepped back must not keep anybody waiting for longer than a burst.
         *full_at = (*full_at).clamp(now, now.saturating_add(BURST));
@@ -231,7 +231,7 @@
 
     fn count(&mut self, tenant: &str, level: Level) -> &mut Counts {
         let key = (tenant.to_owned(), level);
-        let known = self.counts.contains_key(&key) || self.counts.len() < MOST_TENANTS;
+        let known = self.counts.contains_key(&key) || self.counts.len() < MAX_TENANTS;
         self.counts.entry(if known { key } else { (OTHERS.to_owned(), level) }).or_default()
     }
 
--- a/src/plans/mod.rs
+++ b/src/plans/mod.rs
@@ -36,7 +36,7 @@
 /// What becomes of a read that can't have its level within `wait_ms`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Otherwise {
+pub enum Fallback {
     /// It is refused, and says what is missing.
     #[default]
     Refuse,
@@ -59,7 +59,7 @@
     pub wait_ms: u32,
     /// What becomes of it then.
     #[serde(default, rename = "or")]
-    pub otherwise: Otherwise,
+    pub otherwise: Fallback,
     /// Reads a second at one sender.
     #[serde(default = "reads")]
     pub reads_per_s: u32,
@@ -79,7 +79,7 @@
 /// Bounds of `staleness_ms`.
 pub const STALENESS_MS: (u32, u32) = (10, 3_600_000);
 /// Plans at most.
-pub const MOST_PLANS: usize = 256;
+pub const MAX_PLANS: usize = 256;
 
 fn staleness() -> u32 {
     5_000
@@ -111,7 +111,7 @@
             level: Level::Any,
             staleness_ms: staleness(),
             wait_ms: wait(),
-            otherwise: Otherwise::Refuse,
+            otherwise: Fallback::Refuse,
             reads_per_s: reads(),
             queries_per_min: queries(),
             shards: shards(),
--- a/src/plans/route.rs
+++ b/src/plans/route.rs
@@ -11,11 +11,11 @@
 use serde::Serialize;
 
 use crate::interface::Micros;
-use crate::membership::{Facts, State};
-use crate::status::{LogId, Positions, Rank, Reached};
+use crate::membership::{MembershipView, State};
+use crate::status::{LogId, Positions, Rank, Watermark};
 
 /// Senders that are considered for one log: more of them are not looked at.
-pub const MOST_HOLDERS: usize = 16;
+pub const MAX_HOLDERS: usize = 16;
 /// A sender that came into the view less than this ago is starting, microseconds.
 pub const STARTING: Micros = 5_000_000;
 
@@ -39,7 +39,7 @@
     /// What it is to the log.
     pub role: Role,
     /// How far, as it announced; nothing if it did not.
-    pub reached: Reached,
+    pub reached: Watermark,
 }
 
 /// A log that may hold rows, with those who may hold the log.
@@ -47,20 +47,20 @@
 pub struct Log {
     /// Which.
     pub id: LogId,
-    /// Who, besides its owner's rank, which is always considered; [`MOST_HOLDERS`] at most.
+    /// Who, besides its owner's rank, which is always considered; [`MAX_HOLDERS`] at most.
     pub holders: Vec<Holder>,
     /// A summary covers the log so far, and says that no row is in it.
-    pub empty: Option<Reached>,
+    pub empty: Option<Watermark>,
 }
 
 /// What a route is chosen by.
-pub struct World<'a> {
+pub struct RouteContext<'a> {
     /// This sender.
     pub own: Rank,
     /// How far this sender has the logs that it keeps.
     pub here: &'a Positions,
     /// The view, if there is one.
-    pub facts: Option<&'a Facts>,
+    pub facts: Option<&'a MembershipView>,
     /// Who may hold which log.
     pub logs: &'a [Log],
     /// What it costs to read a log at a sender, by estimate; any unit, the less the better.
@@ -86,9 +86,9 @@
 /// What a sender states of a log that it is asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Stated {
+pub enum HolderReply {
     /// It has it so far.
-    Has(Reached),
+    Has(Watermark),
     /// It is the owner, in another life: nobody writes this log any more.
     Over,
     /// It has nothing of it.
@@ -101,7 +101,7 @@
 
 impl Need {
     /// Whether what a sender states keeps it. This is the proof; hints go through [`Need::hoped`].
-    pub fn met(self, log: LogId, from: Rank, reached: Reached) -> bool {
+    pub fn met(self, log: LogId, from: Rank, reached: Watermark) -> bool {
         match self {
             Self::Any => true,
             Self::Since(then) => reached.as_of >= then,
@@ -189,7 +189,7 @@
     Away,
 }
 
-fn standing(world: &World<'_>, rank: Rank, now: Micros) -> Standing {
+fn standing(world: &RouteContext<'_>, rank: Rank, now: Micros) -> Standing {
     if rank == world.own {
         return Standing::Well;
     }
@@ -208,11 +208,11 @@
 
 /// What is known of one log's read so far.
 #[derive(Debug, Clone, Copy)]
-pub struct Sofar<'a> {
+pub struct Progress<'a> {
     /// What it must be worth.
     pub need: Need,
     /// What those who were asked have said, in this round.
-    pub said: &'a BTreeMap<Rank, Stated>,
+    pub replies: &'a BTreeMap<Rank, HolderReply>,
     /// It has waited before: who is behind by the hints is asked, too.
     pub again: bool,
     /// Until when it may wait.
@@ -220,12 +220,12 @@
 }
 
 /// Everybody who may hold the log, the owner's rank among them, each once.
-fn holders(log: LogId, world: &World<'_>) -> Vec<Holder> {
-    let none = Reached { upto: 0, as_of: 0 };
+fn holders(log: LogId, world: &RouteContext<'_>) -> Vec<Holder> {
+    let none = Watermark { upto: 0, as_of: 0 };
     let mut all: BTreeMap<Rank, Holder> = BTreeMap::new();
     all.insert(log.owner, Holder { rank: log.owner, role: Role::Owner, reached: none });
     let known = world.logs.iter().find(|known| known.id == log);
-    for holder in known.into_iter().flat_map(|known| &known.holders).take(MOST_HOLDERS) {
+    for holder in known.into_iter().flat_map(|known| &known.holders).take(MAX_HOLDERS) {
         let role = if holder.rank == log.owner { Role::Owner } else { holder.role };
         all.insert(holder.rank, Holder { role, ..*holder });
     }
@@ -238,8 +238,8 @@
 }
 
 /// Where a log is read next.
-pub fn route(log: LogId, sofar: Sofar<'_>, world: &World<'_>, now: Micros) -> (Route, Reason) {
-    let Sofar { need, said, again, until } = sofar;
+pub fn route(log: LogId, progress: Progress<'_>, world: &RouteContext<'_>, now: Micros) -> (Route, Reason) {
+    let Progress { need, replies: said, again, until } = progress;
     let empty = world.logs.iter().find(|known| known.id == log).and_then(|known| known.empty);
     // Only the owner's own word is worth all of it.
     if need != Need::All && empty.is_some_and(|empty| need.met(log, log.owner, empty)) {
@@ -249,7 +249,7 @@
     let left: Vec<&Holder> = all.iter().filter(|holder| !said.contains_key(&holder.rank)).collect();
     let price = |holder: &&&Holder| {
         let near = world.facts.and_then(|facts| facts.members.get(usize::from(holder.rank)));
-        let far = holder.rank != world.own && !near.is_some_and(|fact| fact.near);
+        let far = holder.rank != world.own && !near.is_some_and(|fact| fact.same_zone);
         (standing(world, holder.rank, now), (world.cost)(holder.rank, log), far, holder.rank)
     };
     let well = |holder: &&&Holder| standing(world, holder.rank, now) <= Standing::Well;
@@ -283,7 +283,7 @@
     if let Some(owner) = left.iter().find(|holder| holder.role == Role::Owner) {
         return to(owner, Reason::LastResort);
     }
-    let over = said.get(&log.owner) == Some(&Stated::Over);
+    let over = said.get(&log.owner) == Some(&HolderReply::Over);
     // Whoever is furthest, first: what the hints say may be old.
     let furthest = |holder: &&&Holder| (u64::MAX - holder.reached.upto, price(holder));
     if let Some(behind) = left.iter().filter(|_| over || again || need == Need::Any).min_by_key(furthest) {
@@ -301,15 +301,15 @@
 /// Whether nobody can ever have what is needed: the owner says so, by being in another life, and all others that may
 /// hold the log have said since then that they have less; or the owner, in the log's own life, has less. Whoever was not
 /// heard may still have it.
-fn lost(log: LogId, need: Need, said: &BTreeMap<Rank, Stated>, all: &[Holder]) -> bool {
-    if matches!(need, Need::Any | Need::Since(_)) && said.get(&log.owner) != Some(&Stated::Over) {
+fn lost(log: LogId, need: Need, said: &BTreeMap<Rank, HolderReply>, all: &[Holder]) -> bool {
+    if matches!(need, Need::Any | Need::Since(_)) && said.get(&log.owner) != Some(&HolderReply::Over) {
         return false;
     }
     match said.get(&log.owner) {
-        Some(Stated::Has(_)) => true,
-        Some(Stated::Over) => all.iter().all(|holder| {
+        Some(HolderReply::Has(_)) => true,
+        Some(HolderReply::Over) => all.iter().all(|holder| {
             let said = said.get(&holder.rank);
-            matches!(said, Some(Stated::Has(_) | Stated::Over | Stated::Nothing))
+            matches!(said, Some(HolderReply::Has(_) | HolderReply::Over | HolderReply::Nothing))
         }),
         _ => false,
     }
--- a/src/plans/session.rs
+++ b/src/plans/session.rs
@@ -8,11 +8,11 @@
 
 use serde::Serialize;
 
-use super::route::{Need, Reason, Route, Sofar, Stated, World, route};
+use super::route::{HolderReply, Need, Progress, Reason, Route, RouteContext, route};
 use super::token::Token;
-use super::{Level, Otherwise, Plan};
+use super::{Fallback, Level, Plan};
 use crate::interface::Micros;
-use crate::status::{LogId, Rank, Reached};
+use crate::status::{LogId, Rank, Watermark};
 
 /// From the beginning of a read to its end at most, microseconds. Its answer is due within 1 s.
 pub const ANSWER_WITHIN: Micros = 800_000;
@@ -21,9 +21,9 @@
 /// How long a log that can't be read yet rests before it is looked at again, microseconds.
 pub const PAUSE: Micros = 40_000;
 /// Times that one log is asked for at most.
-pub const MOST_ASKS: usize = 24;
+pub const MAX_ASKS: usize = 24;
 /// Logs that one read touches at most.
-pub const MOST_LOGS: usize = 4_096;
+pub const MAX_LOGS: usize = 4_096;
 
 /// Something to be done for a read.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -66,7 +66,7 @@
 struct Leg<R> {
     need: Need,
     /// What those asked have said, since the last rest.
-    said: BTreeMap<Rank, Stated>,
+    said: BTreeMap<Rank, HolderReply>,
     /// Who is asked, until when, and by which question.
     asked: Option<(Rank, Micros, u32)>,
     /// The last question from before the owner said that its life is over.
@@ -77,7 +77,7 @@
     asks: usize,
     hops: Vec<Hop>,
     /// The furthest answer, with its rows.
-    best: Option<(Rank, Reached, R)>,
+    best: Option<(Rank, Watermark, R)>,
     /// The greatest number that any answer may have shown: rows of several logs may have come together.
     shown: u64,
     verdict: Option<Verdict>,
@@ -87,7 +87,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Read<R> {
     level: Level,
-    otherwise: Otherwise,
+    otherwise: Fallback,
     token: Token,
     until: Micros,
     end: Micros,
@@ -122,7 +122,7 @@
     /// Its way.
     pub hops: Vec<Hop>,
     /// Who answered, how far it had the log, and what it gave; nothing for a refused read.
-    pub answer: Option<(Rank, Reached, R)>,
+    pub answer: Option<(Rank, Watermark, R)>,
 }
 
 /// A read that has ended.
@@ -141,10 +141,10 @@
     pub without_lost: Option<Token>,
 }
 
-/// More logs than [`MOST_LOGS`] may hold rows.
+/// More logs than [`MAX_LOGS`] may hold rows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("{0} logs may hold rows, where {MOST_LOGS} are the most: ask for ids, or a shorter time")]
-pub struct Wide(pub usize);
+#[error("{0} logs may hold rows, where {MAX_LOGS} are the most: ask for ids, or a shorter time")]
+pub struct TooManyLogs(pub usize);
 
 impl<R: Clone> Read<R> {
     /// Begins one at a plan's level over the logs that may hold rows, and all that the token names. It ends after
@@ -158,7 +158,7 @@
         logs: impl IntoIterator<Item = LogId>,
         now: Micros,
         within: Micros,
-    ) -> Result<Self, Wide> {
+    ) -> Result<Self, TooManyLogs> {
         let token = if plan.level == Level::Session { token } else { Token::default() };
         let need = |log: LogId| match plan.level {
             Level::Any => Need::Any,
@@ -185,8 +185,8 @@
         let named = token.logs().map(|(log, _)| log);
         let legs: BTreeMap<LogId, Leg<R>> =
             logs.into_iter().chain(named).map(|log| (log, leg(log))).collect();
-        if legs.len() > MOST_LOGS {
-            return Err(Wide(legs.len()));
+        if legs.len() > MAX_LOGS {
+            return Err(TooManyLogs(legs.len()));
         }
         let end = now.saturating_add(within.min(ANSWER_WITHIN));
         let until = now.saturating_add(Micros::from(plan.wait_ms) * 1000).min(end);
@@ -215,12 +215,12 @@
 
     /// Goes on: whoever did not answer in time is routed round. What comes back is to be asked for, one question per
     /// sender.
-    pub fn step(&mut self, now: Micros, world: &World<'_>) -> Vec<Ask> {
+    pub fn step(&mut self, now: Micros, world: &RouteContext<'_>) -> Vec<Ask> {
         let mut asks: BTreeMap<Rank, Ask> = BTreeMap::new();
         let number = &mut self.asks;
         for (log, leg) in self.legs.iter_mut().filter(|leg| leg.1.verdict.is_none()) {
             if let Some((rank, ..)) = leg.asked.take_if(|asked| asked.1 <= now) {
-                leg.said.insert(rank, Stated::Silent);
+                leg.said.insert(rank, HolderReply::Silent);
             }
             if now >= self.end {
                 leg.ends(Verdict::Late, Hop { route: Route::Late, reason: Reason::TimeUp });
@@ -232,11 +232,13 @@
             if leg.rests.take().is_some() {
                 leg.rested = true;
                 // What can't change any more is kept: another life of the owner, and how far the owner had its log.
-                leg.said
-                    .retain(|rank, said| *rank == log.owner && matches!(said, Stated::Over | Stated::Has(_)));
+                leg.said.retain(|rank, said| {
+                    *rank == log.owner && matches!(said, HolderReply::Over | HolderReply::Has(_))
+                });
             }
-            let sofar = Sofar { need: leg.need, said: &leg.said, again: leg.rested, until: self.until };
-            let (route, reason) = route(*log, sofar, world, now);
+            let progress =
+                Progress { need: leg.need, replies: &leg.said, again: leg.rested, until: self.until };
+            let (route, reason) = route(*log, progress, world, now);
             let hop = Hop { route, reason };
             match route {
                 Route::NotTouched => leg.ends(Verdict::NotTouched, hop),
@@ -248,7 +250,7 @@
                 }
                 Route::Here | Route::At(_) | Route::Owner(_) | Route::Adopter(_) => {
                     let Some(to) = route.asks(world.own) else { continue };
-                    if leg.asks == MOST_ASKS {
+                    if leg.asks == MAX_ASKS {
                         leg.ends(Verdict::Late, Hop { route: Route::Late, reason: Reason::Often });
                         continue;
                     }
@@ -274,7 +276,7 @@
         &mut self,
         (from, number): (Rank, u32),
         log: LogId,
-        stated: Stated,
+        stated: HolderReply,
         (shown, rows): (u64, R),
     ) {
         let asks = self.asks;
@@ -285,14 +287,14 @@
             return;
         }
         leg.asked.take_if(|asked| asked.2 == number);
-        if stated == Stated::Over && from == log.owner && leg.over.is_none() {
+        if stated == HolderReply::Over && from == log.owner && leg.over.is_none() {
             // Others may have got more of it since they answered, but get nothing more from now on: they are asked
             // again, so that what is told as lost is.
             leg.said.clear();
             leg.over = Some(asks);
         }
         let reached = match stated {
-            Stated::Has(reached) => Some(reached).filter(|reached| leg.need.met(log, from, *reached)),
+            HolderReply::Has(reached) => Some(reached).filter(|reached| leg.need.met(log, from, *reached)),
             _ => None,
         };
         // What was less before the owner's word may be more since.
@@ -301,7 +303,7 @@
             return;
         }
         leg.said.insert(from, stated);
-        let Stated::Has(told) = stated else { return };
+        let HolderReply::Has(told) = stated else { return };
         if reached.is_some() || leg.best.as_ref().is_none_or(|best| best.1.upto < told.upto) {
             leg.best = Some((from, told, rows));
         }
@@ -311,9 +313,9 @@
     }
 
     /// With the rows of logs that were asked for came those of another one, up to this number.
-    pub fn came(&mut self, log: LogId, shown: u64) {
+    pub fn record_shown(&mut self, log: LogId, shown: u64) {
         if self.level == Level::Session {
-            self.came.see(log, shown);
+            self.came.observe(log, shown);
         }
     }
 
@@ -331,8 +333,8 @@
             _ if self.legs.values().all(kept) => Outcome::Kept,
             // The nearest there is is all that this level promises.
             _ if self.level == Level::Any => Outcome::Less,
-            Otherwise::TellStale => Outcome::Less,
-            Otherwise::Refuse => Outcome::Refused,
+            Fallback::TellStale => Outcome::Less,
+            Fallback::Refuse => Outcome::Refused,
         };
         let lost = self.legs.iter().filter(|leg| leg.1.verdict == Some(Verdict::Lost));
         let lost: Vec<LogId> = lost.map(|leg| *leg.0).collect();
@@ -344,7 +346,7 @@
                 // All that it was shown, beyond what it asked for and beyond what the sender has without gaps. What was
                 // filtered out counts, since its absence was shown.
                 let upto = answer.as_ref().map_or(0, |(_, reached, _)| reached.upto);
-                token.see(log, leg.shown.max(upto));
+                token.observe(log, leg.shown.max(upto));
             }
             let verdict = leg.verdict.unwrap_or(Verdict::Late);
             parts.push(Part { log, need: leg.need, verdict, hops: leg.hops, answer });
@@ -365,7 +367,7 @@
 
     /// The first ones and the last one are kept.
     fn hops(&mut self, hop: Hop) {
-        self.hops.truncate(MOST_ASKS);
+        self.hops.truncate(MAX_ASKS);
         self.hops.push(hop);
     }
 }
--- a/src/plans/token.rs
+++ b/src/plans/token.rs
@@ -2,7 +2,7 @@
 //! written to or read from (version vectors as session guarantees use them: Terry and others, 1994). A token is the
 //! client's to carry. It says nothing of who holds what, so that it stays good over owners, restarts and takeovers.
 //!
-//! It is bounded: [`MOST_LOGS`] logs are named, those with the least names. What does not fit is not forgotten: the
+//! It is bounded: [`MAX_LOGS`] logs are named, those with the least names. What does not fit is not forgotten: the
 //! token then says that it overflowed, and a log that it does not name is read at its owner only.
 
 use std::collections::BTreeMap;
@@ -11,14 +11,14 @@
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use serde::Serialize;
 
-use crate::status::{Life, LogId, Rank};
-use crate::told;
-use crate::told::Told;
+use crate::coded_error;
+use crate::error_code::CodedError;
+use crate::status::{Generation, LogId, Rank};
 
 /// Logs that a token names at most.
-pub const MOST_LOGS: usize = 128;
+pub const MAX_LOGS: usize = 128;
 /// Characters of a token's text at most, so that it fits into one header.
-pub const LONGEST: usize = (HEAD + MOST_LOGS * ENTRY).div_ceil(3) * 4;
+pub const MAX_TOKEN_LEN: usize = (HEAD + MAX_LOGS * ENTRY).div_ceil(3) * 4;
 /// The version that is written, and the only one that is read.
 pub const VERSION: u8 = 1;
 
@@ -33,16 +33,16 @@
 
 /// Why a text is no token. Nothing is lost by it: the client still has what it sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, thiserror::Error)]
-pub enum Unreadable {
+pub enum TokenError {
     /// It is longer than any token.
-    #[error("a token of {0} characters, where {LONGEST} are the most")]
+    #[error("a token of {0} characters, where {MAX_TOKEN_LEN} are the most")]
     Long(usize),
     /// It is not base64url without padding.
     #[error("a token that is not base64url")]
     Text,
     /// Its end is missing.
     #[error("a token that was cut off: {there} of {said} bytes")]
-    Cut {
+    Truncated {
         /// Bytes that are there,
         there: usize,
         /// and as many as it says.
@@ -56,28 +56,28 @@
     Foreign,
     /// Its checksum or its form is wrong.
     #[error("a token that was changed on its way")]
-    Spoilt,
+    Corrupt,
 }
 
-impl Unreadable {
+impl TokenError {
     /// A stable name.
     pub fn code(self) -> &'static str {
-        Told::code(&self)
+        CodedError::code(&self)
     }
 
     /// What an operator can do.
     pub fn remedy(self) -> &'static str {
-        Told::remedy(&self)
+        CodedError::remedy(&self)
     }
 }
 
-told! { Unreadable {
+coded_error! { TokenError {
     Long => "token_long", "see whether something between the client and the sender shortens or joins headers";
     Text => "token_text", "have the client send the token as it got it";
-    Cut => "token_cut", "see whether something between the client and the sender shortens or joins headers";
+    Truncated => "token_cut", "see whether something between the client and the sender shortens or joins headers";
     Version => "token_version", "finish the roll-out, so that all senders read it";
     Foreign => "token_foreign", "send the client to its own tier, or have it begin a new session here";
-    Spoilt => "token_spoilt", "have the client send the token as it got it";
+    Corrupt => "token_spoilt", "have the client send the token as it got it";
 } }
 
 /// What a session must not be shown less than.
@@ -89,7 +89,7 @@
 
 impl Token {
     /// That all changes of a log up to a number were seen. 0 is none.
-    pub fn see(&mut self, log: LogId, upto: u64) {
+    pub fn observe(&mut self, log: LogId, upto: u64) {
         if upto == 0 {
             return;
         }
@@ -111,7 +111,7 @@
     /// Keeps those with the least names. What was left out once would be left out of all that it is merged into, so
     /// that the position of a log that is named is always the greatest that was seen.
     fn bound(&mut self) {
-        while self.seen.len() > MOST_LOGS {
+        while self.seen.len() > MAX_LOGS {
             self.seen.pop_last();
             self.overflowed = true;
         }
@@ -151,9 +151,9 @@
         (!self.overflowed).then_some(token)
     }
 
-    /// As a header's value, of [`LONGEST`] characters at most.
+    /// As a header's value, of [`MAX_TOKEN_LEN`] characters at most.
     pub fn text(&self, tier: u32) -> String {
-        let written = |(log, upto): (&LogId, &u64)| (log.owner, log.life.0.to_le_bytes(), *upto);
+        let written = |(log, upto): (&LogId, &u64)| (log.owner, log.generation.0.to_le_bytes(), *upto);
         let mut body = Vec::with_capacity(self.seen.len() * ENTRY);
         for entry in self.seen.iter().map(written) {
             let entry: Written = entry;
@@ -165,7 +165,7 @@
         }
         let mut bytes = vec![VERSION, u8::from(self.overflowed) * OVERFLOWED];
         bytes.extend(tier.to_le_bytes());
-        // No more than `MOST_LOGS * ENTRY`.
+        // No more than `MAX_LOGS * ENTRY`.
         bytes.extend((body.len() as u16).to_le_bytes());
         bytes.extend(checksum(&bytes, &body).to_le_bytes());
         bytes.extend(body);
@@ -176,46 +176,46 @@
     ///
     /// # Errors
     /// Tells what is wrong with it; it is taken whole or not at all.
-    pub fn read(text: &str, tier: u32) -> Result<Self, Unreadable> {
-        if text.len() > LONGEST {
-            return Err(Unreadable::Long(text.len()));
+    pub fn read(text: &str, tier: u32) -> Result<Self, TokenError> {
+        if text.len() > MAX_TOKEN_LEN {
+            return Err(TokenError::Long(text.len()));
         }
-        let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| Unreadable::Text)?;
-        let version = *bytes.first().ok_or(Unreadable::Cut { there: 0, said: HEAD })?;
+        let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| TokenError::Text)?;
+        let version = *bytes.first().ok_or(TokenError::Truncated { there: 0, said: HEAD })?;
         if version != VERSION {
-            return Err(Unreadable::Version(version));
+            return Err(TokenError::Version(version));
         }
         let Some((head, body)) = bytes.split_at_checked(HEAD) else {
-            return Err(Unreadable::Cut { there: bytes.len(), said: HEAD });
+            return Err(TokenError::Truncated { there: bytes.len(), said: HEAD });
         };
         let (head, sum) = head.split_at(HEAD - 4);
         let said = usize::from(u16::from_le_bytes([head[6], head[7]]));
         if body.len() < said {
-            return Err(Unreadable::Cut { there: bytes.len(), said: HEAD + said });
+            return Err(TokenError::Truncated { there: bytes.len(), said: HEAD + said });
         }
         if checksum(head, body).to_le_bytes() != sum || head[1] & !OVERFLOWED != 0 {
-            return Err(Unreadable::Spoilt);
+            return Err(TokenError::Corrupt);
         }
         if head[2..6] != tier.to_le_bytes() {
-            return Err(Unreadable::Foreign);
+            return Err(TokenError::Foreign);
         }
         let mut seen = BTreeMap::new();
         let mut rest = body;
         while !rest.is_empty() {
             let ((owner, life, upto), next): (Written, _) =
-                postcard::take_from_bytes(rest).map_err(|_| Unreadable::Spoilt)?;
+                postcard::take_from_bytes(rest).map_err(|_| TokenError::Corrupt)?;
             rest = next;
-            let log = LogId { owner, life: Life(u64::from_le_bytes(life)) };
+            let log = LogId { owner, generation: Generation(u64::from_le_bytes(life)) };
             let next = seen.last_key_value().is_none_or(|(last, _)| *last < log);
-            if !next || upto == 0 || seen.len() == MOST_LOGS {
-                return Err(Unreadable::Spoilt);
+            if !next || upto == 0 || seen.len() == MAX_LOGS {
+                return Err(TokenError::Corrupt);
             }
             seen.insert(log, upto);
         }
         // What overflowed is full: else a log that was left out could come back with a lesser position.
         let overflowed = head[1] == OVERFLOWED;
-        if overflowed && seen.len() < MOST_LOGS {
-            return Err(Unreadable::Spoilt);
+        if overflowed && seen.len() < MAX_LOGS {
+            return Err(TokenError::Corrupt);
         }
         Ok(Self { seen, overflowed })
     }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -215,7 +215,7 @@
     }
 
     /// Drops the advertised limits: they were given in another form and do not apply to the current one.
-    pub fn forget_limit(&mut self) {
+    pub fn clear_advertised_limit(&mut self) {
         (self.told, self.reported) = (0.0, 0.0);
     }
 
@@ -521,9 +521,9 @@
     /// Creates the module of a sender that knows nothing but its settings.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let turn = rng.u64(0..=settings.ask_round());
+        let turn = rng.u64(0..=settings.list_request_round());
         Self {
-            ask_at: settings.must_ask.then_some(now + turn),
+            ask_at: settings.list_on_request.then_some(now + turn),
             tenants: vec![(0.0, now); settings.tenants.len()],
             keep: settings.idle_close,
             settings,
@@ -535,13 +535,13 @@
 
     /// Continues with the state of an earlier process of this sender; when this process will end is not
     /// known.
-    pub fn taken_over(self, seed: u64) -> Self {
-        let ask_at = self.settings.must_ask.then_some(self.now);
+    pub fn after_handover(self, seed: u64) -> Self {
+        let ask_at = self.settings.list_on_request.then_some(self.now);
         Self { rng: fastrand::Rng::with_seed(seed), stop_at: None, drain_by: None, ask_at, ..self }
     }
 
     /// Attempts without an outcome, and the endpoint of each.
-    pub fn out(&self) -> impl Iterator<Item = (MessageId, u16, EndpointId)> + '_ {
+    pub fn outstanding_attempts(&self) -> impl Iterator<Item = (MessageId, u16, EndpointId)> + '_ {
         self.flights.iter().filter_map(|((message, attempt), (call, _))| {
             Some((*message, *attempt, self.calls.get(call)?.endpoint))
         })
@@ -557,7 +557,7 @@
                     self.resume(message, *attempts, may_have_run);
                 }
                 Event::Stopping(at) => self.stop_at = Some(*at),
-                Event::Wait { endpoint, wait } => {
+                Event::RetryAfter { endpoint, wait } => {
                     if let Some(route) = self.route_of(*endpoint).and_then(|id| self.routes.get_mut(&id)) {
                         route.wait_until = route.wait_until.max(now + wait);
                     }
@@ -566,16 +566,17 @@
                     self.note_report(*endpoint, report);
                     self.ended(*message, *attempt, *outcome, *terminal);
                 }
-                Event::Left(message) => self.forget(*message),
+                Event::Withdrawn(message) => self.forget(*message),
                 Event::List(entries) => {
                     self.endpoints.values_mut().for_each(|e| e.ready = false);
                     self.list(entries);
                 }
                 Event::Changes(entries) => self.list(entries),
-                Event::ListFailed if self.settings.must_ask => {
+                Event::ListFailed if self.settings.list_on_request => {
                     // Asks again well within the interval after which this sender would be deemed informed.
                     let every = self.settings.rules.ask_every.unwrap_or(RESET_TIMEOUT);
-                    let pause = (self.settings.ask_round() << self.asks_failed.min(6)).min(every / 2);
+                    let pause =
+                        (self.settings.list_request_round() << self.asks_failed.min(6)).min(every / 2);
                     self.asks_failed += 1;
                     self.ask_at = Some(now + pause + self.rng.u64(0..=pause));
                 }
@@ -585,8 +586,8 @@
                 // another sender would only get them later. They end by the drain's deadline, if it has one.
                 Event::Service { wanted, until } => self.drain_by = until.filter(|_| !wanted),
                 Event::Note { content, .. } => self.note(content),
-                Event::Cold { destination, ago, part } => self.cold(*destination, *ago, *part),
-                Event::Streaming { .. } | Event::ListFailed | Event::Reminder(_) => {}
+                Event::ReturnedCold { destination, ago, part } => self.cold(*destination, *ago, *part),
+                Event::Streaming { .. } | Event::ListFailed | Event::Timer(_) => {}
             }
         }
         if self.ask_at.take_if(|at| *at <= now).is_some() {
@@ -610,7 +611,7 @@
         let news = std::mem::take(&mut self.news);
         for (topic, destination) in news.into_iter().filter(|_| self.settings.peers) {
             let limit = self.routes.get(&(destination, None)).map_or(0.0, |route| route.reported);
-            actions.push(Action::Tell { to: None, content: Note { topic, destination, limit }.encode() });
+            actions.push(Action::SendNote { to: None, content: Note { topic, destination, limit }.encode() });
         }
     }
 
@@ -620,19 +621,24 @@
     }
 
     /// Summary of the state of a destination and a tenant, for estimates; no decision depends on it.
-    pub fn outlook(&self, to: DestinationId, tenant: usize) -> Outlook {
+    pub fn destination_summary(&self, to: DestinationId, tenant: usize) -> DestinationSummary {
         let (rules, aim, now) = (&self.settings.rules, self.settings.shortest_aim(), self.now);
         let routes = self.routes.range(routes_to(to)).map(|(_, r)| {
             let rates = [r.limit(), r.pace, r.usual_rate(rules)];
-            RouteOutlook::new(rates, r.wait_until.max(r.breaker.due()), r.cold_share(rules, now), r.usual)
+            RouteSummary::new(rates, r.wait_until.max(r.breaker.due()), r.cold_share(rules, now), r.usual)
         });
         let backlog = self.held.values().filter(|held| held.message.destination == to).count();
         let rate = self.tenants.get(tenant).map_or(0.0, |r| faded(*r, now, aim, 0.0).0);
-        Outlook { backlog, tenant_rate: rate, routes: routes.collect(), ..Outlook::default() }
+        DestinationSummary {
+            backlog,
+            tenant_rate: rate,
+            routes: routes.collect(),
+            ..DestinationSummary::default()
+        }
     }
 
     /// Number of listed endpoints that a breaker keeps messages from.
-    pub fn avoided(&self) -> usize {
+    pub fn unhealthy_endpoints(&self) -> usize {
         let shut = |id: &RouteId| self.routes.get(id).is_some_and(|r| r.breaker.state != State::Closed);
         let routes = self.endpoints.iter().filter(|(_, e)| e.ready).filter_map(|(id, _)| self.route_of(*id));
         routes.filter(shut).count()
@@ -649,7 +655,7 @@
     }
 
     /// Evicts a destination and what was learned of it. Returns the routes that are not as good as new, for
-    /// [`Self::enter`] to restore; none while a message for it is held or a call to it is outstanding.
+    /// [`Self::load_destination`] to restore; none while a message for it is held or a call to it is outstanding.
     pub fn evict(&mut self, destination: DestinationId, now: Micros) -> Option<Vec<(RouteId, Route)>> {
         let held = self.held.values().any(|held| held.message.destination == destination);
         if held || self.calls.values().any(|call| call.route.0 == destination) {
@@ -665,7 +671,11 @@
     /// Loads a destination that is about to be listed with these routes. A route that was not kept counts as
     /// known and idle since the beginning of time. Where routes were merged or split in the meantime, a
     /// requested wait binds all routes that it may apply to.
-    pub fn enter(&mut self, routes: impl IntoIterator<Item = RouteId>, mut kept: BTreeMap<RouteId, Route>) {
+    pub fn load_destination(
+        &mut self,
+        routes: impl IntoIterator<Item = RouteId>,
+        mut kept: BTreeMap<RouteId, Route>,
+    ) {
         let waits: Vec<(RouteId, Micros)> = kept.iter().map(|(id, route)| (*id, route.wait_until)).collect();
         for id in routes {
             let binding = waits.iter().filter(|(at, _)| *at == id || at.1.is_none() || id.1.is_none());
@@ -693,7 +703,7 @@
             self.keep = settings.idle_close;
         }
         if (settings.weights, settings.report) != (self.settings.weights, self.settings.report) {
-            self.routes.values_mut().for_each(Route::forget_limit);
+            self.routes.values_mut().for_each(Route::clear_advertised_limit);
         }
         self.settings = settings.clone();
     }
@@ -743,7 +753,7 @@
             (endpoint.zone, endpoint.kind) = (entry.zone, kind);
             endpoint.ready = entry.listing == Listing::Ready;
             self.cells.entry(endpoint.destination).or_default().insert(entry.endpoint);
-            let id = (entry.destination, kind.routes_apart.then_some(entry.endpoint));
+            let id = (entry.destination, kind.route_per_endpoint.then_some(entry.endpoint));
             let route = self.routes.entry(id).or_insert_with(|| Route::new(self.now));
             // The kind may have changed between one route and a route per endpoint: a requested wait binds
             // either way.
@@ -759,7 +769,7 @@
     /// The route of an endpoint, to which a wait requested by the endpoint applies.
     pub fn route_of(&self, endpoint: EndpointId) -> Option<RouteId> {
         let e = self.endpoints.get(&endpoint)?;
-        Some((e.destination, e.kind.routes_apart.then_some(endpoint)))
+        Some((e.destination, e.kind.route_per_endpoint.then_some(endpoint)))
     }
 
     fn note_report(&mut self, endpoint: EndpointId, report: &[f32]) {
@@ -890,9 +900,9 @@
                 let zone = |e: EndpointId| self.endpoints.get(&e).map_or(u16::MAX, |e| e.zone);
                 self.now + margin < first.1 + window
                     && held.may_have_run.iter().all(|a| match group {
-                        Group::All => true,
-                        Group::Zone => a.2 == endpoint || zone(a.2).min(u16::MAX - 1) == zone(endpoint),
-                        Group::Endpoint => a.2 == endpoint,
+                        DedupScope::All => true,
+                        DedupScope::Zone => a.2 == endpoint || zone(a.2).min(u16::MAX - 1) == zone(endpoint),
+                        DedupScope::Endpoint => a.2 == endpoint,
                     })
             }
         }
@@ -973,8 +983,8 @@
         let span = (held.deadline - held.aim).max(1) as f64;
         let left = match self.settings.decay {
             _ if at >= held.deadline => 0.0,
-            Decay::Halves => 0.5f64.powf(late / class.aim.max(1) as f64).max(class.late_worth),
-            Decay::Line => 1.0 - (1.0 - class.late_worth) * late / span,
+            Decay::Exponential => 0.5f64.powf(late / class.aim.max(1) as f64).max(class.late_worth),
+            Decay::Linear => 1.0 - (1.0 - class.late_worth) * late / span,
         };
         class.worth * left * self.within_share(held.message.tenant)
     }
@@ -1057,9 +1067,9 @@
                 .cell(held)
                 .filter(|(_, e)| e.ready)
                 .map(|(id, e)| {
-                    let joins = begun.get(&id).is_some_and(|b| b.1 < e.kind.bundle);
+                    let joins = begun.get(&id).is_some_and(|b| b.1 < e.kind.max_batch);
                     let toll = self.settings.tolls.get(e.zone as usize).copied().unwrap_or(0.0);
-                    let toll = if e.kind.routes_apart { (toll * 1e6) as u64 } else { 0 };
+                    let toll = if e.kind.route_per_endpoint { (toll * 1e6) as u64 } else { 0 };
                     (!joins, e.bad_run, toll, e.out, id)
                 })
                 .collect();
@@ -1100,7 +1110,7 @@
                 return false;
             }
         }
-        let route_id = (endpoint.destination, endpoint.kind.routes_apart.then_some(endpoint_id));
+        let route_id = (endpoint.destination, endpoint.kind.route_per_endpoint.then_some(endpoint_id));
         let Some(route) = self.routes.get_mut(&route_id) else { return false };
         // When this process ends, no attempt may be outstanding that the next process must not repeat, unless
         // the message may have run already.
@@ -1114,7 +1124,7 @@
         if now.saturating_add(route.patience(class.aim)) > until.min(drained) {
             return false;
         }
-        let joined = begun.get(&endpoint_id).copied().filter(|b| b.1 < endpoint.kind.bundle);
+        let joined = begun.get(&endpoint_id).copied().filter(|b| b.1 < endpoint.kind.max_batch);
         route.refill(now);
         // Requested waits and this sender's own pauses are observed; a destination that has refused gets one
         // call at a time until it accepts one.
@@ -1234,7 +1244,7 @@
         let Some(next) = all.filter(|at| *at > now).min() else { return };
         if self.reminder.is_none_or(|at| at <= now || next < at) {
             self.reminder = Some(next);
-            actions.push(Action::Remind { at: next, token: 0 });
+            actions.push(Action::SetTimer { at: next, token: 0 });
         }
     }
 }
--- a/src/start/kept.rs
+++ b/src/start/cached_list.rs
@@ -3,23 +3,23 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::coded_error;
 use crate::interface::Micros;
-use crate::told;
 
 /// A longer list is not kept, bytes.
-pub const MOST_BYTES: usize = 96 * 1024;
+pub const MAX_BYTES: usize = 96 * 1024;
 /// Bytes of the folder that lasts: the list, its next one while it is written, and the count of lives.
-pub const ROOM: u64 = 2 * MOST_BYTES as u64 + 4096;
+pub const MAX_FOLDER_BYTES: u64 = 2 * MAX_BYTES as u64 + 4096;
 /// The list is written no more often than this.
-pub const EVERY: Micros = 10_000_000;
+pub const MIN_WRITE_INTERVAL: Micros = 10_000_000;
 /// An older one is not begun from: meanwhile an address may have come to be another endpoint's.
-pub const GOOD_FOR: Micros = 600_000_000;
+pub const MAX_AGE: Micros = 600_000_000;
 /// Lives that slow the asking down at most, each by twice.
-pub const MOST_LIVES: u32 = 3;
+pub const MAX_FAILED_STARTS: u32 = 3;
 
 /// A list as this sender was told it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Kept<T> {
+pub struct CachedList<T> {
     /// The tier's checksum.
     pub tier: u32,
     /// When it was told, Unix time.
@@ -27,18 +27,19 @@
     /// Its version.
     pub version: u64,
     /// Calls a second that the list service is believed to bear.
-    pub bears: f64,
+    #[serde(rename = "bears")]
+    pub capacity: f64,
     /// Its entries.
     pub entries: Vec<T>,
 }
 
 /// Why a kept list is not begun from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Unfit {
+pub enum CachedListError {
     /// The folder was another tier's.
     #[error("it is another tier's; look whether this sender has the folder of another")]
     Foreign,
-    /// It is over [`GOOD_FOR`], or is from after now.
+    /// It is over [`MAX_AGE`], or is from after now.
     #[error("it is over ten minutes old, or from after now; look at the machine's clock")]
     Old,
     /// The configuration has a later one.
@@ -46,24 +47,24 @@
     Behind,
 }
 
-told! { Unfit {
+coded_error! { CachedListError {
     Foreign => "start.kept-foreign", "look whether this sender has the folder of another tier's";
     Old => "start.kept-old", "look at the machine's clock, if the process was not away for so long";
     Behind => "start.kept-behind", "nothing: the configuration's list is taken";
 } }
 
-impl<T> Kept<T> {
+impl<T> CachedList<T> {
     /// Whether a process that starts now, with that version in its configuration, may begin from it.
     ///
     /// # Errors
     /// Says why not; the sender then begins from its configuration.
-    pub fn fit(&self, tier: u32, known: u64, now: Micros) -> Result<(), Unfit> {
+    pub fn fit(&self, tier: u32, known: u64, now: Micros) -> Result<(), CachedListError> {
         if self.tier != tier {
-            Err(Unfit::Foreign)
-        } else if self.at.abs_diff(now) > GOOD_FOR {
-            Err(Unfit::Old)
+            Err(CachedListError::Foreign)
+        } else if self.at.abs_diff(now) > MAX_AGE {
+            Err(CachedListError::Old)
         } else if self.version < known {
-            Err(Unfit::Behind)
+            Err(CachedListError::Behind)
         } else {
             Ok(())
         }
--- a/src/start/hint.rs
+++ b/src/start/hint.rs
@@ -8,7 +8,7 @@
 const HEAD: usize = 23;
 const SUM: usize = 4;
 /// Destinations that a hint tells of at most.
-pub const MOST_HELD: usize = 48;
+pub const MAX_HELD: usize = 48;
 const ANSWER: u8 = 1;
 const CONFIRMED: u8 = 2;
 
@@ -26,8 +26,8 @@
     /// How often, as a power of two in quarters, its own calls to the list service failed of late.
     pub trouble: u8,
     /// Calls a second that it believes the list service to bear, in eighths.
-    pub bears: u32,
-    /// Destinations, and the messages that it holds for each: the first [`MOST_HELD`]. A destination whose number
+    pub capacity: u32,
+    /// Destinations, and the messages that it holds for each: the first [`MAX_HELD`]. A destination whose number
     /// needs more than two bytes is left out.
     pub held: Vec<(u32, u16)>,
 }
@@ -41,9 +41,9 @@
         bytes.extend(self.age_s.to_le_bytes());
         bytes.extend(self.version.to_le_bytes());
         bytes.push(self.trouble);
-        bytes.extend(self.bears.to_le_bytes());
+        bytes.extend(self.capacity.to_le_bytes());
         let short = self.held.iter().filter_map(|(to, count)| Some((u16::try_from(*to).ok()?, *count)));
-        let held: Vec<(u16, u16)> = short.take(MOST_HELD).collect();
+        let held: Vec<(u16, u16)> = short.take(MAX_HELD).collect();
         bytes.push(held.len() as u8);
         for (to, count) in held {
             bytes.extend([to.to_le_bytes(), count.to_le_bytes()].as_flattened());
@@ -53,7 +53,7 @@
     }
 
     /// Whether a datagram is a hint, sound or not.
-    pub fn claims(bytes: &[u8]) -> bool {
+    pub fn accepts(bytes: &[u8]) -> bool {
         bytes.starts_with(&[START, KIND])
     }
 
@@ -63,14 +63,14 @@
         let (head, held) = body.split_at_checked(HEAD)?;
         let (held, odd) = held.as_chunks::<4>();
         let sound = crc32fast::hash(body).to_le_bytes() == sum && body[2..6] == tier.to_le_bytes();
-        let sound = sound && odd.is_empty() && held.len() == usize::from(head[22]) && held.len() <= MOST_HELD;
+        let sound = sound && odd.is_empty() && held.len() == usize::from(head[22]) && held.len() <= MAX_HELD;
         sound.then_some(Self {
             answer: body[6] & ANSWER != 0,
             confirmed: body[6] & CONFIRMED != 0,
             age_s: u16::from_le_bytes([body[7], body[8]]),
             version: u64::from_le_bytes(body[9..17].try_into().ok()?),
             trouble: body[17],
-            bears: u32::from_le_bytes(body[18..22].try_into().ok()?),
+            capacity: u32::from_le_bytes(body[18..22].try_into().ok()?),
             held: held
                 .iter()
                 .map(|[a, b, c, d]| (u16::from_le_bytes([*a, *b]).into(), u16::from_le_bytes([*c, *d])))
--- a/src/start/spread.rs
+++ b/src/start/jitter.rs
@@ -6,18 +6,18 @@
 /// Part of what the service bears that a start plans to use: answers to others, and hints that are lost, need the rest.
 pub const MARGIN: f64 = 0.75;
 /// The widest spread over a whole tier.
-pub const WIDEST: Micros = 60_000_000;
+pub const MAX_SPREAD: Micros = 60_000_000;
 /// A narrower one is none.
-const NARROWEST: Micros = 50_000;
+const MIN_SPREAD: Micros = 50_000;
 /// Failures that widen, each by twice, at most.
-pub const MOST_TROUBLE: f64 = 4.0;
+pub const MAX_TROUBLE: f64 = 4.0;
 /// In this time without a failure a widening is halved.
 pub const TROUBLE_FADES: Micros = 10_000_000;
 /// Rest after a failed call, at least and at most, before it is drawn about that.
-pub const REST: (Micros, Micros) = (200_000, 60_000_000);
+pub const BACKOFF: (Micros, Micros) = (200_000, 60_000_000);
 /// The same where the list's source is the own machine's agent, which bears any number of calls: what it has counts
 /// as told, so that the call must not wait for long.
-pub const REST_AT_AGENT: (Micros, Micros) = (25_000, 400_000);
+pub const BACKOFF_AT_AGENT: (Micros, Micros) = (25_000, 400_000);
 
 /// A sender's place in a spread, from 0 to 1: neighbours in the list and any run of them are even in it (the Kronecker
 /// sequence of the golden ratio, Weyl 1916), so that the worst second is hardly worse than the mean.
@@ -27,20 +27,20 @@
 
 /// How wide the calls of so many senders are spread at a service that bears so many a second, widened by `trouble`
 /// (a power of two), within a bound.
-pub fn width(senders: f64, bears: f64, trouble: f64, most: Micros) -> Micros {
-    let seconds = senders / (bears.max(0.1) * MARGIN) * trouble.clamp(0.0, 3.0 * MOST_TROUBLE).exp2();
+pub fn width(senders: f64, capacity: f64, trouble: f64, most: Micros) -> Micros {
+    let seconds = senders / (capacity.max(0.1) * MARGIN) * trouble.clamp(0.0, 3.0 * MAX_TROUBLE).exp2();
     let width = (seconds * 1e6) as Micros;
-    if width < NARROWEST { 0 } else { width.min(most) }
+    if width < MIN_SPREAD { 0 } else { width.min(most) }
 }
 
 /// What is left of a widening.
-pub fn faded(trouble: f64, since: Micros) -> f64 {
+pub fn decayed(trouble: f64, since: Micros) -> f64 {
     (trouble - since as f64 / TROUBLE_FADES as f64).max(0.0)
 }
 
 /// Rest after so many calls in a row failed, drawn from half to one and a half of the mean (the jitter keeps those that
 /// failed together from coming again together), within bounds.
-pub fn rest(first: Micros, failed: u32, luck: f64, bounds: (Micros, Micros)) -> Micros {
+pub fn backoff(first: Micros, failed: u32, luck: f64, bounds: (Micros, Micros)) -> Micros {
     let mean = (first.clamp(bounds.0, bounds.1) << failed.saturating_sub(1).min(2)).min(bounds.1);
     (mean as f64 * (0.5 + luck)) as Micros
 }
--- a/src/start/spread/tests.rs
+++ b/src/start/jitter/tests.rs
@@ -13,16 +13,16 @@
 #[test]
 fn a_spread_keeps_its_bounds_whatever_it_is_told() {
     for senders in [0.0, 1.0, 1e3, f64::INFINITY, f64::NAN] {
-        for bears in [0.0, -4.0, 20.0, f64::INFINITY, f64::NAN] {
+        for capacity in [0.0, -4.0, 20.0, f64::INFINITY, f64::NAN] {
             for trouble in [-1.0, 0.0, 1e9, f64::NAN] {
-                assert!(width(senders, bears, trouble, WIDEST) <= WIDEST);
+                assert!(width(senders, capacity, trouble, MAX_SPREAD) <= MAX_SPREAD);
             }
         }
     }
-    assert_eq!(width(150.0, 20.0, 0.0, WIDEST), 10_000_000);
-    assert_eq!(width(150.0, 20.0, 1.0, WIDEST), 20_000_000);
+    assert_eq!(width(150.0, 20.0, 0.0, MAX_SPREAD), 10_000_000);
+    assert_eq!(width(150.0, 20.0, 1.0, MAX_SPREAD), 20_000_000);
     for failed in 0..100 {
-        assert!(rest(7, failed, 1.0, REST) <= REST.1 * 3 / 2);
-        assert!(rest(Micros::MAX >> 8, failed, 0.0, REST_AT_AGENT) >= REST_AT_AGENT.0 / 2);
+        assert!(backoff(7, failed, 1.0, BACKOFF) <= BACKOFF.1 * 3 / 2);
+        assert!(backoff(Micros::MAX >> 8, failed, 0.0, BACKOFF_AT_AGENT) >= BACKOFF_AT_AGENT.0 / 2);
     }
 }
--- a/src/start/mod.rs
+++ b/src/start/mod.rs
@@ -6,26 +6,26 @@
 //! wider for those that hear of them. Until its own answer, and wherever its own watch isn't open, a sender goes by the
 //! list that it has, less what two others tell to be gone: a peer's word can only take away.
 
+pub mod cached_list;
 pub mod hint;
-pub mod kept;
+pub mod jitter;
 pub mod pace;
-pub mod spread;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
-use crate::channel::{MOST_BYTES, START};
+use crate::channel::{MAX_MESSAGE_BYTES, START};
 use crate::interface::Micros;
-use crate::membership::{Out, Rank, tier_of};
+use crate::membership::{Outgoing, Rank, tier_of};
 use crate::mesh::Mesh;
 use hint::Hint;
 
 /// What `bears_per_s` may be.
-pub const BEARS: (u32, u32) = (1, 10_000);
+pub const CAPACITY_PER_S: (u32, u32) = (1, 10_000);
 /// Calls a second that a list service is taken to bear until more is known.
-const FIRST_BEARS: f64 = 16.0;
+const INITIAL_CAPACITY: f64 = 16.0;
 /// A start takes so long at least, and processes that began no longer before this one start with it.
 const STARTS_FOR: Micros = 10_000_000;
 /// Hints go out so often while there is anything to hear, each time to so many senders.
@@ -35,7 +35,7 @@
 /// Answers to others' hints in a second at most.
 const ANSWERS: u32 = 64;
 /// Senders whose hints are remembered.
-const MOST_HEARD: usize = 64;
+const MAX_HEARD: usize = 64;
 /// How many senders start is taken from hints once so many were heard; until then all do.
 const ENOUGH: usize = 3;
 /// Words on the list that are asked for a second, and given, at most.
@@ -43,7 +43,7 @@
 /// Senders that must agree before an endpoint is held for gone.
 const WITNESSES: usize = 2;
 /// Entries of a word at most.
-const MOST_ENTRIES: usize = 4096;
+const MAX_ENTRIES: usize = 4096;
 /// Times in a row that the service's answer came within so long: it had news; later, the watch was held.
 const HELD: Micros = 2_000_000;
 
@@ -94,19 +94,21 @@
 
 /// What senders say on their channels.
 #[derive(Debug, Serialize, Deserialize)]
-enum Said {
-    Tell,
+enum PeerMessage {
+    #[serde(rename = "Tell")]
+    RequestList,
     /// The version, and the whole list as the list service told it to this sender.
-    Word(u64, Vec<Named>),
+    #[serde(rename = "Word")]
+    List(u64, Vec<Named>),
 }
 
 /// Why a call to the list service brought nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Failed {
+pub enum CallFailure {
     /// The service turned it away, or what it wrote can't be read.
-    Answer,
+    Rejected,
     /// No answer, or it broke off.
-    Silence,
+    NoAnswer,
 }
 
 /// Counts of this process.
@@ -132,13 +134,13 @@
 
 /// What another sender's last hint said.
 #[derive(Debug, Clone)]
-struct Heard {
+struct PeerState {
     at: Micros,
     starting: bool,
     confirmed: bool,
     version: u64,
     trouble: f64,
-    bears: f64,
+    capacity: f64,
     held: BTreeMap<u32, u16>,
 }
 
@@ -152,7 +154,7 @@
     /// The version of the list that it begins from.
     pub version: u64,
     /// What was learned of the list service before.
-    pub bears: Option<f64>,
+    pub capacity: Option<f64>,
     /// Processes in a row before this one that ended while they started.
     pub lives: u32,
     /// The list is watched in turns that are given here; else the module asks for it at times of its own.
@@ -192,13 +194,13 @@
     /// Senders that are there, as the view has it.
     there: usize,
     place: f64,
-    bears: f64,
+    capacity: f64,
     next: Next,
     watched: bool,
     failed: u32,
     trouble: (f64, Micros),
     troubled: bool,
-    heard: BTreeMap<Rank, Heard>,
+    heard: BTreeMap<Rank, PeerState>,
     hint_at: Micros,
     share_at: Micros,
     /// Answers given and words asked and given since then.
@@ -229,15 +231,18 @@
 impl Start {
     /// A process begins.
     pub fn new(config: &Config, begin: Begin, now: Micros) -> Self {
-        let Begin { own, size, version, bears, lives, watched, grace, seed } = begin;
+        let Begin { own, size, version, capacity, lives, watched, grace, seed } = begin;
         let tier = tier_of(&config.tier);
         // What an agent has counts as told from the first moment: half of the grace is left for the answer.
         let most = match config.source {
             Source::Agent => grace / 2,
-            Source::Service => spread::WIDEST,
+            Source::Service => jitter::MAX_SPREAD,
         };
         let told = config.bears_per_s.map(f64::from);
-        let bears = told.or(bears).unwrap_or(FIRST_BEARS).clamp(f64::from(BEARS.0), f64::from(BEARS.1));
+        let capacity = told
+            .or(capacity)
+            .unwrap_or(INITIAL_CAPACITY)
+            .clamp(f64::from(CAPACITY_PER_S.0), f64::from(CAPACITY_PER_S.1));
         Self {
             config: config.clone(),
             own,
@@ -246,10 +251,10 @@
             most,
             rng: fastrand::Rng::with_seed(seed),
             began: now,
-            lives: lives.min(kept::MOST_LIVES),
+            lives: lives.min(cached_list::MAX_FAILED_STARTS),
             there: size,
-            place: spread::place(own, tier),
-            bears,
+            place: jitter::place(own, tier),
+            capacity,
             next: Next::Slot,
             watched,
             failed: 0,
@@ -277,7 +282,7 @@
     }
 
     /// So many senders are there, as the view has it; a hint, held to half and all of the configured ones.
-    pub fn look(&mut self, there: usize) {
+    pub fn set_peers(&mut self, there: usize) {
         self.there = there.clamp(self.size.div_ceil(2), self.size);
     }
 
@@ -287,15 +292,15 @@
     }
 
     /// Calls a second that the list service is believed to bear.
-    pub fn bears(&self) -> f64 {
-        self.bears
+    pub fn capacity(&self) -> f64 {
+        self.capacity
     }
 
     /// What the next process is to believe that the list service bears: more than this one did where no sender that was
     /// heard had a call fail, less where one had.
     pub fn learned(&self) -> f64 {
-        let learned = self.bears * if self.troubled { 0.7 } else { 1.25 };
-        learned.clamp(f64::from(BEARS.0), f64::from(BEARS.1))
+        let learned = self.capacity * if self.troubled { 0.7 } else { 1.25 };
+        learned.clamp(f64::from(CAPACITY_PER_S.0), f64::from(CAPACITY_PER_S.1))
     }
 
     /// How many senders start, this one with them, as far as hints tell; until then all that are there.
@@ -311,14 +316,14 @@
     /// How much wider than usual all spreads are, a power of two: by this sender's own failures and by those that others
     /// tell of theirs. What others tell is not passed on, so that no failure is heard of for ever.
     pub fn trouble(&self, now: Micros) -> f64 {
-        let left = |(trouble, at): (f64, Micros)| spread::faded(trouble, now.saturating_sub(at));
+        let left = |(trouble, at): (f64, Micros)| jitter::decayed(trouble, now.saturating_sub(at));
         let others = self.heard.values().map(|heard| left((heard.trouble, heard.at)));
-        others.fold(left(self.trouble), f64::max).min(spread::MOST_TROUBLE)
+        others.fold(left(self.trouble), f64::max).min(jitter::MAX_TROUBLE)
     }
 
     /// The spread over so many senders.
     fn width(&self, senders: f64, now: Micros) -> Micros {
-        spread::width(senders, self.bears, self.trouble(now) + f64::from(self.lives), self.most)
+        jitter::width(senders, self.capacity, self.trouble(now) + f64::from(self.lives), self.most)
     }
 
     /// The spread of this start.
@@ -340,8 +345,8 @@
 
     /// Whether the next call is to ask for the whole list: two others were told a version before this sender's, which it
     /// has from an earlier process, so that the service would hold a watch from there for nothing.
-    pub fn whole(&self) -> bool {
-        let before = |heard: &&Heard| heard.confirmed && heard.version < self.version;
+    pub fn has_list(&self) -> bool {
+        let before = |heard: &&PeerState| heard.confirmed && heard.version < self.version;
         let confirmed = self.heard.values().filter(|heard| heard.confirmed).count();
         let before = self.heard.values().filter(before).count();
         self.list.is_none() && before >= WITNESSES && before == confirmed
@@ -368,29 +373,31 @@
     }
 
     /// It did not; all spreads become wider for a while, and others are told.
-    pub fn failed(&mut self, now: Micros, how: Failed) {
+    pub fn failed(&mut self, now: Micros, how: CallFailure) {
         match how {
-            Failed::Answer => self.counts.turned_away += 1,
-            Failed::Silence => self.counts.silent += 1,
+            CallFailure::Rejected => self.counts.turned_away += 1,
+            CallFailure::NoAnswer => self.counts.silent += 1,
         }
         self.failed = self.failed.saturating_add(1);
         let (first, bounds) = match self.config.source {
-            Source::Agent => (0, spread::REST_AT_AGENT),
+            Source::Agent => (0, jitter::BACKOFF_AT_AGENT),
             // What others tell is in it twice else: each that fails rests longer by itself.
-            Source::Service => (spread::width(self.there as f64, self.bears, 0.0, self.most), spread::REST),
+            Source::Service => {
+                (jitter::width(self.there as f64, self.capacity, 0.0, self.most), jitter::BACKOFF)
+            }
         };
         // Who has had no answer yet comes again as soon as all others could have.
         let times =
             if self.list.is_none() && self.config.source == Source::Service { 1 } else { self.failed };
-        self.next = Next::At(now + spread::rest(first, times, self.rng.f64(), bounds));
-        let before = spread::faded(self.trouble.0, now.saturating_sub(self.trouble.1));
-        self.trouble = ((before + 1.0).min(spread::MOST_TROUBLE), now);
+        self.next = Next::At(now + jitter::backoff(first, times, self.rng.f64(), bounds));
+        let before = jitter::decayed(self.trouble.0, now.saturating_sub(self.trouble.1));
+        self.trouble = ((before + 1.0).min(jitter::MAX_TROUBLE), now);
         self.troubled = true;
         self.hint_at = self.hint_at.min(now);
     }
 
     /// The list service has moved: what was out is of no use, and all senders ask anew.
-    pub fn moved(&mut self, now: Micros) {
+    pub fn address_changed(&mut self, now: Micros) {
         self.next = match self.config.source {
             Source::Agent => Next::Now,
             Source::Service => Next::Place(now),
@@ -398,7 +405,7 @@
     }
 
     /// The list that this sender goes by, as its folder or its configuration has it.
-    pub fn begins_from(&mut self, version: u64, list: impl IntoIterator<Item = Named>) {
+    pub fn load_cached(&mut self, version: u64, list: impl IntoIterator<Item = Named>) {
         self.version = version;
         self.names = list.into_iter().filter(|named| named.2).map(|named| (named.0, named.1)).collect();
     }
@@ -407,7 +414,7 @@
     pub fn listed(&mut self, now: Micros, version: u64, list: Vec<Named>) {
         self.changed.extend(std::mem::take(&mut self.denied).into_keys());
         self.witnesses.clear();
-        self.begins_from(version, list.iter().cloned());
+        self.load_cached(version, list.iter().cloned());
         (self.list, self.list_at, self.long) = (Some(list), Some(now), false);
     }
 
@@ -428,7 +435,7 @@
     }
 
     /// Whether what is held has to be looked at, and cold destinations shared, now: in a start, as often as hints go out.
-    pub fn shares(&mut self, now: Micros) -> bool {
+    pub fn shares_due(&mut self, now: Micros) -> bool {
         let due = self.phase.0 != Phase::Steady && now >= self.share_at;
         if due {
             self.share_at = now + HINTS_EVERY;
@@ -437,12 +444,12 @@
     }
 
     /// Messages that this sender holds, by destination.
-    pub fn holds(&mut self, held: impl IntoIterator<Item = (u32, usize)>) {
+    pub fn set_held(&mut self, held: impl IntoIterator<Item = (u32, usize)>) {
         // A destination that no hint has room for must not be taken for one that others hold nothing for.
         let told = |held: &(u32, usize)| held.1 > 0 && u16::try_from(held.0).is_ok();
         let mut held: Vec<(u32, usize)> = held.into_iter().filter(told).collect();
         held.sort_unstable_by_key(|held| (Reverse(held.1), held.0));
-        let short = held.into_iter().take(hint::MOST_HELD);
+        let short = held.into_iter().take(hint::MAX_HELD);
         self.held = short.map(|(to, count)| (to, count.min(u16::MAX.into()) as u16)).collect();
     }
 
@@ -489,14 +496,14 @@
     }
 
     fn hint(&self, now: Micros, answer: bool) -> Vec<u8> {
-        let trouble = spread::faded(self.trouble.0, now.saturating_sub(self.trouble.1));
+        let trouble = jitter::decayed(self.trouble.0, now.saturating_sub(self.trouble.1));
         let hint = Hint {
             answer,
             confirmed: self.list.is_some(),
             age_s: (now.saturating_sub(self.began) / 1_000_000).min(u16::MAX.into()) as u16,
             version: self.version,
             trouble: (trouble * 4.0).ceil() as u8,
-            bears: (self.bears * 8.0) as u32,
+            capacity: (self.capacity * 8.0) as u32,
             held: self.held.clone(),
         };
         hint.write(self.tier)
@@ -509,7 +516,7 @@
     }
 
     /// Tells some others how it stands, and asks them; asks those that were told a later list for it.
-    pub fn tick(&mut self, now: Micros, out: &mut Out) {
+    pub fn tick(&mut self, now: Micros, out: &mut Outgoing) {
         self.renew(now);
         if now >= self.hint_at {
             let troubled = now < self.trouble.1 + HINTS_EVERY && self.trouble.0 > 0.0;
@@ -535,14 +542,14 @@
         if self.watches() {
             return;
         }
-        let later = |(rank, heard): (&Rank, &Heard)| {
+        let later = |(rank, heard): (&Rank, &PeerState)| {
             let known = self.witnesses.get(rank).copied().unwrap_or(self.version);
             (heard.confirmed && heard.version > self.version.max(known)).then_some(*rank)
         };
         let later: Vec<Rank> = self.heard.iter().filter_map(later).collect();
         for rank in later.into_iter().take(WITNESSES) {
             if self.spent.2 < WORDS.0
-                && let Ok(ask) = postcard::to_allocvec(&Said::Tell)
+                && let Ok(ask) = postcard::to_allocvec(&PeerMessage::RequestList)
             {
                 self.spent.2 += u32::from(self.mesh.send(now, rank, &ask).is_ok());
             }
@@ -550,12 +557,12 @@
     }
 
     /// Another sender's datagram has come. Whether it is for this part.
-    pub fn receive(&mut self, now: Micros, from: Rank, bytes: &[u8], out: &mut Out) -> bool {
-        if !self.mesh.claims(bytes) {
+    pub fn receive(&mut self, now: Micros, from: Rank, bytes: &[u8], out: &mut Outgoing) -> bool {
+        if !self.mesh.accepts(bytes) {
             return false;
         }
         self.renew(now);
-        if !Hint::claims(bytes) {
+        if !Hint::accepts(bytes) {
             let arrived = self.mesh.receive(now, from, bytes);
             arrived.messages.iter().for_each(|message| self.said(now, from, message));
             self.mesh.flush(now, out);
@@ -568,7 +575,7 @@
         };
         self.counts.hints_heard += 1;
         let trouble = f64::from(hint.trouble) / 4.0;
-        let heard = Heard {
+        let heard = PeerState {
             at: now,
             // Ages are differences, so that no clock of another machine matters; and they do not change, so that
             // slots stay as the others' starts go by.
@@ -576,12 +583,12 @@
             confirmed: hint.confirmed,
             version: hint.version,
             trouble,
-            bears: f64::from(hint.bears) / 8.0,
+            capacity: f64::from(hint.capacity) / 8.0,
             held: hint.held.into_iter().collect(),
         };
         self.troubled |= trouble > 0.0;
         self.heard.insert(from, heard);
-        if self.heard.len() > MOST_HEARD
+        if self.heard.len() > MAX_HEARD
             && let Some(oldest) = self.heard.iter().min_by_key(|(_, heard)| heard.at).map(|heard| *heard.0)
         {
             self.heard.remove(&oldest);
@@ -598,22 +605,24 @@
 
     fn said(&mut self, now: Micros, from: Rank, message: &[u8]) {
         match postcard::from_bytes(message) {
-            Ok(Said::Tell) => {
+            Ok(PeerMessage::RequestList) => {
                 self.spent.3 += 1;
                 // Only what this process was told itself is told to others.
-                let Some(list) = self.list.clone().filter(|list| !self.long && list.len() <= MOST_ENTRIES)
+                let Some(list) = self.list.clone().filter(|list| !self.long && list.len() <= MAX_ENTRIES)
                 else {
                     return;
                 };
-                let word = postcard::to_allocvec(&Said::Word(self.version, list));
+                let word = postcard::to_allocvec(&PeerMessage::List(self.version, list));
                 if let Some(word) =
-                    word.ok().filter(|word| word.len() <= MOST_BYTES && self.spent.3 <= WORDS.1)
+                    word.ok().filter(|word| word.len() <= MAX_MESSAGE_BYTES && self.spent.3 <= WORDS.1)
                 {
                     // One that is not queued is asked for again.
                     let _ = self.mesh.send(now, from, &word);
                 }
             }
-            Ok(Said::Word(version, list)) if list.len() <= MOST_ENTRIES => self.word(from, version, &list),
+            Ok(PeerMessage::List(version, list)) if list.len() <= MAX_ENTRIES => {
+                self.word(from, version, &list)
+            }
             _ => self.counts.absurd += 1,
         }
     }
@@ -691,7 +700,7 @@
     }
 
     /// Processes before this one, counted up to a bound, that ended while they started.
-    pub fn lives(&self) -> u32 {
+    pub fn failed_starts(&self) -> u32 {
         self.lives
     }
 
@@ -701,7 +710,7 @@
     }
 
     /// The least that others believe the list service to bear; for operators, nothing goes by it.
-    pub fn others_bear(&self) -> Option<f64> {
-        self.heard.values().map(|heard| heard.bears).min_by(f64::total_cmp)
+    pub fn lowest_peer_capacity(&self) -> Option<f64> {
+        self.heard.values().map(|heard| heard.capacity).min_by(f64::total_cmp)
     }
 }
--- a/src/status/folder.rs
+++ b/src/status/folder.rs
@@ -13,7 +13,7 @@
 /// Numbers of the oldest segment that are looked at in one write.
 const MOVED_AT_ONCE: usize = 64;
 /// A smaller room is not used, bytes.
-pub const LEAST_ROOM: u64 = 64 * 1024;
+pub const MIN_ROOM: u64 = 64 * 1024;
 
 /// Of the room, what segments come to; the rest is for all of the log written anew beside them.
 fn in_use(room: u64) -> u64 {
--- a/src/status/index.rs
+++ b/src/status/index.rs
@@ -5,16 +5,16 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::folder::{LEAST_ROOM, Segments, Step};
+use super::folder::{MIN_ROOM, Segments, Step};
 use super::log::{Log, Restored};
-use super::query::{Answer, Here, Queries, Refused, Routes, Say};
-use super::replicate::{BEAT, Replication, keepers, replicas};
+use super::query::{Answer, LocalLogs, Queries, QueryMessage, QueryRejected, Routes};
+use super::replicate::{HEARTBEAT, Replication, candidates, replicas};
 use super::shards::{key_of, shard_of};
-use super::store::{Batch, Have, Store};
-use super::{Config, Entry, Life, LogId, Positions, Query, Rank, ShardId, State};
+use super::store::{Batch, BatchAck, Store};
+use super::{Config, Entry, Generation, LogId, Positions, Query, Rank, ShardId, State};
 use crate::channel::STATUS;
 use crate::interface::Micros;
-use crate::membership::{self, Facts, Out};
+use crate::membership::{self, MembershipView, Outgoing};
 use crate::mesh::Mesh;
 
 /// While queries are under way they go on this often.
@@ -28,8 +28,8 @@
 #[derive(Debug, Serialize, Deserialize)]
 enum Message {
     Batch(Batch),
-    Have(Have),
-    Say(Say),
+    Have(BatchAck),
+    Say(QueryMessage),
 }
 
 /// Counts since the process began.
@@ -69,7 +69,7 @@
     replicas: usize,
     span: Micros,
     hosts: Vec<u32>,
-    facts: Option<Facts>,
+    facts: Option<MembershipView>,
     log: Log,
     segments: Segments,
     store: Store,
@@ -106,8 +106,8 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let keep = Micros::from(config.keep_s) * 1_000_000;
         let half = config.room_mb as usize * 500_000;
-        let most = half.min(Segments::memory(room.max(LEAST_ROOM)));
-        let log = Log::resume(own, restored, Life(rng.u64(1..)), most, keep);
+        let most = half.min(Segments::memory(room.max(MIN_ROOM)));
+        let log = Log::resume(own, restored, Generation(rng.u64(1..)), most, keep);
         let next = old.iter().max().map_or(1, |last| last + 1);
         let mut replication = Replication::new(own, now);
         replication.choose(Vec::new(), log.id());
@@ -179,18 +179,18 @@
     }
 
     /// The best `count` of those that may have been chosen to keep an owner's log, whoever is there now.
-    pub fn keepers_of(&self, owner: Rank, count: usize) -> Vec<Rank> {
-        keepers(owner, count, &self.hosts)
+    pub fn candidates_of(&self, owner: Rank, count: usize) -> Vec<Rank> {
+        candidates(owner, count, &self.hosts)
     }
 
     /// Whether a message is in its own log.
-    pub fn knows(&self, tenant: &str, id: &str) -> bool {
+    pub fn contains(&self, tenant: &str, id: &str) -> bool {
         self.log.table().get(&key_of(tenant, id)).is_some()
     }
 
     /// Writes a message that was taken on, here or by the sender that it was adopted from. Gives the change's number;
     /// none for an id that is too long. It may be told once [`Index::write`] was carried out.
-    pub fn taken(&mut self, entry: Entry) -> Option<u64> {
+    pub fn accepted(&mut self, entry: Entry) -> Option<u64> {
         let Some((before, number)) = self.log.put(entry) else {
             self.counts.too_long += 1;
             return None;
@@ -231,7 +231,7 @@
     }
 
     /// What has to be written to the folder, in order, before anything else is told. If a step fails,
-    /// [`Index::not_written`] must be told.
+    /// [`Index::write_failed`] must be told.
     pub fn write(&mut self) -> Vec<Step> {
         if self.unkept {
             self.log.unwritten();
@@ -248,7 +248,7 @@
     /// what is there of the one before must go too, as far as that can be: these segments. A process that ends between
     /// two of the steps leaves what no life goes on with: the oldest is empty before any other goes. After a step that
     /// fails the others are to be left.
-    pub fn not_written(&mut self, now: Micros) -> Vec<Step> {
+    pub fn write_failed(&mut self, now: Micros) -> Vec<Step> {
         let mut there: Vec<u64> = self.segments.numbers().chain(std::mem::take(&mut self.old)).collect();
         there.sort_unstable();
         there.dedup();
@@ -260,24 +260,24 @@
     }
 
     /// Whether the folder has nothing of this life.
-    pub fn is_unkept(&self) -> bool {
+    pub fn is_not_persisted(&self) -> bool {
         self.unkept
     }
 
-    /// Has all of it written by the next [`Index::write`], after [`Index::not_written`].
-    pub fn keep_again(&mut self) {
+    /// Has all of it written by the next [`Index::write`], after [`Index::write_failed`].
+    pub fn resume_writing(&mut self) {
         (self.anew, self.unkept) = (true, false);
     }
 
     fn renew(&mut self, now: Micros) {
-        self.log.renew(Life(self.rng.u64(1..)), now);
+        self.log.renew(Generation(self.rng.u64(1..)), now);
         self.log.unwritten();
         self.replication.renewed(self.log.id());
         self.counts.renewed += 1;
     }
 
     /// How the view stands now.
-    pub fn look(&mut self, facts: Option<Facts>) {
+    pub fn set_view(&mut self, facts: Option<MembershipView>) {
         self.facts = facts.or(self.facts.take());
         let chosen = self.replicas_of(self.own);
         if chosen != self.replication.chosen() {
@@ -286,7 +286,7 @@
     }
 
     /// Whether the next tick wants the view looked at before.
-    pub fn looks(&self, now: Micros) -> bool {
+    pub fn view_due(&self, now: Micros) -> bool {
         now >= self.looked + LOOK
     }
 
@@ -314,11 +314,17 @@
         Routes(routes)
     }
 
-    /// Takes a query; its answer comes by [`Index::answers`] within that time, [`super::query::LONGEST`] at most.
+    /// Takes a query; its answer comes by [`Index::take_answers`] within that time, [`super::query::MAX_QUERY_TIME`] at most.
     ///
     /// # Errors
     /// Says why it is not taken.
-    pub fn ask(&mut self, now: Micros, query: Query, routes: Routes, within: Micros) -> Result<u64, Refused> {
+    pub fn ask(
+        &mut self,
+        now: Micros,
+        query: Query,
+        routes: Routes,
+        within: Micros,
+    ) -> Result<u64, QueryRejected> {
         let number = self.queries.ask(now, query, routes, within)?;
         self.counts.queries += 1;
         self.sliced = 0;
@@ -326,8 +332,8 @@
     }
 
     /// Answers that are there.
-    pub fn answers(&mut self) -> Vec<(u64, Answer)> {
-        let answers = self.queries.answers();
+    pub fn take_answers(&mut self) -> Vec<(u64, Answer)> {
+        let answers = self.queries.take_answers();
         self.counts.partial += answers.iter().filter(|(_, answer)| answer.partial).count() as u64;
         answers
     }
@@ -344,7 +350,7 @@
     /// A datagram that is this part's, by [`Index::claims`].
     pub fn receive(&mut self, now: Micros, from: Rank, bytes: &[u8]) {
         let arrived = self.mesh.receive(now, from, bytes);
-        if arrived.anew {
+        if arrived.peer_restarted {
             self.replication.broken(from);
         }
         for message in arrived.messages {
@@ -357,8 +363,8 @@
     }
 
     /// Whether a datagram is this part's.
-    pub fn claims(&self, bytes: &[u8]) -> bool {
-        self.mesh.claims(bytes)
+    pub fn accepts(&self, bytes: &[u8]) -> bool {
+        self.mesh.accepts(bytes)
     }
 
     fn told(&mut self, now: Micros, from: Rank, message: Message, size: u64) {
@@ -383,13 +389,13 @@
                     self.anew = !self.unkept;
                 }
             }
-            Message::Say(Say::Ask(asked)) => {
-                let here = Here { log: &self.log, store: &self.store, span: self.span };
-                self.queries.asked(now, from, asked, here);
+            Message::Say(QueryMessage::Ask(asked)) => {
+                let here = LocalLogs { log: &self.log, store: &self.store, span: self.span };
+                self.queries.serve(now, from, asked, here);
                 self.sliced = 0;
             }
-            Message::Say(Say::Piece(piece)) => {
-                self.queries.piece(now, from, piece, size);
+            Message::Say(QueryMessage::Piece(piece)) => {
+                self.queries.receive_result(now, from, piece, size);
                 self.sliced = 0;
             }
         }
@@ -402,7 +408,7 @@
     }
 
     /// Does what is due, and sends it. [`Index::write`] must have been carried out just before.
-    pub fn tick(&mut self, now: Micros, out: &mut Out) {
+    pub fn tick(&mut self, now: Micros, out: &mut Outgoing) {
         self.ticked = now;
         if now >= self.looked + LOOK {
             self.looked = now;
@@ -411,9 +417,9 @@
         }
         if self.queries.busy() && now >= self.sliced + SLICE {
             self.sliced = now;
-            self.queries.step(now, Here { log: &self.log, store: &self.store, span: self.span });
+            self.queries.step(now, LocalLogs { log: &self.log, store: &self.store, span: self.span });
         }
-        for (to, say) in self.queries.say() {
+        for (to, say) in self.queries.take_messages() {
             self.send(now, to, &Message::Say(say));
         }
         // What a write is still due for is told later.
@@ -425,7 +431,7 @@
             }
         }
         self.mesh.flush(now, out);
-        for lost in self.mesh.lost() {
+        for lost in self.mesh.take_dropped_peers() {
             self.replication.broken(lost);
         }
     }
@@ -442,12 +448,12 @@
             known_since: self.log.table().known_since(),
             replicas: self.replication.chosen().to_vec(),
             receivers: receivers.collect(),
-            beat_ms: BEAT / 1_000,
+            beat_ms: HEARTBEAT / 1_000,
             copies: self
                 .store
                 .logs()
                 .iter()
-                .map(|(log, copy)| CopyReport {
+                .map(|(log, copy)| ReplicaReport {
                     log: *log,
                     entries: copy.table.len(),
                     bytes: copy.table.bytes(),
@@ -475,7 +481,7 @@
 
 /// A copy that is held here.
 #[derive(Debug, Clone, Serialize)]
-pub struct CopyReport {
+pub struct ReplicaReport {
     /// Of which log.
     pub log: LogId,
     /// Messages.
@@ -512,7 +518,7 @@
     /// A replica that has all hears so that often.
     pub beat_ms: u64,
     /// Copies of others' logs.
-    pub copies: Vec<CopyReport>,
+    pub copies: Vec<ReplicaReport>,
     /// Counts.
     pub counts: Counts,
     /// Datagrams of all channels of the index.
--- a/src/status/log.rs
+++ b/src/status/log.rs
@@ -8,8 +8,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::shards::{Held, Key, Table, key_of};
-use super::{Change, Entry, LONGEST_ID, Life, LogId, Rank, Reached};
+use super::shards::{Key, Table, TableRow, key_of};
+use super::{Change, Entry, Generation, LogId, MAX_ID_LEN, Rank, Watermark};
 use crate::interface::Micros;
 
 /// Ended entries that go for their age in one call at most.
@@ -24,7 +24,7 @@
 pub struct Head {
     version: u8,
     /// The life that its changes are of.
-    pub life: Life,
+    pub life: Generation,
     /// Tells whether the machine was started since.
     pub boot: u64,
     /// The last number given out when it was begun.
@@ -37,11 +37,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
     /// With a whole change.
-    Whole,
+    Complete,
     /// Within a change, as a process leaves it that is killed while it writes.
-    Torn,
+    Truncated,
     /// Something in it is not what was written.
-    Spoilt,
+    Corrupt,
 }
 
 fn frame(content: &impl Serialize, into: &mut Vec<u8>) {
@@ -55,12 +55,12 @@
 /// The next frame, and what is left; the error tells how it ended.
 fn unframe(bytes: &[u8]) -> Result<(&[u8], &[u8]), End> {
     if bytes.is_empty() {
-        return Err(End::Whole);
+        return Err(End::Complete);
     }
-    let (head, rest) = bytes.split_at_checked(FRAME).ok_or(End::Torn)?;
+    let (head, rest) = bytes.split_at_checked(FRAME).ok_or(End::Truncated)?;
     let word = |at: usize| head.get(at..at + 4).and_then(|b| b.try_into().ok()).map_or(0, u32::from_le_bytes);
-    let (body, rest) = rest.split_at_checked(word(0) as usize).ok_or(End::Torn)?;
-    if crc32fast::hash(body) == word(4) { Ok((body, rest)) } else { Err(End::Spoilt) }
+    let (body, rest) = rest.split_at_checked(word(0) as usize).ok_or(End::Truncated)?;
+    if crc32fast::hash(body) == word(4) { Ok((body, rest)) } else { Err(End::Corrupt) }
 }
 
 /// Reads a segment: its head, if that is sound, its changes, and how it ends.
@@ -68,12 +68,12 @@
     let mut changes = Vec::new();
     let (first, mut rest) = match unframe(bytes) {
         Ok(read) => read,
-        Err(End::Whole) => return (None, changes, End::Torn),
+        Err(End::Complete) => return (None, changes, End::Truncated),
         Err(end) => return (None, changes, end),
     };
     let head = postcard::from_bytes::<Head>(first).ok().filter(|head| head.version == VERSION);
     if head.is_none() {
-        return (None, changes, End::Spoilt);
+        return (None, changes, End::Corrupt);
     }
     loop {
         let (body, left) = match unframe(rest) {
@@ -82,7 +82,7 @@
         };
         match postcard::from_bytes(body) {
             Ok(change) => changes.push(change),
-            Err(_) => return (head, changes, End::Spoilt),
+            Err(_) => return (head, changes, End::Corrupt),
         }
         rest = left;
     }
@@ -92,7 +92,7 @@
 #[derive(Debug, Default)]
 pub struct Restored {
     /// The life, where it may go on.
-    pub life: Option<Life>,
+    pub life: Option<Generation>,
     /// Changes, in no order.
     pub changes: Vec<Change>,
     /// The last number given out.
@@ -111,10 +111,10 @@
         sure &= n == 0 || segments[n - 1].0 + 1 == *at;
         let (head, changes, end) = read_segment(bytes);
         // Only the newest may end within a change: what came after it was told to nobody.
-        sure &= end == End::Whole || newest && end == End::Torn;
+        sure &= end == End::Complete || newest && end == End::Truncated;
         let Some(head) = head else {
             // The newest may have been begun and no more; nothing was told that is in no other one then.
-            sure &= newest && end == End::Torn;
+            sure &= newest && end == End::Truncated;
             continue;
         };
         sure &= head.boot == boot && life.is_none_or(|life| life == head.life);
@@ -156,15 +156,22 @@
 
 impl Log {
     /// A log of a new life. `most` bounds its memory, bytes; `keep` how long ended entries stay, microseconds.
-    pub fn new(owner: Rank, life: Life, most: usize, keep: Micros, known_since: Micros) -> Self {
+    pub fn new(owner: Rank, life: Generation, most: usize, keep: Micros, known_since: Micros) -> Self {
         let mut table = Table::default();
         table.forget_before(known_since);
-        Self { id: LogId { owner, life }, table, last: 0, most, keep, unwritten: Unwritten::default() }
+        Self {
+            id: LogId { owner, generation: life },
+            table,
+            last: 0,
+            most,
+            keep,
+            unwritten: Unwritten::default(),
+        }
     }
 
     /// Goes on with what the folder had. Where the life can't go on, `fresh` is the new one, in which all of it counts
     /// as changed; then all of it has to be written.
-    pub fn resume(owner: Rank, restored: Restored, fresh: Life, most: usize, keep: Micros) -> Self {
+    pub fn resume(owner: Rank, restored: Restored, fresh: Generation, most: usize, keep: Micros) -> Self {
         let Restored { life, mut changes, last, known_since } = restored;
         let mut log = Self::new(owner, life.unwrap_or(fresh), most, keep, known_since);
         changes.sort_by_key(|change| change.number);
@@ -181,10 +188,10 @@
 
     /// Begins a new life with all that is there. Numbers of the one before are given out no more. What was taken on
     /// before now may have been lost with it.
-    pub fn renew(&mut self, life: Life, now: Micros) {
+    pub fn renew(&mut self, life: Generation, now: Micros) {
         let before = std::mem::take(&mut self.table);
         self.table.forget_before(before.known_since().max(now));
-        (self.id.life, self.last) = (life, 0);
+        (self.id.generation, self.last) = (life, 0);
         self.unwritten = Unwritten::default();
         for held in before.after(0) {
             self.write(held.entry.clone());
@@ -207,14 +214,14 @@
     }
 
     /// How far the owner itself has it.
-    pub fn reached(&self, now: Micros) -> Reached {
-        Reached { upto: self.last, as_of: now }
+    pub fn reached(&self, now: Micros) -> Watermark {
+        Watermark { upto: self.last, as_of: now }
     }
 
     /// Writes a change: the message's entry from now on. Gives the number that the message had, and the new one; none
     /// for an id that is too long.
     pub fn put(&mut self, entry: Entry) -> Option<(u64, u64)> {
-        let fits = entry.id.len() <= LONGEST_ID;
+        let fits = entry.id.len() <= MAX_ID_LEN;
         let written = fits.then(|| self.write(entry));
         if self.table.bytes() > self.most {
             self.table.bound(self.most, 0, 0);
@@ -226,7 +233,7 @@
         self.last += 1;
         let key = key_of(&entry.tenant, &entry.id);
         let before = self.table.put(self.last, entry).unwrap_or(0);
-        if let Some(Held { number, entry }) = self.table.get(&key) {
+        if let Some(TableRow { number, entry }) = self.table.get(&key) {
             frame(&Change { number: *number, entry: entry.clone() }, &mut self.unwritten.bytes);
             self.unwritten.numbers.push(*number);
         }
@@ -254,7 +261,10 @@
     pub fn head(&self, boot: u64) -> Vec<u8> {
         let known_since = self.table.known_since();
         let mut bytes = Vec::new();
-        frame(&Head { version: VERSION, life: self.id.life, boot, last: self.last, known_since }, &mut bytes);
+        frame(
+            &Head { version: VERSION, life: self.id.generation, boot, last: self.last, known_since },
+            &mut bytes,
+        );
         bytes
     }
 
@@ -270,7 +280,7 @@
 
     /// The change with that number as it is written, if no later one of its message took its place.
     pub fn frame_of(&self, number: u64) -> Option<Vec<u8>> {
-        let Held { number, entry } = self.table.at(number)?;
+        let TableRow { number, entry } = self.table.at(number)?;
         let mut bytes = Vec::new();
         frame(&Change { number: *number, entry: entry.clone() }, &mut bytes);
         Some(bytes)
--- a/src/status/mod.rs
+++ b/src/status/mod.rs
@@ -4,7 +4,7 @@
 //!
 //! - A *change* is a hand-in that got its 202, and each change of that message's state after it. The sender at which it
 //!   happens writes it into its own log; nobody else ever writes there.
-//! - A *log* belongs to an owner and one [`Life`] of its folder; within it changes have numbers from 1, without gaps.
+//! - A *log* belongs to an owner and one [`Generation`] of its folder; within it changes have numbers from 1, without gaps.
 //! - A *shard* is one owner's part of the index for one span of time, by when a message was taken on.
 //! - A message that another sender adopted has changes in two logs. What is known of it is the join of all of them.
 
@@ -33,11 +33,11 @@
 /// Bounds of a shard's span, seconds.
 pub const SPAN_S: (u32, u32) = (1, 3_600);
 /// A longer id is not indexed, bytes.
-pub const LONGEST_ID: usize = 64;
+pub const MAX_ID_LEN: usize = 64;
 /// Ids that a query may name at most.
-pub const MOST_IDS: usize = 256;
+pub const MAX_IDS: usize = 256;
 /// Rows that an answer holds at most.
-pub const MOST_ROWS: usize = 1_000;
+pub const MAX_ROWS: usize = 1_000;
 
 /// The section `status`. It needs `membership`.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
@@ -76,7 +76,7 @@
 /// Which life of an owner's folder: drawn by chance when a folder is found empty, and kept in it. Two lives of one
 /// owner are not in any order: what was written in a lost one is either with a replica or lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life(pub u64);
+pub struct Generation(pub u64);
 
 /// A log: its owner, and the life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -84,7 +84,8 @@
     /// The sender that writes it.
     pub owner: Rank,
     /// In which life.
-    pub life: Life,
+    #[serde(rename = "life")]
+    pub generation: Generation,
 }
 
 /// A shard: one owner's entries whose messages were taken on in one span of Unix time, counted in spans.
@@ -98,7 +99,7 @@
 
 /// How far somebody has a log. It never goes back, and is never said before it holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Reached {
+pub struct Watermark {
     /// All changes up to this number are there; 0 is none.
     pub upto: u64,
     /// The owner's clock when nothing beyond `upto` had happened, as the owner said it; Unix microseconds.
@@ -106,7 +107,7 @@
 }
 
 /// How far a sender has each log that it keeps.
-pub type Positions = BTreeMap<LogId, Reached>;
+pub type Positions = BTreeMap<LogId, Watermark>;
 
 /// What has happened to a message, as a set: states join by union, so that order, repetition and two owners after a
 /// takeover do not matter, and an end is never undone.
@@ -162,7 +163,7 @@
     }
 
     /// The one that says the most; `Unknown` counts only where there is no end.
-    pub fn told(self) -> Option<State> {
+    pub fn reported(self) -> Option<State> {
         State::ALL.into_iter().rev().find(|state| self.has(*state))
     }
 }
@@ -170,7 +171,7 @@
 /// What is known of a message. Never its body.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its `Req-Id`, of [`LONGEST_ID`] bytes at most.
+    /// Its `Req-Id`, of [`MAX_ID_LEN`] bytes at most.
     pub id: String,
     /// Its class, by name.
     pub class: String,
@@ -226,7 +227,7 @@
 pub struct Query {
     /// Whose messages; nobody else's are ever told.
     pub tenant: String,
-    /// These, by `Req-Id`; all if it is empty. [`MOST_IDS`] at most.
+    /// These, by `Req-Id`; all if it is empty. [`MAX_IDS`] at most.
     #[serde(default)]
     pub ids: Vec<String>,
     /// Taken on then or later, Unix microseconds.
@@ -244,7 +245,7 @@
     /// For one of these destinations; all if it is empty.
     #[serde(default)]
     pub destinations: Vec<u32>,
-    /// Rows at most, of [`MOST_ROWS`].
+    /// Rows at most, of [`MAX_ROWS`].
     #[serde(default = "rows")]
     pub limit: u32,
     /// Goes on after this one: rows come by `taken_at` and id.
@@ -263,7 +264,7 @@
 impl Query {
     /// Whether an entry is one that is asked for; `limit` aside.
     pub fn wants(&self, entry: &Entry) -> bool {
-        let told = || entry.states.told().is_some_and(|told| self.states.contains(&told));
+        let told = || entry.states.reported().is_some_and(|told| self.states.contains(&told));
         (self.states.is_empty() || told()) && self.may_want(entry)
     }
 
