--- a/src/status/query.rs
+++ b/src/status/query.rs
@@ -12,25 +12,25 @@
 use super::log::Log;
 use super::shards::{Key, Table, begins, key_of, size_of};
 use super::store::Store;
-use super::{Entry, LogId, MOST_IDS, MOST_ROWS, Query, Rank, Reached, State};
+use super::{Entry, LogId, MAX_IDS, MAX_ROWS, Query, Rank, State, Watermark};
 use crate::interface::Micros;
 
 /// A query takes so long at most: management answers are due within 1 s.
-pub const LONGEST: Micros = 800_000;
+pub const MAX_QUERY_TIME: Micros = 800_000;
 /// A server that has not answered for so long is not waited for alone: the route's next one is asked too.
 pub const HEDGE: Micros = 200_000;
 /// Kept of the deadline for the way back.
 const MARGIN: Micros = 40_000;
 /// Entries that are looked at in a turn at most, for all queries together.
-pub const LOOKED_A_TURN: usize = 2_048;
+pub const MAX_ENTRIES_PER_TURN: usize = 2_048;
 /// Own queries at a time at most.
-pub const MOST_RUNNING: usize = 32;
+pub const MAX_RUNNING: usize = 32;
 /// Queries of other senders at a time at most.
-pub const MOST_SERVING: usize = 64;
+pub const MAX_SERVING: usize = 64;
 /// Servers that one query waits for at a time at most.
-const MOST_OUT: usize = 32;
+const MAX_OUT: usize = 32;
 /// Servers of one owner that are tried at most.
-const MOST_SERVERS: usize = 4;
+const MAX_SERVERS: usize = 4;
 /// Bytes of rows in one message, about.
 const PIECE: usize = 32 * 1024;
 /// An entry without an end is told as unknown so long after its deadline.
@@ -42,19 +42,19 @@
 
 /// Why a query is not taken.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum QueryRejected {
     /// Too many ids.
-    #[error("{0} ids are asked for, over {MOST_IDS}")]
+    #[error("{0} ids are asked for, over {MAX_IDS}")]
     Ids(usize),
     /// The limit is none.
-    #[error("a limit of {0} is not between 1 and {MOST_ROWS}")]
+    #[error("a limit of {0} is not between 1 and {MAX_ROWS}")]
     Limit(u32),
     /// Too many at a time.
-    #[error("{MOST_RUNNING} queries are under way")]
+    #[error("{MAX_RUNNING} queries are under way")]
     Busy,
 }
 
-impl Refused {
+impl QueryRejected {
     /// A stable name.
     pub fn code(&self) -> &'static str {
         match self {
@@ -89,11 +89,11 @@
 
 /// One log, as far as a server has it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holding {
+pub struct LogStatus {
     /// Which.
     pub log: LogId,
     /// All is there up to this.
-    pub reached: Reached,
+    pub reached: Watermark,
     /// Its horizon.
     pub known_since: Micros,
     /// The greatest number of a change that may be in the rows, or be the reason that one is missing: a copy may have
@@ -105,20 +105,20 @@
 
 /// An answer of a server, in pieces.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Piece {
+pub struct PartialResult {
     /// The asker's number.
     pub number: u64,
     /// Entries that may be wanted.
     pub rows: Vec<Entry>,
     /// It is the last one, and says:
-    pub end: Option<PieceEnd>,
+    pub end: Option<ResultEnd>,
 }
 
 /// What a server says with the last piece.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PieceEnd {
+pub struct ResultEnd {
     /// Which logs were read. An owner without one has none here.
-    pub logs: Vec<Holding>,
+    pub logs: Vec<LogStatus>,
     /// Beyond this place rows may be missing.
     pub whole_upto: Option<(Micros, String)>,
     /// It had too much to do, and read nothing.
@@ -128,7 +128,7 @@
 /// Why part of an answer is missing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Why {
+pub enum MissingReason {
     /// Nobody who holds it answered in time.
     NoAnswer,
     /// Whoever answered holds nothing of it.
@@ -145,18 +145,18 @@
     /// The first and the last span that the query could have touched.
     pub spans: (u32, u32),
     /// Why.
-    pub why: Why,
+    pub why: MissingReason,
 }
 
 /// A log that is in an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Told {
+pub struct LogRead {
     /// Which.
     pub log: LogId,
     /// Who read it.
     pub server: Rank,
     /// Up to which position.
-    pub reached: Reached,
+    pub reached: Watermark,
     /// Its horizon: what was taken on before may have been left out.
     pub known_since: Micros,
     /// The greatest number of a change that may have been shown; 0 if no entry was looked at.
@@ -198,7 +198,7 @@
     /// The others.
     pub missing: Vec<Missing>,
     /// What was read, with whose position.
-    pub logs: Vec<Told>,
+    pub logs: Vec<LogRead>,
     /// What was taken on before this may be missing: the latest horizon of them all.
     pub known_since: Micros,
     /// Ids that were asked for and of which nothing is known; not that there never was such a message.
@@ -211,7 +211,7 @@
 
 /// All logs that are here.
 #[derive(Debug, Clone, Copy)]
-pub struct Here<'a> {
+pub struct LocalLogs<'a> {
     /// The own one.
     pub log: &'a Log,
     /// Those of others.
@@ -220,7 +220,7 @@
     pub span: Micros,
 }
 
-impl<'a> Here<'a> {
+impl<'a> LocalLogs<'a> {
     fn of(&self, owner: Rank) -> Vec<LogId> {
         let own = (self.log.id().owner == owner).then_some(self.log.id());
         own.into_iter().chain(self.store.of(owner).map(|(id, _)| *id)).collect()
@@ -233,25 +233,25 @@
         self.store.logs().get(&id).map(|copy| &copy.table)
     }
 
-    fn holding(&self, id: LogId, now: Micros) -> Option<Holding> {
+    fn holding(&self, id: LogId, now: Micros) -> Option<LogStatus> {
         let table = self.table(id)?;
         let own = id == self.log.id();
         let reached = if own { self.log.reached(now) } else { self.store.logs().get(&id)?.reached };
-        Some(Holding { log: id, reached, known_since: table.known_since(), shown: 0, touched: (0, 0, 0) })
+        Some(LogStatus { log: id, reached, known_since: table.known_since(), shown: 0, touched: (0, 0, 0) })
     }
 
     /// With what may have been shown, once it has been read.
-    fn read(&self, holding: Holding) -> Holding {
+    fn read(&self, holding: LogStatus) -> LogStatus {
         let last = match self.store.logs().get(&holding.log) {
             _ if holding.log == self.log.id() => self.log.last(),
             copy => copy.map_or(holding.reached.upto, |copy| copy.cursor().max(copy.reached.upto)),
         };
-        Holding { shown: if holding.touched.1 > 0 { last } else { 0 }, ..holding }
+        LogStatus { shown: if holding.touched.1 > 0 { last } else { 0 }, ..holding }
     }
 }
 
 /// The log at hand, the place to go on from, and the spans of entries that were looked at.
-type At = (Holding, Option<(Micros, Key)>, BTreeSet<u32>);
+type At = (LogStatus, Option<(Micros, Key)>, BTreeSet<u32>);
 
 /// Reading some logs that are here, in slices.
 #[derive(Debug)]
@@ -265,7 +265,7 @@
     /// Rows found in the log at hand, and the place of the last.
     here: usize,
     last: Option<(Micros, String)>,
-    logs: Vec<Holding>,
+    logs: Vec<LogStatus>,
     whole_upto: Option<(Micros, String)>,
 }
 
@@ -281,7 +281,7 @@
     }
 
     /// Goes on as far as the budget lasts; whether it is through.
-    fn step(&mut self, here: Here, now: Micros, budget: &mut usize) -> bool {
+    fn step(&mut self, here: LocalLogs, now: Micros, budget: &mut usize) -> bool {
         loop {
             if *budget == 0 {
                 return false;
@@ -400,7 +400,7 @@
     own: Vec<(Scan, Vec<Rank>)>,
     rows: BTreeMap<Key, Entry>,
     whole_upto: Option<(Micros, String)>,
-    logs: Vec<Told>,
+    logs: Vec<LogRead>,
     touched: Vec<Touched>,
 }
 
@@ -415,11 +415,11 @@
 
 /// What is to be told to another sender.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Say {
+pub enum QueryMessage {
     /// A query.
     Ask(SubQuery),
     /// Part of an answer.
-    Piece(Piece),
+    Piece(PartialResult),
 }
 
 /// All queries under way at a sender.
@@ -430,7 +430,7 @@
     running: BTreeMap<u64, Running>,
     serving: VecDeque<Serving>,
     answers: Vec<(u64, Answer)>,
-    say: Vec<(Rank, Say)>,
+    say: Vec<(Rank, QueryMessage)>,
 }
 
 impl Queries {
@@ -446,38 +446,44 @@
     }
 
     /// Answers that are there.
-    pub fn answers(&mut self) -> Vec<(u64, Answer)> {
+    pub fn take_answers(&mut self) -> Vec<(u64, Answer)> {
         std::mem::take(&mut self.answers)
     }
 
     /// What is to be sent.
-    pub fn say(&mut self) -> Vec<(Rank, Say)> {
+    pub fn take_messages(&mut self) -> Vec<(Rank, QueryMessage)> {
         std::mem::take(&mut self.say)
     }
 
-    /// Takes a query that is to be answered within that time, [`LONGEST`] at most.
+    /// Takes a query that is to be answered within that time, [`MAX_QUERY_TIME`] at most.
     ///
     /// # Errors
     /// Says why it is not taken.
-    pub fn ask(&mut self, now: Micros, query: Query, routes: Routes, within: Micros) -> Result<u64, Refused> {
-        if query.ids.len() > MOST_IDS {
-            return Err(Refused::Ids(query.ids.len()));
+    pub fn ask(
+        &mut self,
+        now: Micros,
+        query: Query,
+        routes: Routes,
+        within: Micros,
+    ) -> Result<u64, QueryRejected> {
+        if query.ids.len() > MAX_IDS {
+            return Err(QueryRejected::Ids(query.ids.len()));
         }
-        if query.limit == 0 || query.limit as usize > MOST_ROWS {
-            return Err(Refused::Limit(query.limit));
+        if query.limit == 0 || query.limit as usize > MAX_ROWS {
+            return Err(QueryRejected::Limit(query.limit));
         }
-        if self.running.len() >= MOST_RUNNING {
-            return Err(Refused::Busy);
+        if self.running.len() >= MAX_RUNNING {
+            return Err(QueryRejected::Busy);
         }
         let wanted = |(owner, servers): (Rank, Vec<Rank>)| {
-            let servers: VecDeque<Rank> = servers.into_iter().take(MOST_SERVERS).collect();
+            let servers: VecDeque<Rank> = servers.into_iter().take(MAX_SERVERS).collect();
             (owner, Wanted { servers, asked: None, tried: false, answered: false, reached: false })
         };
         self.next = self.next.wrapping_add(1);
         let running = Running {
             query,
             begun: now,
-            until: now + within.min(LONGEST),
+            until: now + within.min(MAX_QUERY_TIME),
             owners: routes.0.into_iter().map(wanted).collect(),
             out: BTreeMap::new(),
             own: Vec::new(),
@@ -491,25 +497,25 @@
     }
 
     /// Another sender asks. What it may cost is bounded; whoever asks beyond that is told so.
-    pub fn asked(&mut self, now: Micros, from: Rank, asked: SubQuery, here: Here) {
+    pub fn serve(&mut self, now: Micros, from: Rank, asked: SubQuery, here: LocalLogs) {
         let SubQuery { number, mut query, owners, within } = asked;
-        let sane = query.ids.len() <= MOST_IDS && (1..=MOST_ROWS).contains(&(query.limit as usize));
-        if self.serving.len() >= MOST_SERVING || !sane {
-            let end = PieceEnd { logs: vec![], whole_upto: None, busy: true };
-            let piece = Piece { number, rows: vec![], end: Some(end) };
-            self.say.push((from, Say::Piece(piece)));
+        let sane = query.ids.len() <= MAX_IDS && (1..=MAX_ROWS).contains(&(query.limit as usize));
+        if self.serving.len() >= MAX_SERVING || !sane {
+            let end = ResultEnd { logs: vec![], whole_upto: None, busy: true };
+            let piece = PartialResult { number, rows: vec![], end: Some(end) };
+            self.say.push((from, QueryMessage::Piece(piece)));
             return;
         }
         // Which state a message has shows only once all logs are joined.
         query.states.clear();
         let owners: BTreeSet<Rank> = owners.into_iter().collect();
         let logs: Vec<LogId> = owners.into_iter().flat_map(|owner| here.of(owner)).collect();
-        let until = now + within.min(LONGEST);
+        let until = now + within.min(MAX_QUERY_TIME);
         self.serving.push_back(Serving { asker: from, number, until, scan: Scan::new(query, logs) });
     }
 
     /// Part of another sender's answer has come, in that many bytes.
-    pub fn piece(&mut self, now: Micros, from: Rank, piece: Piece, wire_bytes: u64) {
+    pub fn receive_result(&mut self, now: Micros, from: Rank, piece: PartialResult, wire_bytes: u64) {
         let Some(running) = self.running.get_mut(&piece.number) else { return };
         let Some(out) = running.out.get_mut(&from) else { return };
         out.wire_bytes += wire_bytes;
@@ -531,12 +537,12 @@
         running.read(from, &owners, end.logs, end.whole_upto, (wire_bytes, now.saturating_sub(since)));
     }
 
-    /// Goes on with all of them, within [`LOOKED_A_TURN`].
-    pub fn step(&mut self, now: Micros, here: Here) {
-        let mut budget = LOOKED_A_TURN;
+    /// Goes on with all of them, within [`MAX_ENTRIES_PER_TURN`].
+    pub fn step(&mut self, now: Micros, here: LocalLogs) {
+        let mut budget = MAX_ENTRIES_PER_TURN;
         let numbers: Vec<u64> = self.running.keys().copied().collect();
         // Each gets its part of the turn, so that a large one holds up nobody.
-        let share = LOOKED_A_TURN / (numbers.len() + self.serving.len()).max(1);
+        let share = MAX_ENTRIES_PER_TURN / (numbers.len() + self.serving.len()).max(1);
         for number in numbers {
             let Some(running) = self.running.get_mut(&number) else { continue };
             running.route(now, self.own, number, here, &mut self.say);
@@ -570,13 +576,13 @@
             bytes += size_of(&entry);
             rows.push(entry);
             if bytes >= PIECE {
-                let piece = Piece { number, rows: std::mem::take(&mut rows), end: None };
-                self.say.push((asker, Say::Piece(piece)));
+                let piece = PartialResult { number, rows: std::mem::take(&mut rows), end: None };
+                self.say.push((asker, QueryMessage::Piece(piece)));
                 bytes = 0;
             }
         }
-        let end = Some(PieceEnd { logs: scan.logs, whole_upto: scan.whole_upto, busy: false });
-        self.say.push((asker, Say::Piece(Piece { number, rows, end })));
+        let end = Some(ResultEnd { logs: scan.logs, whole_upto: scan.whole_upto, busy: false });
+        self.say.push((asker, QueryMessage::Piece(PartialResult { number, rows, end })));
     }
 }
 
@@ -594,7 +600,7 @@
         &mut self,
         server: Rank,
         owners: &[Rank],
-        logs: Vec<Holding>,
+        logs: Vec<LogStatus>,
         whole_upto: Option<(Micros, String)>,
         (wire_bytes, took_us): (u64, Micros),
     ) {
@@ -603,20 +609,27 @@
             if let Some(wanted) = self.owners.get_mut(owner) {
                 wanted.answered = true;
                 // A copy of which nothing was claimed yet is on its way, and tells of no position.
-                let told = |holding: &Holding| server == *owner || holding.reached.as_of > 0;
+                let told = |holding: &LogStatus| server == *owner || holding.reached.as_of > 0;
                 wanted.reached |= logs.iter().any(|holding| holding.log.owner == *owner && told(holding));
             }
         }
         for (n, holding) in logs.into_iter().enumerate() {
-            let Holding { log, reached, known_since, shown, touched: (shards, entries, bytes) } = holding;
+            let LogStatus { log, reached, known_since, shown, touched: (shards, entries, bytes) } = holding;
             let wire_bytes = if n == 0 { wire_bytes } else { 0 };
             self.touched.push(Touched { server, log, shards, entries, bytes, wire_bytes, took_us });
-            self.logs.push(Told { log, server, reached, known_since, shown });
+            self.logs.push(LogRead { log, server, reached, known_since, shown });
         }
     }
 
     /// Asks whoever is to be asked next.
-    fn route(&mut self, now: Micros, own: Rank, number: u64, here: Here, say: &mut Vec<(Rank, Say)>) {
+    fn route(
+        &mut self,
+        now: Micros,
+        own: Rank,
+        number: u64,
+        here: LocalLogs,
+        say: &mut Vec<(Rank, QueryMessage)>,
+    ) {
         let mut ask: BTreeMap<Rank, Vec<Rank>> = BTreeMap::new();
         let out = &self.out;
         for (owner, wanted) in &mut self.owners {
@@ -624,7 +637,7 @@
                 continue;
             }
             let Some(server) = wanted.servers.front().copied() else { continue };
-            let room = ask.contains_key(&server) || out.len() + ask.len() < MOST_OUT;
+            let room = ask.contains_key(&server) || out.len() + ask.len() < MAX_OUT;
             // One question to a server at a time: its answer names no owners.
             if server != own && (!room || out.contains_key(&server)) {
                 continue;
@@ -642,12 +655,12 @@
             }
             let within = self.until.saturating_sub(now + MARGIN);
             let query = Query { states: Vec::new(), ..self.query.clone() };
-            say.push((server, Say::Ask(SubQuery { number, query, owners: owners.clone(), within })));
+            say.push((server, QueryMessage::Ask(SubQuery { number, query, owners: owners.clone(), within })));
             self.out.insert(server, Out { owners, since: now, wire_bytes: 0, rows: Vec::new() });
         }
     }
 
-    fn scan(&mut self, now: Micros, own: Rank, here: Here, budget: &mut usize) {
+    fn scan(&mut self, now: Micros, own: Rank, here: LocalLogs, budget: &mut usize) {
         while let Some((scan, _)) = self.own.first_mut() {
             if !scan.step(here, now, budget) {
                 return;
@@ -672,9 +685,9 @@
             .filter(|(_, wanted)| !wanted.reached)
             .map(|(owner, wanted)| {
                 let why = match (wanted.tried, wanted.answered) {
-                    (false, _) => Why::NoServer,
-                    (true, false) => Why::NoAnswer,
-                    (true, true) => Why::NotHeld,
+                    (false, _) => MissingReason::NoServer,
+                    (true, false) => MissingReason::NoAnswer,
+                    (true, true) => MissingReason::NotHeld,
                 };
                 Missing { owner: *owner, spans, why }
             })
--- a/src/status/replicate.rs
+++ b/src/status/replicate.rs
@@ -11,10 +11,10 @@
 
 use super::log::Log;
 use super::shards::{Table, size_of};
-use super::store::{Batch, Have, Store};
-use super::{Change, LogId, Positions, Rank, Reached};
+use super::store::{Batch, BatchAck, Store};
+use super::{Change, LogId, Positions, Rank, Watermark};
 use crate::interface::Micros;
-use crate::membership::{Facts, State};
+use crate::membership::{MembershipView, State};
 
 /// Bytes of a batch, about.
 const BATCH: usize = 12 * 1024;
@@ -23,15 +23,15 @@
 /// Rest between two batches to one receiver that has nothing waiting.
 const PACE: Micros = 20_000;
 /// With nothing to say, a receiver hears that after so long.
-pub const BEAT: Micros = 1_000_000;
+pub const HEARTBEAT: Micros = 1_000_000;
 /// Whoever does not answer is asked again after so long how far it is.
 const PROBE: Micros = 1_000_000;
 /// Bytes a second to all receivers together: some 6,000 datagrams.
-pub const BYTES_A_SECOND: u64 = 1 << 20;
+pub const MAX_BYTES_PER_S: u64 = 1 << 20;
 /// What may have been saved up of them.
 const SAVED: u64 = 128 * 1024;
 /// Receivers at a time at most: replicas, and owners of lives that are over.
-pub const MOST_RECEIVERS: usize = 32;
+pub const MAX_RECEIVERS: usize = 32;
 
 /// How well a sender would keep an owner's log, by chance that all senders draw alike (`SplitMix64`, Steele and others,
 /// 2014).
@@ -44,7 +44,7 @@
 }
 
 /// Those who keep an owner's log, best first. `hosts` tells by rank which senders share one.
-pub fn replicas(owner: Rank, count: usize, hosts: &[u32], facts: &Facts) -> Vec<Rank> {
+pub fn replicas(owner: Rank, count: usize, hosts: &[u32], facts: &MembershipView) -> Vec<Rank> {
     let host = |rank: Rank| hosts.get(usize::from(rank));
     let there = |rank: &Rank| {
         let state = facts.members.get(usize::from(*rank)).map(|fact| fact.state);
@@ -58,7 +58,7 @@
 }
 
 /// Those who may have been chosen to keep an owner's log, whoever was there then: the best of all, best first.
-pub fn keepers(owner: Rank, count: usize, hosts: &[u32]) -> Vec<Rank> {
+pub fn candidates(owner: Rank, count: usize, hosts: &[u32]) -> Vec<Rank> {
     let elsewhere = |rank: &Rank| hosts.get(usize::from(*rank)) != hosts.get(usize::from(owner));
     let ranks = (0..hosts.len()).filter_map(|rank| Rank::try_from(rank).ok());
     let mut ranks: Vec<Rank> = ranks.filter(elsewhere).collect();
@@ -147,9 +147,9 @@
     }
 
     /// Somebody said that it has a log so far.
-    pub fn hint(&mut self, from: Rank, log: LogId, reached: Reached) {
+    pub fn hint(&mut self, from: Rank, log: LogId, reached: Watermark) {
         let known = self.hints.entry(from).or_default();
-        if known.len() < super::store::MOST_LOGS || known.contains_key(&log) {
+        if known.len() < super::store::MAX_LOGS || known.contains_key(&log) {
             known.insert(log, reached);
         }
     }
@@ -176,7 +176,7 @@
     /// A sender writes a log of that life: what is held here of others of its lives is for it to have.
     pub fn lives(&mut self, owner: Rank, life: LogId, store: &Store) {
         for (id, _) in store.of(owner).filter(|(id, _)| **id != life) {
-            if self.pushes.len() < MOST_RECEIVERS {
+            if self.pushes.len() < MAX_RECEIVERS {
                 self.pushes.entry((owner, *id)).or_default();
             }
         }
@@ -187,7 +187,7 @@
     /// The first time it is held against what this process began with, since nothing is sent to whoever was not heard:
     /// a folder that was put back to an older state has given out numbers again by then.
     #[must_use]
-    pub fn answered(&mut self, from: Rank, have: &Have, log: &Log, now: Micros) -> bool {
+    pub fn answered(&mut self, from: Rank, have: &BatchAck, log: &Log, now: Micros) -> bool {
         if have.log == log.id() {
             let first = self.heard.insert(from);
             let most = if first { self.begun } else { log.last() };
@@ -215,14 +215,14 @@
             Some(_) if push.unanswered >= UNANSWERED => None,
             Some(_) if id.owner != self.own => (!push.done).then_some(push.said + PACE),
             Some(cursor) if cursor < last => Some(push.said + PACE),
-            Some(_) => Some(push.said + BEAT),
+            Some(_) => Some(push.said + HEARTBEAT),
         });
         due.min()
     }
 
     /// Batches that are due, for whom.
     pub fn batches(&mut self, now: Micros, log: &Log, store: &Store) -> Vec<(Rank, Batch)> {
-        let gained = now.saturating_sub(self.filled).min(1_000_000) * BYTES_A_SECOND / 1_000_000;
+        let gained = now.saturating_sub(self.filled).min(1_000_000) * MAX_BYTES_PER_S / 1_000_000;
         if gained > 0 {
             (self.budget, self.filled) = ((self.budget + gained).min(SAVED), now);
         }
@@ -242,12 +242,12 @@
                 continue;
             };
             let (table, last, whole) = match store.logs().get(id) {
-                _ if own => (log.table(), log.last(), Reached { upto: log.last(), as_of: now }),
+                _ if own => (log.table(), log.last(), Watermark { upto: log.last(), as_of: now }),
                 Some(copy) => (&copy.table, copy.cursor(), copy.reached),
                 None => continue,
             };
             let quiet = cursor >= last;
-            let rest = if quiet { BEAT } else { PACE };
+            let rest = if quiet { HEARTBEAT } else { PACE };
             if now < push.said + rest
                 || push.unanswered >= UNANSWERED
                 || !own && push.done
@@ -259,7 +259,7 @@
             let claim = if upto >= last {
                 Some(whole)
             } else if own && upto >= push.mark.upto.max(push.worst) {
-                Some(Reached { upto: push.mark.upto, as_of: push.mark.as_of })
+                Some(Watermark { upto: push.mark.upto, as_of: push.mark.as_of })
             } else {
                 None
             };
--- a/src/status/shards.rs
+++ b/src/status/shards.rs
@@ -25,7 +25,7 @@
 
 /// An entry, with the number of its last change in its log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Held {
+pub struct TableRow {
     /// The number.
     pub number: u64,
     /// What is known.
@@ -49,7 +49,7 @@
 /// One log's entries.
 #[derive(Debug, Clone, Default)]
 pub struct Table {
-    rows: BTreeMap<(Micros, Key), Held>,
+    rows: BTreeMap<(Micros, Key), TableRow>,
     taken: HashMap<Key, Micros>,
     numbers: BTreeMap<u64, Key>,
     /// Those that have ended, by when they last changed.
@@ -78,7 +78,7 @@
         }
         self.taken.insert(key.clone(), entry.taken_at);
         self.numbers.insert(number, key.clone());
-        self.rows.insert((entry.taken_at, key), Held { number, entry });
+        self.rows.insert((entry.taken_at, key), TableRow { number, entry });
         before
     }
 
@@ -92,22 +92,22 @@
     }
 
     /// What is held of a message.
-    pub fn get(&self, key: &Key) -> Option<&Held> {
+    pub fn get(&self, key: &Key) -> Option<&TableRow> {
         self.rows.get(&(*self.taken.get(key)?, key.clone()))
     }
 
     /// The message whose last change has that number.
-    pub fn at(&self, number: u64) -> Option<&Held> {
+    pub fn at(&self, number: u64) -> Option<&TableRow> {
         self.get(self.numbers.get(&number)?)
     }
 
     /// All of them, by when they were taken on, then by id.
-    pub fn rows(&self) -> impl Iterator<Item = &Held> {
+    pub fn rows(&self) -> impl Iterator<Item = &TableRow> {
         self.rows.values()
     }
 
     /// Those that changed after a number, in the order of their last changes.
-    pub fn after(&self, number: u64) -> impl Iterator<Item = &Held> {
+    pub fn after(&self, number: u64) -> impl Iterator<Item = &TableRow> {
         let from = (Bound::Excluded(number), Bound::Unbounded);
         self.numbers.range(from).filter_map(|(_, key)| self.get(key))
     }
--- a/src/status/store.rs
+++ b/src/status/store.rs
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 
 use super::shards::Table;
-use super::{Change, LogId, Positions, Rank, Reached};
+use super::{Change, LogId, Positions, Rank, Watermark};
 use crate::interface::Micros;
 
 /// Logs held at most; beyond it the one that was heard of the longest ago goes.
-pub const MOST_LOGS: usize = 128;
+pub const MAX_LOGS: usize = 128;
 /// Senders that tell of one log, at most.
-const MOST_SOURCES: usize = 8;
+const MAX_SOURCES: usize = 8;
 /// Entries that go for their age in one call at most.
 const AGED_AT_ONCE: usize = 64;
 
@@ -28,39 +28,39 @@
     /// The sender's horizon.
     pub known_since: Micros,
     /// With it all is there up to this position.
-    pub claim: Option<Reached>,
+    pub claim: Option<Watermark>,
     /// Present states of messages whose last change lies between both.
     pub changes: Vec<Change>,
 }
 
 /// What a receiver says to a batch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Have {
+pub struct BatchAck {
     /// Of which log.
     pub log: LogId,
     /// How far it has come.
     pub cursor: u64,
     /// Up to where it has all.
-    pub reached: Reached,
+    pub reached: Watermark,
     /// The batch did not fit on what is there, and was left.
     pub gap: bool,
 }
 
 /// One log as far as it is here.
 #[derive(Debug)]
-pub struct Copy {
+pub struct Replica {
     /// Its entries.
     pub table: Table,
     /// Each sender that told of it came to this number; between it and the position something may be missing. More
     /// than one tells only of a life that is over.
     cursors: BTreeMap<Rank, u64>,
     /// All is there up to this.
-    pub reached: Reached,
+    pub reached: Watermark,
     /// When something of it came last.
     pub heard: Micros,
 }
 
-impl Copy {
+impl Replica {
     /// The last number that came.
     pub fn cursor(&self) -> u64 {
         self.cursors.values().copied().max().unwrap_or(0)
@@ -70,7 +70,7 @@
 /// All logs of others that are held here, bounded together.
 #[derive(Debug)]
 pub struct Store {
-    logs: BTreeMap<LogId, Copy>,
+    logs: BTreeMap<LogId, Replica>,
     most: usize,
     keep: Micros,
 }
@@ -82,7 +82,7 @@
     }
 
     /// The logs.
-    pub fn logs(&self) -> &BTreeMap<LogId, Copy> {
+    pub fn logs(&self) -> &BTreeMap<LogId, Replica> {
         &self.logs
     }
 
@@ -92,23 +92,23 @@
     }
 
     /// One owner's logs, of whatever life.
-    pub fn of(&self, owner: Rank) -> impl Iterator<Item = (&LogId, &Copy)> {
+    pub fn of(&self, owner: Rank) -> impl Iterator<Item = (&LogId, &Replica)> {
         self.logs.iter().filter(move |(id, _)| id.owner == owner)
     }
 
     /// Takes a batch in, if it goes on where the log is here; the answer says how far it is then.
-    pub fn apply(&mut self, now: Micros, from: Rank, batch: Batch) -> Have {
-        if !self.logs.contains_key(&batch.log) && self.logs.len() >= MOST_LOGS {
+    pub fn apply(&mut self, now: Micros, from: Rank, batch: Batch) -> BatchAck {
+        if !self.logs.contains_key(&batch.log) && self.logs.len() >= MAX_LOGS {
             let oldest = self.logs.iter().min_by_key(|(_, copy)| copy.heard).map(|(id, _)| *id);
             oldest.map(|oldest| self.logs.remove(&oldest));
         }
-        let copy = self.logs.entry(batch.log).or_insert_with(|| Copy {
+        let copy = self.logs.entry(batch.log).or_insert_with(|| Replica {
             table: Table::default(),
             cursors: BTreeMap::new(),
-            reached: Reached { upto: 0, as_of: 0 },
+            reached: Watermark { upto: 0, as_of: 0 },
             heard: now,
         });
-        if copy.cursors.len() >= MOST_SOURCES && !copy.cursors.contains_key(&from) {
+        if copy.cursors.len() >= MAX_SOURCES && !copy.cursors.contains_key(&from) {
             copy.cursors.clear();
         }
         // What another sender told does not count here: both may have left out different things so far.
@@ -126,7 +126,7 @@
                 copy.reached.as_of = copy.reached.as_of.max(claim.as_of);
             }
         }
-        let have = Have { log: batch.log, cursor: *cursor, reached: copy.reached, gap };
+        let have = BatchAck { log: batch.log, cursor: *cursor, reached: copy.reached, gap };
         self.bound();
         have
     }
--- a/src/takeover/lots.rs
+++ b/src/takeover/groups.rs
@@ -17,7 +17,7 @@
 //! This module reads neither a clock nor the membership view: the expiry of a peer's lease is reported from
 //! outside, at any moment, and possibly wrongly. Operations arrive over a channel that preserves their order
 //! and delivers none twice; when one side restarts, the channel may lose everything in flight, which
-//! [`Lots::reset`] reports.
+//! [`ReplicaGroups::reset`] reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -34,13 +34,13 @@
 pub type Item = u32;
 
 /// Maximum number of messages in a group.
-pub const MOST_ITEMS: u32 = 128;
-/// Maximum number of stored promises; see [`Memory`].
-pub const MOST_PROMISES: usize = 4_096;
+pub const MAX_ITEMS: u32 = 128;
+/// Maximum number of stored promises; see [`DurableState`].
+pub const MAX_PROMISES: usize = 4_096;
 
 /// Identifies a replica group; never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct LotId {
+pub struct ReplicaGroupId {
     /// The sender that opened the group.
     pub owner: Rank,
     /// Unique among that sender's groups, across all its processes.
@@ -58,7 +58,7 @@
 
 /// A statement about a message that never becomes false again.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Fact {
+pub enum Update {
     /// The message itself, opaque to this module.
     Record(Vec<u8>),
     /// This attempt may run from now on.
@@ -82,7 +82,7 @@
 
 /// All updates about a message, merged. The merge is a join: neither order nor repetition matters.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Known {
+pub struct MessageState {
     /// The message itself, once received.
     pub record: Option<Vec<u8>>,
     /// Its attempts, by number.
@@ -93,28 +93,28 @@
     pub over: bool,
 }
 
-impl Known {
-    fn learn(&mut self, fact: Fact, at: Micros) {
+impl MessageState {
+    fn learn(&mut self, fact: Update, at: Micros) {
         match fact {
-            Fact::Record(record) if !self.over => self.record = Some(record),
-            Fact::Record(_) => {}
-            Fact::Intent(attempt) => {
+            Update::Record(record) if !self.over => self.record = Some(record),
+            Update::Record(_) => {}
+            Update::Intent(attempt) => {
                 self.attempts.entry(attempt).or_insert(Attempt { at, never_ran: false });
             }
-            Fact::NeverRan(attempt) => {
+            Update::NeverRan(attempt) => {
                 self.attempts.entry(attempt).or_insert(Attempt { at, never_ran: true }).never_ran = true;
             }
-            Fact::GivenUp(end) => self.given_up = self.given_up.max(Some(end)),
-            Fact::Over => (self.over, self.record) = (true, None),
+            Update::GivenUp(end) => self.given_up = self.given_up.max(Some(end)),
+            Update::Over => (self.over, self.record) = (true, None),
         }
     }
 
     fn join(&mut self, other: Self) {
         if other.over {
-            self.learn(Fact::Over, 0);
+            self.learn(Update::Over, 0);
         }
         if let Some(record) = other.record {
-            self.learn(Fact::Record(record), 0);
+            self.learn(Update::Record(record), 0);
         }
         for (attempt, other) in other.attempts {
             let known = self.attempts.entry(attempt).or_insert(other);
@@ -135,70 +135,144 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Op {
     /// The writer owns this group; the receiver is one of its backups.
-    Open { lot: LotId, covers: [Rank; 2] },
+    Open {
+        #[serde(rename = "lot")]
+        group: ReplicaGroupId,
+        covers: [Rank; 2],
+    },
     /// The writer now backs up the group; `memory` identifies its durable state.
-    Opened { lot: LotId, memory: u64 },
+    Opened {
+        #[serde(rename = "lot")]
+        group: ReplicaGroupId,
+        memory: u64,
+    },
     /// The writer, the owner at this epoch, replicates an update: its `n`th, counted from 1.
-    Tell { lot: LotId, epoch: Epoch, n: u32, item: Item, fact: Fact, at: Micros },
+    Tell {
+        #[serde(rename = "lot")]
+        group: ReplicaGroupId,
+        epoch: Epoch,
+        n: u32,
+        item: Item,
+        fact: Update,
+        at: Micros,
+    },
     /// The writer, the first owner, had sent all its updates at this time of its clock.
-    Still { lot: LotId, at: Micros },
+    Still {
+        #[serde(rename = "lot")]
+        group: ReplicaGroupId,
+        at: Micros,
+    },
     /// The writer has all updates up to the `upto`th, at this epoch.
-    Granted { lot: LotId, epoch: Epoch, upto: u32 },
+    Granted {
+        #[serde(rename = "lot")]
+        group: ReplicaGroupId,
+        epoch: Epoch,
+        upto: u32,
+    },
     /// The writer has promised a higher epoch, or does not know the group: nothing is granted.
-    Fenced { lot: LotId, epoch: Epoch },
+    Fenced {
+        #[serde(rename = "lot")]
+        group: ReplicaGroupId,
+        epoch: Epoch,
+    },
     /// The writer, a backup, no longer hears the owner.
-    Poll { lot: LotId },
+    Poll {
+        #[serde(rename = "lot")]
+        group: ReplicaGroupId,
+    },
     /// What the writer, a backup, knows of a message.
-    State { lot: LotId, item: Item, known: Known },
+    State {
+        #[serde(rename = "lot")]
+        group: ReplicaGroupId,
+        item: Item,
+        known: MessageState,
+    },
     /// The writer wants to own the group at this epoch, and has sent everything it knows.
-    Prepare { lot: LotId, epoch: Epoch, heard: Micros },
+    Prepare {
+        #[serde(rename = "lot")]
+        group: ReplicaGroupId,
+        epoch: Epoch,
+        heard: Micros,
+    },
     /// The writer grants nothing below this epoch from now on, and has sent everything it knows.
-    Promise { lot: LotId, epoch: Epoch, memory: u64, heard: Micros },
+    Promise {
+        #[serde(rename = "lot")]
+        group: ReplicaGroupId,
+        epoch: Epoch,
+        memory: u64,
+        heard: Micros,
+    },
     /// The writer owns the group at this epoch, and with it these messages. Of any other message of the
     /// group, nobody but the receiver knows or will know.
-    Taken { lot: LotId, epoch: Epoch, items: Vec<Item> },
+    Taken {
+        #[serde(rename = "lot")]
+        group: ReplicaGroupId,
+        epoch: Epoch,
+        items: Vec<Item>,
+    },
     /// The writer owned the group at this epoch while the receiver's durable state had this id. May it
     /// continue without backups?
-    Ask { lot: LotId, epoch: Epoch, memory: u64 },
+    Ask {
+        #[serde(rename = "lot")]
+        group: ReplicaGroupId,
+        epoch: Epoch,
+        memory: u64,
+    },
     /// It may: the writer has closed the group, and nobody has owned it since or will.
-    Closed { lot: LotId, epoch: Epoch },
+    Closed {
+        #[serde(rename = "lot")]
+        group: ReplicaGroupId,
+        epoch: Epoch,
+    },
     /// The writer cannot tell.
-    Unknown { lot: LotId },
+    Unknown {
+        #[serde(rename = "lot")]
+        group: ReplicaGroupId,
+    },
     /// Nothing is owed in the group any more.
-    Drop { lot: LotId },
+    Drop {
+        #[serde(rename = "lot")]
+        group: ReplicaGroupId,
+    },
 }
 
 /// An event for the surrounding sender, to act on or to take note of.
 #[expect(missing_docs, reason = "the fields are explained by their types and by the variant's comment")]
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Said {
+pub enum GroupEvent {
     /// All updates of an owned group up to this one are granted.
-    Granted { lot: LotId, upto: u32 },
-    /// This sender owns the group at this epoch, and with it these messages. `sides` are the backups whose
+    Granted { group: ReplicaGroupId, upto: u32 },
+    /// This sender owns the group at this epoch, and with it these messages. `backups` are the backups whose
     /// grant it needs, with the ids of their durable state. Attempts of the first owner that no backup knows
     /// of began at `heard` of its clock or later.
-    Adopt { lot: LotId, epoch: Epoch, sides: Vec<(Rank, u64)>, heard: Micros, items: Vec<(Item, Known)> },
+    Adopt {
+        group: ReplicaGroupId,
+        epoch: Epoch,
+        backups: Vec<(Rank, u64)>,
+        last_heard: Micros,
+        items: Vec<(Item, MessageState)>,
+    },
     /// Another sender owns these messages: this one must do nothing more for them. The rest of the group is
     /// granted.
-    Lost { lot: LotId, items: BTreeSet<Item> },
+    Lost { group: ReplicaGroupId, items: BTreeSet<Item> },
     /// A message of an owned group is finished, as reported by an earlier owner.
-    Over(LotId, Item),
+    Finished(ReplicaGroupId, Item),
     /// Nobody else can come to own what is left in the group: it may be replicated again.
-    Alone(LotId),
+    SoleOwner(ReplicaGroupId),
 }
 
 /// State that outlives the process, persisted before any operation that depends on it is sent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Memory {
+pub struct DurableState {
     /// Drawn at random whenever promises may have been lost.
     pub id: u64,
     /// The highest promised epoch above 0, by group.
-    pub promises: BTreeMap<LotId, Epoch>,
+    pub promises: BTreeMap<ReplicaGroupId, Epoch>,
 }
 
-impl Memory {
+impl DurableState {
     /// Maximum disk usage in bytes, old and new file together.
-    pub const ROOM: u64 = 2 * 32 * MOST_PROMISES as u64;
+    pub const MAX_BYTES: u64 = 2 * 32 * MAX_PROMISES as u64;
 }
 
 /// A backup's role in its group.
@@ -227,7 +301,7 @@
     forgot: bool,
     /// The first owner's clock when it sent its latest operation that reached this backup or the other one.
     heard: Micros,
-    items: BTreeMap<Item, Known>,
+    items: BTreeMap<Item, MessageState>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -240,7 +314,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Owned {
     epoch: Epoch,
-    sides: Vec<Side>,
+    backups: Vec<Side>,
     /// Number of updates replicated.
     told: u32,
     /// Nobody else can own the group any more.
@@ -253,35 +327,35 @@
 
 /// All replica groups that a sender owns or backs up.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Lots {
+pub struct ReplicaGroups {
     own: Rank,
-    memory: Memory,
-    covers: BTreeMap<LotId, Cover>,
-    owned: BTreeMap<LotId, Owned>,
+    memory: DurableState,
+    covers: BTreeMap<ReplicaGroupId, Cover>,
+    owned: BTreeMap<ReplicaGroupId, Owned>,
     /// Peers whose lease has expired.
     lapsed: BTreeSet<Rank>,
     /// The capacity for further groups and records is exhausted.
     full: bool,
 }
 
-/// The effects of a call, in order. `ops` may be sent only after [`Lots::memory`], if it changed, is
+/// The effects of a call, in order. `ops` may be sent only after [`ReplicaGroups::durable_state`], if it changed, is
 /// persisted.
 #[derive(Debug, Default)]
 pub struct Out {
     /// Operations to send over the channels.
     pub ops: Vec<(Rank, Op)>,
     /// Events for the sender.
-    pub said: Vec<Said>,
-    /// [`Lots::memory`] has changed and must be persisted.
+    pub said: Vec<GroupEvent>,
+    /// [`ReplicaGroups::durable_state`] has changed and must be persisted.
     pub remember: bool,
 }
 
 impl Out {
     fn op(&mut self, to: Rank, op: Op) {
         // A grant is cumulative: it replaces the one before it.
-        if let Op::Granted { lot, epoch, .. } = &op
-            && let Some((last, Op::Granted { lot: l, epoch: e, .. })) = self.ops.last()
-            && (*last, l, e) == (to, lot, epoch)
+        if let Op::Granted { group, epoch, .. } = &op
+            && let Some((last, Op::Granted { group: l, epoch: e, .. })) = self.ops.last()
+            && (*last, l, e) == (to, group, epoch)
         {
             self.ops.pop();
         }
@@ -289,9 +363,9 @@
     }
 }
 
-impl Lots {
+impl ReplicaGroups {
     /// A sender without groups, with the durable state of its earlier processes.
-    pub fn new(own: Rank, memory: Memory) -> Self {
+    pub fn new(own: Rank, memory: DurableState) -> Self {
         Self {
             own,
             memory,
@@ -303,36 +377,37 @@
     }
 
     /// The state that must outlive the process.
-    pub fn memory(&self) -> &Memory {
+    pub fn durable_state(&self) -> &DurableState {
         &self.memory
     }
 
-    /// Opens a group. Messages can be added once it is [`Lots::ready`].
-    pub fn open(&mut self, lot: LotId, covers: [Rank; 2], out: &mut Out) {
+    /// Opens a group. Messages can be added once it is [`ReplicaGroups::ready`].
+    pub fn open(&mut self, group: ReplicaGroupId, covers: [Rank; 2], out: &mut Out) {
         let side = |rank| Side { rank, memory: None, fenced: false };
-        let sides = covers.map(side).to_vec();
+        let backups = covers.map(side).to_vec();
         let open = BTreeSet::new();
-        self.owned.insert(lot, Owned { epoch: 0, sides, told: 0, alone: false, open, sealed: false });
+        self.owned.insert(group, Owned { epoch: 0, backups, told: 0, alone: false, open, sealed: false });
         for rank in covers {
-            out.op(rank, Op::Open { lot, covers });
+            out.op(rank, Op::Open { group, covers });
         }
     }
 
     /// The backups and the ids of their durable state, once both have joined and while the group accepts
     /// messages.
-    pub fn ready(&self, lot: LotId) -> Option<Vec<(Rank, u64)>> {
-        let owned = self.owned.get(&lot).filter(|owned| !owned.sealed && !owned.alone)?;
-        let sides = owned.sides.iter().map(|side| Some((side.rank, side.memory.filter(|_| !side.fenced)?)));
-        sides.collect()
+    pub fn ready(&self, group: ReplicaGroupId) -> Option<Vec<(Rank, u64)>> {
+        let owned = self.owned.get(&group).filter(|owned| !owned.sealed && !owned.alone)?;
+        let backups =
+            owned.backups.iter().map(|side| Some((side.rank, side.memory.filter(|_| !side.fenced)?)));
+        backups.collect()
     }
 
     /// Restores a group that an earlier process of this sender owned at that epoch, with its messages that
     /// are still owed. Nothing in it is granted until a backup confirms that nobody else has owned it since.
     pub fn resume(
         &mut self,
-        lot: LotId,
+        group: ReplicaGroupId,
         epoch: Epoch,
-        sides: &[(Rank, u64)],
+        backups: &[(Rank, u64)],
         open: BTreeSet<Item>,
         out: &mut Out,
     ) {
@@ -342,101 +417,108 @@
             // The backup grants nothing to a process that it does not know.
             fenced: true,
         };
-        let alone = sides.is_empty();
-        let sides = sides.iter().map(side).collect();
-        self.owned.insert(lot, Owned { epoch, sides, told: 0, alone, open, sealed: true });
-        self.ask(lot, None, out);
+        let alone = backups.is_empty();
+        let backups = backups.iter().map(side).collect();
+        self.owned.insert(group, Owned { epoch, backups, told: 0, alone, open, sealed: true });
+        self.ask(group, None, out);
     }
 
     /// Closes the groups opened here that lost this backup, since the other one alone could not come to own
     /// them. Once closed, their messages can be replicated again.
     pub fn retire(&mut self, gone: Rank, out: &mut Out) {
         let of = |owned: &Owned| {
-            owned.epoch == 0 && !owned.alone && owned.sides.iter().any(|side| side.rank == gone)
+            owned.epoch == 0 && !owned.alone && owned.backups.iter().any(|side| side.rank == gone)
         };
-        for lot in self.owned.iter().filter(|(_, o)| of(o)).map(|(lot, _)| *lot).collect::<Vec<_>>() {
-            if let Some(owned) = self.owned.get_mut(&lot) {
+        for group in self.owned.iter().filter(|(_, o)| of(o)).map(|(group, _)| *group).collect::<Vec<_>>() {
+            if let Some(owned) = self.owned.get_mut(&group) {
                 owned.sealed = true;
             }
-            self.ask(lot, None, out);
-            self.end_if_over(lot, out);
+            self.ask(group, None, out);
+            self.end_if_over(group, out);
         }
     }
 
     /// Asks the backups again about groups that are fenced at all of them: may this sender continue alone?
     pub fn ask_again(&mut self, out: &mut Out) {
-        let stuck = self.owned.iter().filter(|(_, o)| !o.alone && o.sides.iter().all(|side| side.fenced));
-        for lot in stuck.map(|(lot, _)| *lot).collect::<Vec<_>>() {
-            self.ask(lot, None, out);
+        let stuck = self.owned.iter().filter(|(_, o)| !o.alone && o.backups.iter().all(|side| side.fenced));
+        for group in stuck.map(|(group, _)| *group).collect::<Vec<_>>() {
+            self.ask(group, None, out);
         }
     }
 
-    fn ask(&self, lot: LotId, only: Option<Rank>, out: &mut Out) {
-        let Some(owned) = self.owned.get(&lot).filter(|owned| !owned.alone) else { return };
-        for side in owned.sides.iter().filter(|side| only.is_none_or(|rank| rank == side.rank)) {
+    fn ask(&self, group: ReplicaGroupId, only: Option<Rank>, out: &mut Out) {
+        let Some(owned) = self.owned.get(&group).filter(|owned| !owned.alone) else { return };
+        for side in owned.backups.iter().filter(|side| only.is_none_or(|rank| rank == side.rank)) {
             if let Some(memory) = side.memory {
-                out.op(side.rank, Op::Ask { lot, epoch: owned.epoch, memory });
+                out.op(side.rank, Op::Ask { group, epoch: owned.epoch, memory });
             }
         }
     }
 
     /// Stops adding messages to an owned group; it ends when its last message is finished.
-    pub fn seal(&mut self, lot: LotId, out: &mut Out) {
-        if let Some(owned) = self.owned.get_mut(&lot) {
+    pub fn seal(&mut self, group: ReplicaGroupId, out: &mut Out) {
+        if let Some(owned) = self.owned.get_mut(&group) {
             owned.sealed = true;
-            self.end_if_over(lot, out);
+            self.end_if_over(group, out);
         }
     }
 
     /// Replicates an update of an owned group to its backups. Returns the update's number if it has to be
-    /// granted first, which [`Said::Granted`] reports; `None` if it needs no grant, or if the group is not
+    /// granted first, which [`GroupEvent::Granted`] reports; `None` if it needs no grant, or if the group is not
     /// owned.
-    pub fn tell(&mut self, (lot, item): (LotId, Item), fact: Fact, at: Micros, out: &mut Out) -> Option<u32> {
-        let owned = self.owned.get_mut(&lot)?;
+    pub fn replicate(
+        &mut self,
+        (group, item): (ReplicaGroupId, Item),
+        fact: Update,
+        at: Micros,
+        out: &mut Out,
+    ) -> Option<u32> {
+        let owned = self.owned.get_mut(&group)?;
         match fact {
-            Fact::Record(_) => drop(owned.open.insert(item)),
-            Fact::Over => drop(owned.open.remove(&item)),
+            Update::Record(_) => drop(owned.open.insert(item)),
+            Update::Over => drop(owned.open.remove(&item)),
             _ => {}
         }
-        let over = fact == Fact::Over;
+        let over = fact == Update::Over;
         owned.told += 1;
         let (n, epoch) = (owned.told, owned.epoch);
         if !owned.alone {
-            for side in owned.sides.iter().filter(|side| !side.fenced) {
-                out.op(side.rank, Op::Tell { lot, epoch, n, item, fact: fact.clone(), at });
+            for side in owned.backups.iter().filter(|side| !side.fenced) {
+                out.op(side.rank, Op::Tell { group, epoch, n, item, fact: fact.clone(), at });
             }
         }
         // A message that another sender took over is granted nothing, even if nobody else can own the rest.
-        let lost = matches!(fact, Fact::Intent(_)) && !owned.open.contains(&item);
+        let lost = matches!(fact, Update::Intent(_)) && !owned.open.contains(&item);
         let waits = (!owned.alone || lost).then_some(n);
-        if let Some(cover) = self.covers.get_mut(&lot) {
+        if let Some(cover) = self.covers.get_mut(&group) {
             cover.items.entry(item).or_default().learn(fact, at);
         }
         if over {
-            self.end_if_over(lot, out);
+            self.end_if_over(group, out);
         }
         waits
     }
 
     /// Confirms to the backups of the groups opened here that no update is missing up to `at`.
     pub fn still(&mut self, at: Micros, out: &mut Out) {
-        for (lot, owned) in self.owned.iter().filter(|(_, o)| o.epoch == 0 && !o.alone && !o.open.is_empty())
+        for (group, owned) in
+            self.owned.iter().filter(|(_, o)| o.epoch == 0 && !o.alone && !o.open.is_empty())
         {
-            for side in owned.sides.iter().filter(|side| !side.fenced) {
-                out.op(side.rank, Op::Still { lot: *lot, at });
+            for side in owned.backups.iter().filter(|side| !side.fenced) {
+                out.op(side.rank, Op::Still { group: *group, at });
             }
         }
     }
 
-    fn end_if_over(&mut self, lot: LotId, out: &mut Out) {
-        let Some(owned) = self.owned.get(&lot).filter(|owned| owned.sealed && owned.open.is_empty()) else {
+    fn end_if_over(&mut self, group: ReplicaGroupId, out: &mut Out) {
+        let Some(owned) = self.owned.get(&group).filter(|owned| owned.sealed && owned.open.is_empty()) else {
             return;
         };
-        for side in &owned.sides {
-            out.op(side.rank, Op::Drop { lot });
+        for side in &owned.backups {
+            out.op(side.rank, Op::Drop { group });
         }
         // The backup's state stays until it expires, so that a former owner that asks learns of the takeover.
-        self.owned.remove(&lot);
+        self.owned.remove(&group);
     }
 
     /// Records that a peer's lease has expired, and returns whether it was valid until now. May be called at
@@ -450,23 +532,24 @@
     }
 
     /// Takes over the groups that a peer's restart left without an owner. Called one lease after
-    /// [`Lots::reset`]: the new process knows nothing of the groups that it has not asked about by then.
+    /// [`ReplicaGroups::reset`]: the new process knows nothing of the groups that it has not asked about by then.
     pub fn orphaned(&mut self, peer: Rank, out: &mut Out) {
         self.without(peer, |cover| cover.forgot, out);
     }
 
     fn without(&mut self, peer: Rank, which: impl Fn(&Cover) -> bool, out: &mut Out) {
-        let lots: Vec<LotId> = self.covers.iter().filter(|(_, c)| which(c)).map(|(lot, _)| *lot).collect();
-        for lot in lots {
-            let Some(cover) = self.covers.get(&lot) else { continue };
+        let groups: Vec<ReplicaGroupId> =
+            self.covers.iter().filter(|(_, c)| which(c)).map(|(group, _)| *group).collect();
+        for group in groups {
+            let Some(cover) = self.covers.get(&group) else { continue };
             match cover.role {
-                Role::Covering if lot.owner == peer && cover.polled => self.stand(lot, out),
-                Role::Covering if lot.owner == peer => out.op(cover.other, Op::Poll { lot }),
+                Role::Covering if group.owner == peer && cover.polled => self.stand(group, out),
+                Role::Covering if group.owner == peer => out.op(cover.other, Op::Poll { group }),
                 // This backup has everything the other one knew, and the other one needs its grants, which
                 // end here.
                 Role::Promised if cover.other == peer => {
-                    self.promise_own(lot, out);
-                    self.adopt(lot, Vec::new(), out);
+                    self.promise_own(group, out);
+                    self.adopt(group, Vec::new(), out);
                 }
                 _ => {}
             }
@@ -479,18 +562,18 @@
     }
 
     /// Promises this backup's own next epoch, and returns it. Sends nothing.
-    fn promise_own(&mut self, lot: LotId, out: &mut Out) -> Epoch {
-        let Some(cover) = self.covers.get_mut(&lot) else { return 0 };
+    fn promise_own(&mut self, group: ReplicaGroupId, out: &mut Out) -> Epoch {
+        let Some(cover) = self.covers.get_mut(&group) else { return 0 };
         let next = cover.promised + 1;
         cover.promised = if (next % 2 == 0) == cover.second { next } else { next + 1 };
         let promised = cover.promised;
-        self.remember(lot, promised, out);
+        self.remember(group, promised, out);
         promised
     }
 
-    fn remember(&mut self, lot: LotId, epoch: Epoch, out: &mut Out) {
-        self.memory.promises.insert(lot, epoch);
-        if self.memory.promises.len() > MOST_PROMISES {
+    fn remember(&mut self, group: ReplicaGroupId, epoch: Epoch, out: &mut Out) {
+        self.memory.promises.insert(group, epoch);
+        if self.memory.promises.len() > MAX_PROMISES {
             // The new id makes questions about the evicted promise be answered with "unknown".
             self.memory.promises.pop_first();
             self.memory.id = self.memory.id.wrapping_add(1);
@@ -499,58 +582,58 @@
     }
 
     /// Starts a candidacy for ownership, or repeats it at a higher epoch.
-    fn stand(&mut self, lot: LotId, out: &mut Out) {
-        let epoch = self.promise_own(lot, out);
-        let Some(cover) = self.covers.get_mut(&lot) else { return };
+    fn stand(&mut self, group: ReplicaGroupId, out: &mut Out) {
+        let epoch = self.promise_own(group, out);
+        let Some(cover) = self.covers.get_mut(&group) else { return };
         cover.role = Role::Candidate;
         let to = cover.other;
         for (item, known) in &cover.items {
-            out.op(to, Op::State { lot, item: *item, known: known.clone() });
+            out.op(to, Op::State { group, item: *item, known: known.clone() });
         }
         let heard = cover.heard;
-        out.op(to, Op::Prepare { lot, epoch, heard });
+        out.op(to, Op::Prepare { group, epoch, heard });
     }
 
-    /// Makes this sender the group's owner. `sides` are the backups whose grant it needs.
-    fn adopt(&mut self, lot: LotId, sides: Vec<Side>, out: &mut Out) {
-        let Some(cover) = self.covers.get_mut(&lot) else { return };
+    /// Makes this sender the group's owner. `backups` are the backups whose grant it needs.
+    fn adopt(&mut self, group: ReplicaGroupId, backups: Vec<Side>, out: &mut Out) {
+        let Some(cover) = self.covers.get_mut(&group) else { return };
         cover.role = Role::Owner;
-        let (epoch, alone, heard) = (cover.promised, sides.is_empty(), cover.heard);
+        let (epoch, alone, heard) = (cover.promised, backups.is_empty(), cover.heard);
         let owed = cover.items.iter().filter(|(_, known)| !known.over && known.record.is_some());
-        let items: Vec<(Item, Known)> = owed.map(|(item, known)| (*item, known.clone())).collect();
+        let items: Vec<(Item, MessageState)> = owed.map(|(item, known)| (*item, known.clone())).collect();
         let open = items.iter().map(|(item, _)| *item).collect();
-        let told = sides.iter().filter_map(|side| Some((side.rank, side.memory?))).collect();
-        let owned = Owned { epoch, sides, told: 0, alone, open, sealed: true };
-        self.owned.insert(lot, owned);
-        let taken = Op::Taken { lot, epoch, items: cover.items.keys().copied().collect() };
+        let told = backups.iter().filter_map(|side| Some((side.rank, side.memory?))).collect();
+        let owned = Owned { epoch, backups, told: 0, alone, open, sealed: true };
+        self.owned.insert(group, owned);
+        let taken = Op::Taken { group, epoch, items: cover.items.keys().copied().collect() };
         let other = cover.other;
-        for owner in [Some(lot.owner), Some(other).filter(|_| alone)].into_iter().flatten() {
+        for owner in [Some(group.owner), Some(other).filter(|_| alone)].into_iter().flatten() {
             out.op(owner, taken.clone());
         }
-        out.said.push(Said::Adopt { lot, epoch, sides: told, heard, items });
+        out.said.push(GroupEvent::Adopt { group, epoch, backups: told, last_heard: heard, items });
         // The other backup is asked to close the group, so that its messages can be replicated again to two
         // live backups.
-        self.ask(lot, None, out);
-        self.end_if_over(lot, out);
+        self.ask(group, None, out);
+        self.end_if_over(group, out);
     }
 
     /// Handles a peer's restart: everything in flight between the two is lost, and the peer has no groups any
     /// more.
     pub fn reset(&mut self, peer: Rank, out: &mut Out) {
-        let owned: Vec<LotId> = self.owned.keys().copied().collect();
-        for lot in owned {
-            let Some(owned) = self.owned.get_mut(&lot) else { continue };
-            let Some(side) = owned.sides.iter_mut().find(|side| side.rank == peer) else { continue };
+        let owned: Vec<ReplicaGroupId> = self.owned.keys().copied().collect();
+        for group in owned {
+            let Some(owned) = self.owned.get_mut(&group) else { continue };
+            let Some(side) = owned.backups.iter_mut().find(|side| side.rank == peer) else { continue };
             side.fenced = true;
             owned.sealed = true;
-            self.ask(lot, Some(peer), out);
+            self.ask(group, Some(peer), out);
         }
         // The other backup has lost the group: nobody can come to own it any more.
         let hopeless = |c: &Cover| c.other == peer && matches!(c.role, Role::Covering | Role::Candidate);
         self.covers.retain(|_, cover| !hopeless(cover));
-        for (lot, cover) in &mut self.covers {
+        for (group, cover) in &mut self.covers {
             cover.forgot |= match cover.role {
-                Role::Covering => lot.owner == peer,
+                Role::Covering => group.owner == peer,
                 Role::Promised => cover.other == peer,
                 Role::Candidate | Role::Owner => false,
             };
@@ -558,9 +641,9 @@
     }
 
     /// Drops a group that this sender backs up: the deadlines of its messages have long passed.
-    pub fn expire(&mut self, lot: LotId) {
-        if !self.owned.contains_key(&lot) {
-            self.covers.remove(&lot);
+    pub fn expire(&mut self, group: ReplicaGroupId) {
+        if !self.owned.contains_key(&group) {
+            self.covers.remove(&group);
         }
     }
 
@@ -577,186 +660,190 @@
     }
 
     /// The groups that are backed up here, each with its number of owed messages.
-    pub fn covering(&self) -> impl Iterator<Item = (LotId, usize)> + '_ {
+    pub fn covering(&self) -> impl Iterator<Item = (ReplicaGroupId, usize)> + '_ {
         let owed = |cover: &Cover| cover.items.values().filter(|known| !known.over).count();
-        let others = self.covers.iter().filter(|(lot, _)| !self.owned.contains_key(lot));
-        others.map(move |(lot, cover)| (*lot, if cover.role == Role::Owner { 0 } else { owed(cover) }))
+        let others = self.covers.iter().filter(|(group, _)| !self.owned.contains_key(group));
+        others.map(move |(group, cover)| (*group, if cover.role == Role::Owner { 0 } else { owed(cover) }))
     }
 
     /// Peers whose leases matter here: backups of owned groups, and owners and other backups of backed-up
     /// groups.
     pub fn concerns(&self) -> BTreeSet<Rank> {
-        let owned = self.owned.values().flat_map(|owned| owned.sides.iter().map(|side| side.rank));
+        let owned = self.owned.values().flat_map(|owned| owned.backups.iter().map(|side| side.rank));
         let covers = self.covers.iter().filter(|(_, cover)| cover.role != Role::Owner);
-        let covered = covers.flat_map(|(lot, cover)| [lot.owner, cover.other]);
+        let covered = covers.flat_map(|(group, cover)| [group.owner, cover.other]);
         owned.chain(covered).filter(|rank| *rank != self.own).collect()
     }
 
     /// Whether this sender owns the group and nobody else can come to own it.
-    pub fn alone(&self, lot: LotId) -> bool {
-        self.owned.get(&lot).is_some_and(|owned| owned.alone)
+    pub fn is_sole_owner(&self, group: ReplicaGroupId) -> bool {
+        self.owned.get(&group).is_some_and(|owned| owned.alone)
     }
 
     /// Whether this sender owns the group, as far as it knows.
-    pub fn owns(&self, lot: LotId) -> bool {
-        self.owned.contains_key(&lot)
+    pub fn owns(&self, group: ReplicaGroupId) -> bool {
+        self.owned.contains_key(&group)
     }
 
     /// Handles an operation of another sender.
     pub fn receive(&mut self, from: Rank, op: Op, out: &mut Out) {
         match op {
-            Op::Open { lot, covers } => self.opened(from, lot, covers, out),
-            Op::Opened { lot, memory } => {
-                let owned = self.owned.get_mut(&lot).filter(|owned| owned.epoch == 0);
-                if let Some(side) = owned.and_then(|o| o.sides.iter_mut().find(|side| side.rank == from)) {
+            Op::Open { group, covers } => self.opened(from, group, covers, out),
+            Op::Opened { group, memory } => {
+                let owned = self.owned.get_mut(&group).filter(|owned| owned.epoch == 0);
+                if let Some(side) = owned.and_then(|o| o.backups.iter_mut().find(|side| side.rank == from)) {
                     side.memory = Some(memory);
                 }
             }
-            Op::Tell { lot, epoch, n, item, fact, at } => {
-                self.told(from, (lot, epoch, n), item, (fact, at), out);
+            Op::Tell { group, epoch, n, item, fact, at } => {
+                self.told(from, (group, epoch, n), item, (fact, at), out);
             }
-            Op::Still { lot, at } => {
-                let covering = |cover: &&mut Cover| cover.role == Role::Covering && lot.owner == from;
-                if let Some(cover) = self.covers.get_mut(&lot).filter(covering) {
+            Op::Still { group, at } => {
+                let covering = |cover: &&mut Cover| cover.role == Role::Covering && group.owner == from;
+                if let Some(cover) = self.covers.get_mut(&group).filter(covering) {
                     cover.heard = cover.heard.max(at);
                 }
             }
-            Op::Granted { lot, epoch, upto } => {
-                let Some(owned) = self.owned.get_mut(&lot).filter(|owned| owned.epoch == epoch) else {
+            Op::Granted { group, epoch, upto } => {
+                let Some(owned) = self.owned.get_mut(&group).filter(|owned| owned.epoch == epoch) else {
                     return;
                 };
-                if owned.sides.iter().any(|side| side.rank == from && !side.fenced) {
-                    out.said.push(Said::Granted { lot, upto });
+                if owned.backups.iter().any(|side| side.rank == from && !side.fenced) {
+                    out.said.push(GroupEvent::Granted { group, upto });
                 }
             }
-            Op::Fenced { lot, epoch } => {
-                let Some(owned) = self.owned.get_mut(&lot).filter(|owned| owned.epoch == epoch) else {
+            Op::Fenced { group, epoch } => {
+                let Some(owned) = self.owned.get_mut(&group).filter(|owned| owned.epoch == epoch) else {
                     return;
                 };
-                if let Some(side) = owned.sides.iter_mut().find(|side| side.rank == from) {
+                if let Some(side) = owned.backups.iter_mut().find(|side| side.rank == from) {
                     side.fenced = true;
                 }
                 owned.sealed = true;
             }
-            Op::Poll { lot } => {
-                let Some(cover) = self.covers.get_mut(&lot).filter(|cover| cover.other == from) else {
+            Op::Poll { group } => {
+                let Some(cover) = self.covers.get_mut(&group).filter(|cover| cover.other == from) else {
                     return;
                 };
                 cover.polled = true;
-                let lapsed = self.lapsed.contains(&lot.owner) || cover.forgot;
+                let lapsed = self.lapsed.contains(&group.owner) || cover.forgot;
                 if cover.role == Role::Candidate || cover.role == Role::Covering && lapsed {
-                    self.stand(lot, out);
+                    self.stand(group, out);
                 }
             }
-            Op::State { lot, item, known } => {
-                if let Some(cover) = self.covers.get_mut(&lot).filter(|cover| cover.other == from) {
+            Op::State { group, item, known } => {
+                if let Some(cover) = self.covers.get_mut(&group).filter(|cover| cover.other == from) {
                     cover.items.entry(item).or_default().join(known);
                 }
             }
-            Op::Prepare { lot, epoch, heard } => self.prepared(from, lot, epoch, heard, out),
-            Op::Promise { lot, epoch, memory, heard } => {
+            Op::Prepare { group, epoch, heard } => self.prepared(from, group, epoch, heard, out),
+            Op::Promise { group, epoch, memory, heard } => {
                 let won = |cover: &&mut Cover| {
                     cover.other == from && cover.role == Role::Candidate && cover.promised == epoch
                 };
-                if let Some(cover) = self.covers.get_mut(&lot).filter(won) {
+                if let Some(cover) = self.covers.get_mut(&group).filter(won) {
                     cover.heard = cover.heard.max(heard);
                     let side = Side { rank: from, memory: Some(memory), fenced: false };
-                    self.adopt(lot, vec![side], out);
+                    self.adopt(group, vec![side], out);
                 }
             }
-            Op::Taken { lot, epoch, items } => {
-                let Some(owned) = self.owned.get_mut(&lot).filter(|o| o.epoch < epoch && !o.alone) else {
+            Op::Taken { group, epoch, items } => {
+                let Some(owned) = self.owned.get_mut(&group).filter(|o| o.epoch < epoch && !o.alone) else {
                     return;
                 };
                 (owned.alone, owned.sealed) = (true, true);
                 let items: BTreeSet<Item> =
                     items.into_iter().filter(|item| owned.open.remove(item)).collect();
                 let upto = owned.told;
-                out.said.push(Said::Lost { lot, items });
-                out.said.push(Said::Granted { lot, upto });
-                out.said.push(Said::Alone(lot));
-                self.end_if_over(lot, out);
+                out.said.push(GroupEvent::Lost { group, items });
+                out.said.push(GroupEvent::Granted { group, upto });
+                out.said.push(GroupEvent::SoleOwner(group));
+                self.end_if_over(group, out);
             }
-            Op::Ask { lot, epoch, memory } => self.asked(from, lot, epoch, memory, out),
-            Op::Closed { lot, epoch } => {
-                let Some(owned) = self.owned.get_mut(&lot).filter(|owned| owned.epoch == epoch) else {
+            Op::Ask { group, epoch, memory } => self.asked(from, group, epoch, memory, out),
+            Op::Closed { group, epoch } => {
+                let Some(owned) = self.owned.get_mut(&group).filter(|owned| owned.epoch == epoch) else {
                     return;
                 };
                 owned.alone = true;
-                out.said.push(Said::Granted { lot, upto: owned.told });
-                out.said.push(Said::Alone(lot));
+                out.said.push(GroupEvent::Granted { group, upto: owned.told });
+                out.said.push(GroupEvent::SoleOwner(group));
             }
             Op::Unknown { .. } => {}
-            Op::Drop { lot } => {
+            Op::Drop { group } => {
                 let owner = |cover: &Cover| match cover.role {
-                    Role::Covering => from == lot.owner,
+                    Role::Covering => from == group.owner,
                     Role::Promised => from == cover.other,
                     _ => false,
                 };
-                if self.covers.get(&lot).is_some_and(owner) {
-                    self.covers.remove(&lot);
+                if self.covers.get(&group).is_some_and(owner) {
+                    self.covers.remove(&group);
                 }
             }
         }
     }
 
-    fn opened(&mut self, from: Rank, lot: LotId, covers: [Rank; 2], out: &mut Out) {
+    fn opened(&mut self, from: Rank, group: ReplicaGroupId, covers: [Rank; 2], out: &mut Out) {
         let second = covers[1] == self.own;
         let other = covers[usize::from(!second)];
-        let sound = lot.owner == from && covers.contains(&self.own) && other != self.own && other != from;
+        let sound = group.owner == from && covers.contains(&self.own) && other != self.own && other != from;
         // A stored promise shows that this backup has been in the group before.
-        if !sound || self.full || self.covers.contains_key(&lot) || self.memory.promises.contains_key(&lot) {
+        if !sound
+            || self.full
+            || self.covers.contains_key(&group)
+            || self.memory.promises.contains_key(&group)
+        {
             return;
         }
         let (role, items) = (Role::Covering, BTreeMap::new());
         self.covers.insert(
-            lot,
+            group,
             Cover { other, second, promised: 0, role, polled: false, forgot: false, heard: 0, items },
         );
-        out.op(from, Op::Opened { lot, memory: self.memory.id });
+        out.op(from, Op::Opened { group, memory: self.memory.id });
     }
 
     fn told(
         &mut self,
         from: Rank,
-        (lot, epoch, n): (LotId, Epoch, u32),
+        (group, epoch, n): (ReplicaGroupId, Epoch, u32),
         item: Item,
-        (fact, at): (Fact, Micros),
+        (fact, at): (Update, Micros),
         out: &mut Out,
     ) {
-        let Some(cover) = self.covers.get_mut(&lot) else {
-            out.op(from, Op::Fenced { lot, epoch });
+        let Some(cover) = self.covers.get_mut(&group) else {
+            out.op(from, Op::Fenced { group, epoch });
             return;
         };
         let owner = match cover.role {
-            Role::Covering => from == lot.owner && epoch == 0,
+            Role::Covering => from == group.owner && epoch == 0,
             Role::Promised => from == cover.other && epoch == cover.promised,
             _ => false,
         };
-        let more = !self.full && (cover.items.len() as u32) < MOST_ITEMS;
+        let more = !self.full && (cover.items.len() as u32) < MAX_ITEMS;
         if owner && (cover.items.contains_key(&item) || more) {
             cover.items.entry(item).or_default().learn(fact, at);
             if cover.role == Role::Covering {
                 cover.heard = cover.heard.max(at);
             }
-            out.op(from, Op::Granted { lot, epoch, upto: n });
+            out.op(from, Op::Granted { group, epoch, upto: n });
             return;
         }
-        out.op(from, Op::Fenced { lot, epoch });
+        out.op(from, Op::Fenced { group, epoch });
         // These two updates hold no matter who owns the group.
-        let knows = from == lot.owner || from == cover.other;
-        if knows && matches!(fact, Fact::NeverRan(_) | Fact::Over) && cover.items.contains_key(&item) {
-            let over = fact == Fact::Over;
+        let knows = from == group.owner || from == cover.other;
+        if knows && matches!(fact, Update::NeverRan(_) | Update::Over) && cover.items.contains_key(&item) {
+            let over = fact == Update::Over;
             cover.items.entry(item).or_default().learn(fact, at);
             if over && cover.role == Role::Owner {
-                out.said.push(Said::Over(lot, item));
+                out.said.push(GroupEvent::Finished(group, item));
             }
         }
     }
 
-    fn prepared(&mut self, from: Rank, lot: LotId, epoch: Epoch, heard: Micros, out: &mut Out) {
-        let lapsed = self.lapsed.contains(&lot.owner);
-        let Some(cover) = self.covers.get_mut(&lot).filter(|cover| cover.other == from) else { return };
+    fn prepared(&mut self, from: Rank, group: ReplicaGroupId, epoch: Epoch, heard: Micros, out: &mut Out) {
+        let lapsed = self.lapsed.contains(&group.owner);
+        let Some(cover) = self.covers.get_mut(&group).filter(|cover| cover.other == from) else { return };
         let hears_owner = cover.role == Role::Covering && !lapsed && !cover.forgot;
         if epoch <= cover.promised || hears_owner || cover.role == Role::Owner {
             return;
@@ -766,38 +853,38 @@
         cover.heard = cover.heard.max(heard);
         let heard = cover.heard;
         for (item, known) in &cover.items {
-            out.op(from, Op::State { lot, item: *item, known: known.clone() });
+            out.op(from, Op::State { group, item: *item, known: known.clone() });
         }
-        out.op(from, Op::Promise { lot, epoch, memory: self.memory.id, heard });
-        self.remember(lot, epoch, out);
+        out.op(from, Op::Promise { group, epoch, memory: self.memory.id, heard });
+        self.remember(group, epoch, out);
     }
 
-    fn asked(&mut self, from: Rank, lot: LotId, epoch: Epoch, memory: u64, out: &mut Out) {
+    fn asked(&mut self, from: Rank, group: ReplicaGroupId, epoch: Epoch, memory: u64, out: &mut Out) {
         if memory != self.memory.id {
-            out.op(from, Op::Unknown { lot });
+            out.op(from, Op::Unknown { group });
             return;
         }
-        let Some(cover) = self.covers.get(&lot) else {
+        let Some(cover) = self.covers.get(&group) else {
             // Only promises are left of the group: without a higher one, nobody can have come to own it
             // through this backup.
-            let promised = self.memory.promises.get(&lot).copied().unwrap_or(0);
-            let op = if promised == epoch { Op::Closed { lot, epoch } } else { Op::Unknown { lot } };
+            let promised = self.memory.promises.get(&group).copied().unwrap_or(0);
+            let op = if promised == epoch { Op::Closed { group, epoch } } else { Op::Unknown { group } };
             out.op(from, op);
             return;
         };
         let owner = match cover.role {
-            Role::Covering => from == lot.owner,
+            Role::Covering => from == group.owner,
             Role::Promised => from == cover.other,
             Role::Candidate => false,
             Role::Owner => {
                 let items = cover.items.keys().copied().collect();
-                out.op(from, Op::Taken { lot, epoch: cover.promised, items });
+                out.op(from, Op::Taken { group, epoch: cover.promised, items });
                 return;
             }
         };
         if owner && cover.promised == epoch {
-            self.covers.remove(&lot);
-            out.op(from, Op::Closed { lot, epoch });
+            self.covers.remove(&group);
+            out.op(from, Op::Closed { group, epoch });
         }
     }
 }
--- a/src/takeover/mod.rs
+++ b/src/takeover/mod.rs
@@ -1,12 +1,12 @@
 //! Takeover: accepted messages survive the loss of their sender. Each replicated message is known to two
-//! other senders, its backups, and one of them takes it over once its owner's lease has expired. [`lots`]
+//! other senders, its backups, and one of them takes it over once its owner's lease has expired. [`groups`]
 //! decides ownership without looking at a clock; [`crate::channel`] carries the operations between senders;
 //! this module has the leases, the choice of backups, and the limits.
 //!
 //! Sans I/O: time, randomness and datagrams are passed in. Datagrams may be sent only after changed durable
 //! state is persisted.
 
-pub mod lots;
+pub mod groups;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +14,10 @@
 
 use crate::channel::{self, Channel};
 use crate::interface::Micros;
-use lots::{Fact, Item, Known, LotId, Lots, MOST_ITEMS, Memory, Op, Out, Rank, Said};
+use groups::{
+    DurableState, GroupEvent, Item, MAX_ITEMS, MessageState, Op, Out, Rank, ReplicaGroupId, ReplicaGroups,
+    Update,
+};
 
 /// Range of the lease, in milliseconds.
 pub const LEASES_MS: (u32, u32) = (200, 30_000);
@@ -23,15 +26,15 @@
 /// Range of the memory for other senders' messages, in MB.
 pub const ROOM_MB: (u32, u32) = (1, 64);
 /// A message with more time left is not replicated: backups keep nothing for longer than [`KEPT`].
-pub const LONGEST: Micros = 60_000_000;
+pub const MAX_MESSAGE_TIME: Micros = 60_000_000;
 /// Time after which a backup drops a group that nobody came to own.
-const KEPT: Micros = 2 * LONGEST;
+const KEPT: Micros = 2 * MAX_MESSAGE_TIME;
 /// Time for which a group accepts new messages.
 const TAKES_FOR: Micros = 5_000_000;
 /// How long before the end of [`TAKES_FOR`] the next group is opened.
 const OPENED_BEFORE: Micros = 1_000_000;
 /// Maximum number of groups backed up here.
-const MOST_COVERED: usize = 2_048;
+const MAX_COVERED: usize = 2_048;
 /// Time for which a sender that failed to join a group as backup is not chosen again.
 const LEFT_OUT: Micros = 5_000_000;
 
@@ -68,34 +71,37 @@
 
 /// How suitable another sender is as a backup.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fit {
+pub enum BackupFitness {
     /// On another host, in the same zone.
     Near,
     /// On another host.
     Far,
     /// On this host, or considered gone.
-    No,
+    Unfit,
 }
 
 /// Where a message is replicated. The journal has it before the backups do.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Tag {
+pub struct ReplicaTag {
     /// The message's group.
-    pub lot: LotId,
+    #[serde(rename = "lot")]
+    pub group: ReplicaGroupId,
     /// The owner's epoch.
-    pub epoch: lots::Epoch,
+    pub epoch: groups::Epoch,
     /// The message's index in the group.
     pub item: Item,
     /// The backups whose grant is needed, with the ids of their durable state, which change if they lose it.
-    pub sides: Vec<(Rank, u64)>,
+    #[serde(rename = "sides")]
+    pub backups: Vec<(Rank, u64)>,
 }
 
 /// Why a message is not replicated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Uncovered {
+pub enum NotReplicated {
     /// This sender has no two backups at present.
-    NoCovers,
+    #[serde(rename = "no_covers")]
+    NoBackups,
     /// The body is too long.
     Body,
     /// The deadline is too far away.
@@ -108,7 +114,7 @@
     /// Messages replicated to backups.
     pub covered: u64,
     /// Messages not replicated, by reason.
-    pub uncovered: BTreeMap<Uncovered, u64>,
+    pub uncovered: BTreeMap<NotReplicated, u64>,
     /// Datagrams sent, and their bytes.
     pub sent: (u64, u64),
     /// Datagrams that were invalid, or not of the current channel.
@@ -137,7 +143,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Current {
-    lot: LotId,
+    group: ReplicaGroupId,
     covers: [Rank; 2],
     since: Micros,
     next: Item,
@@ -151,20 +157,20 @@
     tier: u32,
     config: Config,
     rng: fastrand::Rng,
-    lots: Lots,
+    groups: ReplicaGroups,
     peers: BTreeMap<Rank, Peer>,
-    fits: Vec<Fit>,
+    fits: Vec<BackupFitness>,
     /// The group that accepts new messages.
     current: Option<Current>,
     /// The group that will accept them next: its backups are still joining.
     next: Option<Current>,
     /// When each group that is backed up here was first seen.
-    seen: BTreeMap<LotId, Micros>,
+    seen: BTreeMap<ReplicaGroupId, Micros>,
     leaving: bool,
     ticked: Micros,
     asked: Micros,
     stilled: Micros,
-    said: Vec<Said>,
+    said: Vec<GroupEvent>,
     remember: bool,
     /// Counters for operators.
     pub counts: Counts,
@@ -173,16 +179,23 @@
 impl Takeover {
     /// The component of the sender with rank `own` among `size`, with the durable state of its earlier
     /// processes.
-    pub fn new(config: &Config, own: Rank, size: usize, seed: u64, memory: Memory, now: Micros) -> Self {
+    pub fn new(
+        config: &Config,
+        own: Rank,
+        size: usize,
+        seed: u64,
+        memory: DurableState,
+        now: Micros,
+    ) -> Self {
         Self {
             own,
             size,
             tier: crc32fast::hash(config.tier.as_bytes()) ^ size as u32,
             config: config.clone(),
             rng: fastrand::Rng::with_seed(seed),
-            lots: Lots::new(own, memory),
+            groups: ReplicaGroups::new(own, memory),
             peers: BTreeMap::new(),
-            fits: vec![Fit::Far; size],
+            fits: vec![BackupFitness::Far; size],
             current: None,
             next: None,
             seen: BTreeMap::new(),
@@ -203,22 +216,22 @@
 
     /// The durable state, if it has changed since the last call; it must be persisted before anything is
     /// sent.
-    pub fn to_remember(&mut self) -> Option<&Memory> {
-        std::mem::take(&mut self.remember).then(|| self.lots.memory())
+    pub fn take_unsaved_state(&mut self) -> Option<&DurableState> {
+        std::mem::take(&mut self.remember).then(|| self.groups.durable_state())
     }
 
     /// The state that must outlive the process.
-    pub fn memory(&self) -> &Memory {
-        self.lots.memory()
+    pub fn durable_state(&self) -> &DurableState {
+        self.groups.durable_state()
     }
 
     /// Takes the pending events, for the sender to handle.
-    pub fn said(&mut self) -> Vec<Said> {
+    pub fn take_events(&mut self) -> Vec<GroupEvent> {
         std::mem::take(&mut self.said)
     }
 
     /// Sets how suitable the other senders are as backups, by rank.
-    pub fn set_fits(&mut self, fits: Vec<Fit>) {
+    pub fn set_backup_fitness(&mut self, fits: Vec<BackupFitness>) {
         self.fits = fits;
     }
 
@@ -226,8 +239,8 @@
     pub fn set_leaving(&mut self, now: Micros, leaving: bool) {
         self.leaving = leaving;
         if leaving {
-            for lot in [self.current.take(), self.next.take()].into_iter().flatten() {
-                self.with(now, |lots, out| lots.seal(lot.lot, out));
+            for group in [self.current.take(), self.next.take()].into_iter().flatten() {
+                self.with(now, |groups, out| groups.seal(group.group, out));
             }
         }
     }
@@ -243,9 +256,9 @@
     }
 
     /// Calls `act` on the groups, and passes on the effects.
-    fn with<T>(&mut self, now: Micros, act: impl FnOnce(&mut Lots, &mut Out) -> T) -> T {
+    fn with<T>(&mut self, now: Micros, act: impl FnOnce(&mut ReplicaGroups, &mut Out) -> T) -> T {
         let mut out = Out::default();
-        let done = act(&mut self.lots, &mut out);
+        let done = act(&mut self.groups, &mut out);
         loop {
             let broken = self.pass_on(now, out);
             if broken.is_empty() {
@@ -258,7 +271,7 @@
                 self.counts.broken += 1;
                 let (number, tier) = (self.rng.u64(1..), self.tier);
                 self.peer(peer, now).channel = Channel::new(channel::TAKEOVER, number, tier);
-                self.lots.reset(peer, &mut out);
+                self.groups.reset(peer, &mut out);
             }
         }
     }
@@ -268,12 +281,12 @@
         self.remember |= out.remember;
         for said in out.said {
             match &said {
-                Said::Adopt { items, .. } => {
+                GroupEvent::Adopt { items, .. } => {
                     self.counts.lots_taken += 1;
                     self.counts.adopted += items.len() as u64;
                 }
-                Said::Lost { items, .. } => self.counts.lost += items.len() as u64,
-                Said::Granted { .. } | Said::Over(..) | Said::Alone(_) => {}
+                GroupEvent::Lost { items, .. } => self.counts.lost += items.len() as u64,
+                GroupEvent::Granted { .. } | GroupEvent::Finished(..) | GroupEvent::SoleOwner(_) => {}
             }
             self.said.push(said);
         }
@@ -290,11 +303,11 @@
         broken
     }
 
-    /// Adds a message to the current group, if there is one. Nothing is sent before [`Takeover::tell`].
+    /// Adds a message to the current group, if there is one. Nothing is sent before [`Takeover::replicate`].
     ///
     /// # Errors
     /// Returns why the message cannot be replicated.
-    pub fn place(&mut self, body: usize, left: Micros) -> Result<Tag, Uncovered> {
+    pub fn place(&mut self, body: usize, left: Micros) -> Result<ReplicaTag, NotReplicated> {
         let placed = self.placed(body, left);
         match &placed {
             Ok(_) => self.counts.covered += 1,
@@ -304,64 +317,64 @@
     }
 
     /// Like [`Takeover::place`], for a message that was replicated before and is already counted.
-    pub fn place_again(&mut self, body: usize, left: Micros) -> Option<Tag> {
+    pub fn place_rereplicated(&mut self, body: usize, left: Micros) -> Option<ReplicaTag> {
         self.placed(body, left).ok()
     }
 
-    fn placed(&mut self, body: usize, left: Micros) -> Result<Tag, Uncovered> {
+    fn placed(&mut self, body: usize, left: Micros) -> Result<ReplicaTag, NotReplicated> {
         if body > self.config.max_body as usize {
-            return Err(Uncovered::Body);
+            return Err(NotReplicated::Body);
         }
-        if left > LONGEST {
-            return Err(Uncovered::Time);
+        if left > MAX_MESSAGE_TIME {
+            return Err(NotReplicated::Time);
         }
-        let current = self.current.as_mut().filter(|c| c.next < MOST_ITEMS).ok_or(Uncovered::NoCovers)?;
-        let sides = self.lots.ready(current.lot).ok_or(Uncovered::NoCovers)?;
+        let current = self.current.as_mut().filter(|c| c.next < MAX_ITEMS).ok_or(NotReplicated::NoBackups)?;
+        let backups = self.groups.ready(current.group).ok_or(NotReplicated::NoBackups)?;
         let item = current.next;
         current.next += 1;
-        Ok(Tag { lot: current.lot, epoch: 0, item, sides })
+        Ok(ReplicaTag { group: current.group, epoch: 0, item, backups })
     }
 
     /// Replicates everything known of a message whose previous group nobody else can come to own. The record
     /// is sent last, since nobody adopts a message without one.
-    pub fn tell_all(&mut self, now: Micros, lot: LotId, item: Item, known: &Known) {
+    pub fn replicate_all(&mut self, now: Micros, group: ReplicaGroupId, item: Item, known: &MessageState) {
         for (attempt, intended) in &known.attempts {
-            let never = intended.never_ran.then_some(Fact::NeverRan(*attempt));
-            for fact in std::iter::once(Fact::Intent(*attempt)).chain(never) {
-                self.with(now, |lots, out| lots.tell((lot, item), fact, intended.at, out));
+            let never = intended.never_ran.then_some(Update::NeverRan(*attempt));
+            for fact in std::iter::once(Update::Intent(*attempt)).chain(never) {
+                self.with(now, |groups, out| groups.replicate((group, item), fact, intended.at, out));
             }
         }
         let last =
-            known.given_up.map(Fact::GivenUp).into_iter().chain(known.record.clone().map(Fact::Record));
+            known.given_up.map(Update::GivenUp).into_iter().chain(known.record.clone().map(Update::Record));
         for fact in last {
-            self.tell(now, lot, item, fact);
+            self.replicate(now, group, item, fact);
         }
     }
 
-    /// Replicates an update of an owned message. Returns its number if a grant is needed; see [`Lots::tell`].
-    pub fn tell(&mut self, now: Micros, lot: LotId, item: Item, fact: Fact) -> Option<u32> {
-        self.with(now, |lots, out| lots.tell((lot, item), fact, now, out))
+    /// Replicates an update of an owned message. Returns its number if a grant is needed; see [`ReplicaGroups::replicate`].
+    pub fn replicate(&mut self, now: Micros, group: ReplicaGroupId, item: Item, fact: Update) -> Option<u32> {
+        self.with(now, |groups, out| groups.replicate((group, item), fact, now, out))
     }
 
     /// Whether this sender owns the group, as far as it knows.
-    pub fn owns(&self, lot: LotId) -> bool {
-        self.lots.owns(lot)
+    pub fn owns(&self, group: ReplicaGroupId) -> bool {
+        self.groups.owns(group)
     }
 
     /// Whether this sender owns the group and nobody else can come to own it.
-    pub fn alone(&self, lot: LotId) -> bool {
-        self.lots.alone(lot)
+    pub fn is_sole_owner(&self, group: ReplicaGroupId) -> bool {
+        self.groups.is_sole_owner(group)
     }
 
     /// Restores the groups that an earlier process of this sender owned, from its journal's tags.
-    pub fn resume(&mut self, now: Micros, tags: impl Iterator<Item = Tag>) {
-        let mut lots: BTreeMap<LotId, (Tag, BTreeSet<Item>)> = BTreeMap::new();
+    pub fn resume(&mut self, now: Micros, tags: impl Iterator<Item = ReplicaTag>) {
+        let mut groups: BTreeMap<ReplicaGroupId, (ReplicaTag, BTreeSet<Item>)> = BTreeMap::new();
         for tag in tags {
             let item = tag.item;
-            lots.entry(tag.lot).or_insert_with(|| (tag, BTreeSet::new())).1.insert(item);
+            groups.entry(tag.group).or_insert_with(|| (tag, BTreeSet::new())).1.insert(item);
         }
-        for (lot, (tag, open)) in lots {
-            self.with(now, |lots, out| lots.resume(lot, tag.epoch, &tag.sides, open, out));
+        for (group, (tag, open)) in groups {
+            self.with(now, |groups, out| groups.resume(group, tag.epoch, &tag.backups, open, out));
         }
     }
 
@@ -383,14 +396,14 @@
         }
         self.counts.dropped += u64::from(came.dropped);
         if came.heard {
-            self.lots.heard(from);
+            self.groups.heard(from);
         }
         if came.anew {
-            self.with(now, |lots, out| lots.reset(from, out));
+            self.with(now, |groups, out| groups.reset(from, out));
         }
         for message in came.messages {
             match postcard::from_bytes::<Op>(&message) {
-                Ok(op) => self.with(now, |lots, out| lots.receive(from, op, out)),
+                Ok(op) => self.with(now, |groups, out| groups.receive(from, op, out)),
                 Err(_) => self.counts.dropped += 1,
             }
         }
@@ -399,17 +412,17 @@
     /// When it next needs a tick or a flush.
     pub fn due(&self) -> Micros {
         let channels = self.peers.values().filter_map(|peer| peer.channel.due());
-        channels.min().unwrap_or(Micros::MAX).min(self.ticks_at())
+        channels.min().unwrap_or(Micros::MAX).min(self.next_tick_at())
     }
 
     /// When leases and backups are checked next.
-    pub fn ticks_at(&self) -> Micros {
+    pub fn next_tick_at(&self) -> Micros {
         self.ticked + self.lease() / 10
     }
 
     /// Checks leases and backups, if that is due.
     pub fn tick(&mut self, now: Micros) {
-        if now < self.ticks_at() {
+        if now < self.next_tick_at() {
             return;
         }
         if now > self.ticked + self.lease() / 2 {
@@ -420,11 +433,11 @@
         self.leases(now);
         if now >= self.asked + self.lease() {
             self.asked = now;
-            self.with(now, |lots, out| lots.ask_again(out));
+            self.with(now, |groups, out| groups.ask_again(out));
         }
         if now >= self.stilled + self.lease() / 2 {
             self.stilled = now;
-            self.with(now, |lots, out| lots.still(now, out));
+            self.with(now, |groups, out| groups.still(now, out));
         }
         self.expire(now);
         self.choose(now);
@@ -432,7 +445,7 @@
 
     fn leases(&mut self, now: Micros) {
         let lease = self.lease();
-        for rank in self.lots.concerns() {
+        for rank in self.groups.concerns() {
             let challenge = self.rng.u32(1..);
             let peer = self.peer(rank, now);
             peer.channel.greet(challenge);
@@ -442,54 +455,54 @@
             let silent = now >= peer.heard + lease;
             if peer.orphans_at.is_some_and(|at| now >= at) {
                 peer.orphans_at = None;
-                self.with(now, |lots, out| lots.orphaned(rank, out));
+                self.with(now, |groups, out| groups.orphaned(rank, out));
             }
             if silent {
-                let new = self.with(now, |lots, out| lots.lapse(rank, out));
+                let new = self.with(now, |groups, out| groups.lapse(rank, out));
                 if new {
                     self.counts.lapsed += 1;
-                    self.with(now, |lots, out| lots.retire(rank, out));
+                    self.with(now, |groups, out| groups.retire(rank, out));
                 }
             }
         }
     }
 
     fn expire(&mut self, now: Micros) {
-        let covering: BTreeSet<LotId> = self.lots.covering().map(|(lot, _)| lot).collect();
-        self.seen.retain(|lot, _| covering.contains(lot));
-        for lot in covering.iter().copied() {
-            let seen = *self.seen.entry(lot).or_insert(now);
+        let covering: BTreeSet<ReplicaGroupId> = self.groups.covering().map(|(group, _)| group).collect();
+        self.seen.retain(|group, _| covering.contains(group));
+        for group in covering.iter().copied() {
+            let seen = *self.seen.entry(group).or_insert(now);
             if now > seen + KEPT {
-                self.lots.expire(lot);
+                self.groups.expire(group);
             }
         }
-        let full = self.lots.bytes() > self.config.room_mb as usize * 1_000_000;
-        self.lots.set_full(full || covering.len() > MOST_COVERED);
+        let full = self.groups.bytes() > self.config.room_mb as usize * 1_000_000;
+        self.groups.set_full(full || covering.len() > MAX_COVERED);
     }
 
     /// Keeps a group open whose backups are reachable, and opens the next one in time.
     fn choose(&mut self, now: Micros) {
         let lease = self.lease();
-        let well = |peers: &BTreeMap<Rank, Peer>, lots: &Lots, current: &Current| {
+        let well = |peers: &BTreeMap<Rank, Peer>, groups: &ReplicaGroups, current: &Current| {
             let heard = |rank: &Rank| peers.get(rank).is_some_and(|peer| now < peer.heard + lease / 2);
-            current.covers.iter().all(heard) && lots.ready(current.lot).is_some()
+            current.covers.iter().all(heard) && groups.ready(current.group).is_some()
         };
         if let Some(current) = self.current
-            && (!well(&self.peers, &self.lots, &current) || now > current.since + TAKES_FOR)
+            && (!well(&self.peers, &self.groups, &current) || now > current.since + TAKES_FOR)
         {
             self.current = None;
-            self.with(now, |lots, out| lots.seal(current.lot, out));
+            self.with(now, |groups, out| groups.seal(current.group, out));
         }
         if let Some(next) = self.next {
             let fresh = self
                 .current
-                .is_some_and(|c| now < c.since + TAKES_FOR - OPENED_BEFORE && c.next < MOST_ITEMS / 4 * 3);
-            if self.lots.ready(next.lot).is_some() && !fresh {
+                .is_some_and(|c| now < c.since + TAKES_FOR - OPENED_BEFORE && c.next < MAX_ITEMS / 4 * 3);
+            if self.groups.ready(next.group).is_some() && !fresh {
                 if let Some(before) = self.current.replace(Current { since: now, ..next }) {
-                    self.with(now, |lots, out| lots.seal(before.lot, out));
+                    self.with(now, |groups, out| groups.seal(before.group, out));
                 }
                 self.next = None;
-            } else if now > next.since + lease && self.lots.ready(next.lot).is_none() {
+            } else if now > next.since + lease && self.groups.ready(next.group).is_none() {
                 for rank in next.covers {
                     let peer = self.peer(rank, now);
                     if !peer.channel.is_up() || now >= peer.heard + lease / 2 {
@@ -497,7 +510,7 @@
                     }
                 }
                 self.next = None;
-                self.with(now, |lots, out| lots.seal(next.lot, out));
+                self.with(now, |groups, out| groups.seal(next.group, out));
             }
         }
         if self.next.is_none() && !self.leaving {
@@ -506,17 +519,19 @@
     }
 
     fn open(&mut self, now: Micros) {
-        let lot = LotId { owner: self.own, number: self.rng.u64(..) };
+        let group = ReplicaGroupId { owner: self.own, number: self.rng.u64(..) };
         // Rendezvous hashing (Thaler and Ravishankar, 1998) spreads groups over the tier, near backups first.
         let score = |rank: Rank| {
-            let mut key = lot.number.to_le_bytes().to_vec();
+            let mut key = group.number.to_le_bytes().to_vec();
             key.extend(rank.to_le_bytes());
             crc32fast::hash(&key)
         };
         let mut all: Vec<(bool, u32, Rank)> = (0..self.size as Rank)
-            .filter(|rank| *rank != self.own && self.fits.get(usize::from(*rank)) != Some(&Fit::No))
+            .filter(|rank| {
+                *rank != self.own && self.fits.get(usize::from(*rank)) != Some(&BackupFitness::Unfit)
+            })
             .filter(|rank| self.peers.get(rank).is_none_or(|peer| now >= peer.left_out))
-            .map(|rank| (self.fits.get(usize::from(rank)) != Some(&Fit::Near), score(rank), rank))
+            .map(|rank| (self.fits.get(usize::from(rank)) != Some(&BackupFitness::Near), score(rank), rank))
             .collect();
         all.sort_unstable();
         let Some(first) = all.first().copied() else { return };
@@ -524,11 +539,11 @@
         let far = all.iter().skip(1).find(|other| other.0).or(all.get(1)).copied();
         let Some(second) = far else { return };
         let covers = [first.2, second.2];
-        self.next = Some(Current { lot, covers, since: now, next: 0 });
-        self.with(now, |lots, out| lots.open(lot, covers, out));
+        self.next = Some(Current { group, covers, since: now, next: 0 });
+        self.with(now, |groups, out| groups.open(group, covers, out));
     }
 
-    /// Collects the datagrams to send now. [`Takeover::to_remember`] must be called, and its result
+    /// Collects the datagrams to send now. [`Takeover::take_unsaved_state`] must be called, and its result
     /// persisted, first.
     pub fn flush(&mut self, now: Micros, out: &mut Vec<(Rank, Vec<u8>)>) {
         for (rank, peer) in &mut self.peers {
@@ -541,13 +556,13 @@
     }
 
     /// What is held here for other senders: groups, messages, bytes.
-    pub fn holding(&self) -> (usize, usize, usize) {
-        let lots: Vec<_> = self.lots.covering().collect();
-        (lots.len(), lots.iter().map(|(_, owed)| owed).sum(), self.lots.bytes())
+    pub fn held_for_others(&self) -> (usize, usize, usize) {
+        let groups: Vec<_> = self.groups.covering().collect();
+        (groups.len(), groups.iter().map(|(_, owed)| owed).sum(), self.groups.bytes())
     }
 
     /// The current backups, and how long ago each was heard.
-    pub fn covers(&self, now: Micros) -> Vec<(Rank, Micros)> {
+    pub fn current_backups(&self, now: Micros) -> Vec<(Rank, Micros)> {
         let current = self.current.iter().flat_map(|current| current.covers);
         current.map(|rank| (rank, self.peers.get(&rank).map_or(0, |p| now.saturating_sub(p.heard)))).collect()
     }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -148,7 +148,11 @@
     /// Fails on anything malformed.
     pub fn decode(&mut self, frame: &Frame) -> Result<Vec<(u16, Input)>, WireError> {
         if frame.count.checked_mul(EVENT_SIZE).is_none_or(|n| n > frame.body.len()) {
-            return fault(format!("frame of {} bytes is shorter than its {} records", frame.body.len(), frame.count));
+            return fault(format!(
+                "frame of {} bytes is shorter than its {} records",
+                frame.body.len(),
+                frame.count
+            ));
         }
         let (records, tail) = frame.body.split_at(frame.count * EVENT_SIZE);
         let mut used = 0;
@@ -197,11 +201,13 @@
                     match r.u16(7) {
                         class if usize::from(class) < known => accepted(&r)?,
                         class => {
-                            return fault(format!("message of class {class}; its instance has {known} classes"));
+                            return fault(format!(
+                                "message of class {class}; its instance has {known} classes"
+                            ));
                         }
                     }
                 }
-                5 => Event::Left(r.message(3)),
+                5 => Event::Withdrawn(r.message(3)),
                 6 => self.news(&r)?,
                 7 => Event::Ended {
                     message: r.message(3),
@@ -212,7 +218,7 @@
                     took: r.u32(22).into(),
                     report: r.report(26)?,
                 },
-                10 => Event::Reminder(r.u64(3)),
+                10 => Event::Timer(r.u64(3)),
                 11 => Event::Probed {
                     endpoint: r.endpoint(3),
                     outcome: outcome(r.u16(13), 0)?,
@@ -311,7 +317,7 @@
                 r.extend(message.0.to_le_bytes());
                 r.extend(attempt.to_le_bytes());
             }
-            Action::Remind { at, token } => {
+            Action::SetTimer { at, token } => {
                 begin(69);
                 r.extend(at.to_le_bytes());
                 r.extend(token.to_le_bytes());
@@ -324,7 +330,7 @@
                 begin(71);
                 r.extend(endpoint.0);
             }
-            Action::Tell { to, content } => {
+            Action::SendNote { to, content } => {
                 begin(72);
                 r.extend(to.unwrap_or(ALL_PEERS).to_le_bytes());
                 append(&mut r, &mut tail, content);
@@ -503,14 +509,14 @@
             .collect(),
         kinds: (0..kinds)
             .map(|k| Kind {
-                routes_apart: family.own_limits.get(k).copied().unwrap_or(false),
-                bundle: family.bundle_max.get(k).copied().unwrap_or(1).max(1),
+                route_per_endpoint: family.own_limits.get(k).copied().unwrap_or(false),
+                max_batch: family.bundle_max.get(k).copied().unwrap_or(1).max(1),
             })
             .collect(),
         tolls: family.toll.clone(),
         decay: match family.decay.as_deref() {
-            None | Some("line") => Decay::Line,
-            Some("halves") => Decay::Halves,
+            None | Some("line") => Decay::Linear,
+            Some("halves") => Decay::Exponential,
             Some(other) => return fault(format!("settings: unknown decay {other:?}")),
         },
         slots: family.calls_out,
@@ -525,7 +531,7 @@
         connect_timeout: micros(raw.limits.connect_timeout_us),
         idle_close: raw.limits.idle_close_us.map_or(Micros::MAX, micros),
         max_retry_after: micros(raw.limits.max_retry_after_us),
-        must_ask: raw.discovery.as_deref() == Some("ask"),
+        list_on_request: raw.discovery.as_deref() == Some("ask"),
         weights: match raw.weights.as_deref() {
             Some("nominal") => Weights::Nominal,
             Some("rough") => Weights::Rough,
@@ -554,9 +560,9 @@
         "once" => Effect::Once,
         "by_key" => Effect::Keyed {
             group: match raw.group.as_deref() {
-                None | Some("all") => Group::All,
-                Some("zone") => Group::Zone,
-                Some(_) => Group::Endpoint,
+                None | Some("all") => DedupScope::All,
+                Some("zone") => DedupScope::Zone,
+                Some(_) => DedupScope::Endpoint,
             },
             window: micros(raw.dedup_window_us.unwrap_or(0.0)),
         },
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -22,7 +22,7 @@
         late_worth: 0.5,
         in_order,
     };
-    let keyed = Effect::Keyed { group: Group::All, window: 6 * SECOND };
+    let keyed = Effect::Keyed { group: DedupScope::All, window: 6 * SECOND };
     Settings {
         classes: vec![
             class(keyed, false),
@@ -33,12 +33,12 @@
         retired: Default::default(),
         tenants: vec![],
         kinds: vec![
-            Kind { routes_apart: false, bundle: 1 },
-            Kind { routes_apart: true, bundle: 1 },
-            Kind { routes_apart: false, bundle: 5 },
+            Kind { route_per_endpoint: false, max_batch: 1 },
+            Kind { route_per_endpoint: true, max_batch: 1 },
+            Kind { route_per_endpoint: false, max_batch: 5 },
         ],
         tolls: vec![0.0, 0.1],
-        decay: Decay::Line,
+        decay: Decay::Linear,
         slots: 8,
         max_open: 64,
         try_limit: 4,
@@ -51,7 +51,7 @@
         connect_timeout: SECOND,
         idle_close: 5 * SECOND,
         max_retry_after: 3 * SECOND,
-        must_ask: false,
+        list_on_request: false,
         weights: Weights::None,
         over_share_worth: 0.1,
         report: (Some(0), Some(1)),
@@ -123,11 +123,11 @@
             reminders: vec![],
             next: 0,
         };
-        sender.tell(vec![Event::List(entries.to_vec())]);
+        sender.handle(vec![Event::List(entries.to_vec())]);
         sender
     }
 
-    pub fn tell(&mut self, events: Vec<Event>) {
+    pub fn handle(&mut self, events: Vec<Event>) {
         let mut actions = vec![];
         self.policy.handle(self.now, &events, &mut actions);
         for action in actions {
@@ -143,7 +143,7 @@
                 }
                 Action::Refuse { message, retry_after } => self.refused.push((message, retry_after)),
                 Action::Fail(message) => self.failed.push(message),
-                Action::Remind { at, token } => self.reminders.push((at, token)),
+                Action::SetTimer { at, token } => self.reminders.push((at, token)),
                 other => self.other.push(other),
             }
         }
@@ -162,7 +162,7 @@
     pub fn accept_keyed(&mut self, class: usize, key: Option<u64>) -> MessageId {
         let message = self.message(class, key, 20 * SECOND);
         let id = message.id;
-        self.tell(vec![Event::Accepted(message)]);
+        self.handle(vec![Event::Accepted(message)]);
         id
     }
 
@@ -182,19 +182,19 @@
     pub fn end(&mut self, outcome: Outcome) {
         let out = self.out.remove(0);
         let event = self.ended(out, outcome);
-        self.tell(vec![event]);
+        self.handle(vec![event]);
     }
 
     /// Ends the newest attempt in progress with this outcome.
     pub fn end_last(&mut self, outcome: Outcome) {
         if let Some(out) = self.out.pop() {
             let event = self.ended(out, outcome);
-            self.tell(vec![event]);
+            self.handle(vec![event]);
         }
     }
 
     /// Lets time pass: reminders fire, and attempts time out.
-    pub fn pass(&mut self, span: Micros) {
+    pub fn advance(&mut self, span: Micros) {
         let until = self.now + span;
         loop {
             let reminder = self.reminders.iter().map(|r| r.0).min();
@@ -205,14 +205,14 @@
             let mut events = vec![];
             self.reminders.retain(|r| {
                 if r.0 <= now {
-                    events.push(Event::Reminder(r.1));
+                    events.push(Event::Timer(r.1));
                 }
                 r.0 > now
             });
             let (over, out): (Vec<_>, Vec<_>) = self.out.iter().partition(|o| o.until <= now);
             self.out = out;
             events.extend(over.into_iter().map(|o| self.ended(o, Outcome::TimedOut)));
-            self.tell(events);
+            self.handle(events);
         }
         self.now = until;
     }
@@ -221,23 +221,23 @@
     pub fn serve(&mut self, messages: usize) {
         for _ in 0..messages {
             self.accept(SAFE);
-            self.pass(SECOND / 10);
+            self.advance(SECOND / 10);
             while !self.out.is_empty() {
                 self.end(Outcome::Delivered);
             }
-            self.pass(SECOND * 3 / 20);
+            self.advance(SECOND * 3 / 20);
         }
     }
 
     /// Ends that many calls with this outcome, each as soon as it begins.
-    pub fn suffer(&mut self, calls: usize, outcome: Outcome) {
+    pub fn fail_calls(&mut self, calls: usize, outcome: Outcome) {
         for _ in 0..calls {
             self.accept(SAFE);
             for _ in 0..400 {
                 if !self.out.is_empty() {
                     break;
                 }
-                self.pass(SECOND / 20);
+                self.advance(SECOND / 20);
             }
             self.end(outcome);
         }
--- a/tests/common/tier.rs
+++ b/tests/common/tier.rs
@@ -65,17 +65,17 @@
     /// Installs a member, for instance a paused one that resumes.
     pub fn put(&mut self, rank: usize, member: Membership) {
         self.members[rank] = Some(member);
-        self.touched(rank);
+        self.reschedule(rank);
     }
 
     /// Removes a member: a crash, or a pause if the caller keeps it.
-    pub fn take(&mut self, rank: usize) -> Membership {
+    pub fn remove(&mut self, rank: usize) -> Membership {
         let member = self.members[rank].take().expect("the member runs");
-        self.touched(rank);
+        self.reschedule(rank);
         member
     }
 
-    fn touched(&mut self, rank: usize) {
+    fn reschedule(&mut self, rank: usize) {
         self.dues.remove(&(self.due[rank], rank));
         self.due[rank] = self.members[rank].as_ref().map_or(Micros::MAX, |m| m.due().max(self.now));
         if self.members[rank].is_some() {
@@ -83,10 +83,10 @@
         }
     }
 
-    pub fn post(&mut self, from: usize, out: Out) {
+    pub fn send(&mut self, from: usize, out: Outgoing) {
         let from = from as Rank;
         for (to, datagram) in out {
-            assert!(datagram.len() <= LONGEST);
+            assert!(datagram.len() <= MAX_DATAGRAM_LEN);
             self.sent += 1;
             if self.rng.f64() >= self.loss && !(self.cut)(from, to, self.now) {
                 let at = self.now + self.rng.u64(self.delay.0..self.delay.1);
@@ -114,13 +114,13 @@
                 let (_, (from, to, datagram)) = self.wire.pop_first().expect("a datagram is in flight");
                 if let Some(member) = &mut self.members[usize::from(to)] {
                     member.receive(self.now, from, &datagram, &mut out);
-                    self.post(usize::from(to), out);
+                    self.send(usize::from(to), out);
                 }
             } else if let Some((_, rank)) = tick {
                 let now = self.now;
                 self.members[rank].as_mut().expect("the member runs").tick(now, &mut out);
-                self.post(rank, out);
-                self.touched(rank);
+                self.send(rank, out);
+                self.reschedule(rank);
             }
         }
         self.now = until;
@@ -133,12 +133,13 @@
     }
 
     /// Whether every running member is alive in all views, with equal incarnations.
-    pub fn whole(&self) -> bool {
+    pub fn converged(&self) -> bool {
         let runs = |rank: usize| self.members[rank].is_some();
-        (0..self.members.len()).all(|rank| !runs(rank) || self.all_see(rank, State::Alive)) && self.equal()
+        (0..self.members.len()).all(|rank| !runs(rank) || self.all_see(rank, State::Alive))
+            && self.views_equal()
     }
 
-    pub fn equal(&self) -> bool {
+    pub fn views_equal(&self) -> bool {
         let digests: BTreeSet<u32> = self.members.iter().flatten().map(Membership::digest).collect();
         digests.len() <= 1
     }
@@ -155,7 +156,7 @@
     }
 
     /// Number of false deaths, over the views of all running members.
-    pub fn wronged(&self) -> usize {
+    pub fn false_deaths(&self) -> usize {
         let views = self.members.iter().flatten();
         let dead = |m: &Membership| {
             let dead = m.members().iter().enumerate().filter(|(_, o)| o.state == State::Dead);
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -81,7 +81,7 @@
     let deep = text.replacen("\"index\":1", "\"index\":1,\"index\":2", 1);
     assert_eq!(keys(&check::read(twice.as_bytes()).unwrap_err()), ["seed"]);
     assert_eq!(keys(&check::read(deep.as_bytes()).unwrap_err()), ["known.index"]);
-    let large = format!("{}{text}", " ".repeat(check::LARGEST));
+    let large = format!("{}{text}", " ".repeat(check::MAX_DOCUMENT_BYTES));
     let nested = "[".repeat(100_000);
     for text in
         [&b""[..], b" \n", b"\xff{}", b"[]", b"{} {}", b"{\"a\": NaN}", b"{\"a\": 1e999}", b"{\"a\": 1"]
@@ -117,9 +117,9 @@
     assert!(changes[2].under_way.contains("the class they were accepted with"));
     assert_eq!(check::changes(&after, &after), []);
     // An optional component's section may be left out, which turns it off; no other key in force may.
-    assert_eq!(check::lacking(&after, &document()), []);
+    assert_eq!(check::missing_keys(&after, &document()), []);
     after["settings"]["limits"].as_object_mut().unwrap().remove("connect_timeout_us");
-    assert_eq!(keys(&check::lacking(&after, &document())), ["settings.limits.connect_timeout_us"]);
+    assert_eq!(keys(&check::missing_keys(&after, &document())), ["settings.limits.connect_timeout_us"]);
 }
 
 proptest! {
--- a/tests/conformance/main.rs
+++ b/tests/conformance/main.rs
@@ -133,7 +133,7 @@
         if !s.out.is_empty() {
             break;
         }
-        s.pass(SECOND / 20);
+        s.advance(SECOND / 20);
     }
 }
 
@@ -143,17 +143,17 @@
         Step::Take(n, class) => (0..n).for_each(|_| _ = s.accept(class)),
         Step::Batch(n, class) => {
             let batch = (0..n).map(|_| Event::Accepted(s.message(class, None, 20 * SECOND))).collect();
-            s.tell(batch);
+            s.handle(batch);
         }
         Step::Brief(class, left) => {
             let message = s.message(class, None, left * MS);
-            s.tell(vec![Event::Accepted(message)]);
+            s.handle(vec![Event::Accepted(message)]);
         }
         Step::Elsewhere(n) => {
             for _ in 0..n {
                 let mut message = s.message(SAFE, None, 20 * SECOND);
                 message.destination = OTHER;
-                s.tell(vec![Event::Accepted(message)]);
+                s.handle(vec![Event::Accepted(message)]);
             }
         }
         Step::Each(n, outcome) => {
@@ -163,18 +163,18 @@
                 s.end_last(outcome);
             }
         }
-        Step::Repeated(n, outcome) => s.suffer(n, outcome),
+        Step::Repeated(n, outcome) => s.fail_calls(n, outcome),
         Step::End(n, outcome) => (0..n).for_each(|_| s.end(outcome)),
         Step::EndTurn(outcome) => {
             let ends = s.out.iter().map(|out| s.ended(*out, outcome)).collect();
             s.out.clear();
-            s.tell(ends);
+            s.handle(ends);
         }
         Step::EndNewest(outcome) => s.end_last(outcome),
         Step::Stream(seconds, outcome) => {
             for _ in 0..seconds * 4 {
                 s.accept(SAFE);
-                s.pass(SECOND / 4);
+                s.advance(SECOND / 4);
                 for _ in 0..s.out.len() {
                     s.end(outcome);
                 }
@@ -183,15 +183,15 @@
         Step::Halved(seconds) => {
             for turn in 0..seconds * 4 {
                 s.accept(ONCE);
-                s.pass(SECOND / 4);
+                s.advance(SECOND / 4);
                 for _ in 0..s.out.len() {
                     s.end(if turn % 2 == 0 { Outcome::Error } else { Outcome::Delivered });
                 }
             }
         }
-        Step::Pass(span) => s.pass(span * MS),
-        Step::Told(wait) => s.tell(vec![Event::Wait { endpoint: endpoint(1), wait: wait * MS }]),
-        Step::Unlisted => s.tell(vec![Event::List(vec![])]),
+        Step::Pass(span) => s.advance(span * MS),
+        Step::Told(wait) => s.handle(vec![Event::RetryAfter { endpoint: endpoint(1), wait: wait * MS }]),
+        Step::Unlisted => s.handle(vec![Event::List(vec![])]),
     }
 }
 
@@ -219,7 +219,7 @@
                 (seen, seen == n)
             }
             Expect::Out(n) => (s.out.len(), s.out.len() == n),
-            Expect::Shut(n) => (s.policy.avoided(), s.policy.avoided() == n),
+            Expect::Shut(n) => (s.policy.unhealthy_endpoints(), s.policy.unhealthy_endpoints() == n),
             Expect::Held(n) => (s.policy.held(), s.policy.held() == n),
             Expect::Refused(n) => (s.refused.len() - refused, s.refused.len() - refused == n),
             Expect::Failed(n) => (s.failed.len() - failed, s.failed.len() - failed == n),
@@ -241,7 +241,11 @@
     assert_eq!(names.len(), table.len(), "row names are unique");
     let mut broken = vec![];
     for row in table {
-        assert!(!row.when.is_empty() && !row.then.is_empty(), "{}: the row has no steps or no expectations", row.name);
+        assert!(
+            !row.when.is_empty() && !row.then.is_empty(),
+            "{}: the row has no steps or no expectations",
+            row.name
+        );
         let failed = catch_unwind(AssertUnwindSafe(|| play(row)));
         let failed = failed.unwrap_or_else(|_| vec!["the row panicked".to_owned()]);
         if !failed.is_empty() {
--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -8,7 +8,7 @@
 
 fn drain(s: &mut Sender, within: Micros) {
     let until = Some(s.now + within);
-    s.tell(vec![Event::Service { wanted: false, until }]);
+    s.handle(vec![Event::Service { wanted: false, until }]);
 }
 
 fn listed(n: u8, listing: Listing) -> Entry {
@@ -42,7 +42,7 @@
     s.accept(SAFE);
     s.accept(KEYED);
     assert!(!s.failed.contains(&first));
-    s.pass(2 * SECOND);
+    s.advance(2 * SECOND);
     assert_eq!((s.failed.len(), s.refused.len()), (2, 1), "{:?} {:?}", s.failed, s.refused);
     assert_eq!(s.policy.held(), 0);
 }
@@ -58,12 +58,12 @@
         let mut s = warm();
         let mut events = vec![];
         if let Some(wait) = wait {
-            events.push(Event::Wait { endpoint: endpoint(1), wait });
+            events.push(Event::RetryAfter { endpoint: endpoint(1), wait });
         }
         if why == "no endpoint" {
             events.push(Event::Changes(vec![listed(1, Listing::Draining)]));
         }
-        s.tell(events);
+        s.handle(events);
         if why == "too little time for an answer" {
             // All slots that one destination may have are taken: the message waits for a free one.
             fill(&mut s, 6);
@@ -88,25 +88,25 @@
     drain(&mut s, 5 * SECOND);
     assert!(s.refused.is_empty(), "a slot may still become free");
     // The usual answer time is unknown; half the aim, two seconds, is assumed.
-    s.pass(3 * SECOND + 10_000);
+    s.advance(3 * SECOND + 10_000);
     assert_eq!(s.refused.iter().map(|r| r.0).collect::<Vec<_>>(), [held]);
 }
 
 #[test]
 fn back_in_service_a_message_has_its_own_time_again() {
     let mut s = warm();
-    s.tell(vec![Event::Changes(vec![listed(1, Listing::Draining)])]);
-    s.tell(vec![Event::Service { wanted: false, until: None }]);
+    s.handle(vec![Event::Changes(vec![listed(1, Listing::Draining)])]);
+    s.handle(vec![Event::Service { wanted: false, until: None }]);
     let held = s.accept(SAFE);
-    s.pass(3 * SECOND);
+    s.advance(3 * SECOND);
     assert!(s.refused.is_empty(), "a drain without a time limit refuses nothing early");
     drain(&mut s, SECOND);
     assert_eq!(s.refused.iter().map(|r| r.0).collect::<Vec<_>>(), [held]);
-    s.tell(vec![Event::Service { wanted: true, until: None }]);
+    s.handle(vec![Event::Service { wanted: true, until: None }]);
     s.accept(SAFE);
-    s.pass(10 * SECOND);
+    s.advance(10 * SECOND);
     assert_eq!(s.refused.len(), 1);
-    s.tell(vec![Event::Changes(vec![listed(1, Listing::Ready)])]);
+    s.handle(vec![Event::Changes(vec![listed(1, Listing::Ready)])]);
     assert!(!s.out.is_empty());
 }
 
@@ -114,14 +114,14 @@
 #[test]
 fn an_endpoint_that_returns_finds_its_breaker_as_it_was() {
     let mut s = warm();
-    s.suffer(5, Outcome::Error);
+    s.fail_calls(5, Outcome::Error);
     let before = s.sent.len();
-    s.tell(vec![Event::Changes(vec![listed(1, Listing::Draining)])]);
+    s.handle(vec![Event::Changes(vec![listed(1, Listing::Draining)])]);
     fill(&mut s, 10);
-    s.pass(10 * SECOND);
+    s.advance(10 * SECOND);
     assert_eq!(s.sent.len(), before);
-    s.tell(vec![Event::Changes(vec![listed(1, Listing::Ready)])]);
+    s.handle(vec![Event::Changes(vec![listed(1, Listing::Ready)])]);
     assert_eq!(s.sent.len(), before + 1, "one trial");
-    s.pass(SECOND / 10);
+    s.advance(SECOND / 10);
     assert_eq!(s.sent.len(), before + 1);
 }
--- a/tests/estimate/budgets.rs
+++ b/tests/estimate/budgets.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use myrtleyard::estimate::Reason;
-use myrtleyard::estimate::lend::{Budgets, Cost, LIFE, Note, WINDOW, lender};
-use myrtleyard::membership::{Fact, Facts, Rank, State};
+use myrtleyard::estimate::budget_lease::{BudgetMessage, Budgets, Cost, LEASE_TIME, WINDOW, lender};
+use myrtleyard::membership::{MemberView, MembershipView, Rank, State};
 use myrtleyard::plans::Plan;
 
 const SECOND: u64 = 1_000_000;
@@ -20,9 +20,9 @@
     alive: Vec<bool>,
     side: Vec<u8>,
     /// Who sees what, seconds late.
-    views: Vec<Facts>,
-    news: Vec<(u64, Vec<Facts>)>,
-    on_the_way: Vec<(u64, Rank, Rank, Note)>,
+    views: Vec<MembershipView>,
+    news: Vec<(u64, Vec<MembershipView>)>,
+    on_the_way: Vec<(u64, Rank, Rank, BudgetMessage)>,
     plan: Plan,
     /// When each charge was made, by tenant.
     used: BTreeMap<&'static str, Vec<(u64, Cost)>>,
@@ -58,15 +58,15 @@
     }
 
     /// What each would see if it saw at once.
-    fn seen(&self) -> Vec<Facts> {
+    fn seen(&self) -> Vec<MembershipView> {
         let all = 0..self.alive.len();
         let view = |own: usize| {
             let there = |other: usize| self.alive[other] && self.side[own] == self.side[other];
             let state = |other| if there(other) { State::Alive } else { State::Dead };
-            let fact = |other| Fact { state: state(other), since: 0, incarnation: 1, near: true };
+            let fact = |other| MemberView { state: state(other), since: 0, incarnation: 1, same_zone: true };
             let living = all.clone().filter(|other| there(*other)).count();
             let minority = living * 2 < self.alive.len();
-            Facts {
+            MembershipView {
                 own: own as Rank,
                 members: all.clone().map(fact).collect(),
                 isolated: living == 1,
@@ -106,7 +106,7 @@
                         self.ask(at, now, tenant);
                     }
                 }
-                for (to, note) in self.budgets[at].said() {
+                for (to, note) in self.budgets[at].take_messages() {
                     let due = self.now + self.rng.u64(1_000..60_000);
                     if self.rng.f64() > 0.05 {
                         self.on_the_way.push((due, at as Rank, to, note));
@@ -118,7 +118,7 @@
 
     fn ask(&mut self, at: usize, now: u64, tenant: &'static str) {
         let cost = Cost { queries: 1, bytes: self.rng.u64(1_000..12_000) };
-        let had = self.budgets[at].want(now, &self.views[at], tenant, &self.plan, cost);
+        let had = self.budgets[at].reserve(now, &self.views[at], tenant, &self.plan, cost);
         let charged = had.and_then(|()| self.budgets[at].charge(now, tenant, cost));
         match charged {
             Ok(charge) => {
@@ -214,9 +214,9 @@
     assert!(worst > 1.0, "{worst}");
 }
 
-fn alone(rank: Rank) -> Facts {
-    let fact = Fact { state: State::Alive, since: 0, incarnation: 1, near: true };
-    Facts { own: rank, members: vec![fact; 2], isolated: false, minority: false }
+fn alone(rank: Rank) -> MembershipView {
+    let fact = MemberView { state: State::Alive, since: 0, incarnation: 1, same_zone: true };
+    MembershipView { own: rank, members: vec![fact; 2], isolated: false, minority: false }
 }
 
 #[test]
@@ -227,37 +227,37 @@
     let mut borrower = Budgets::new(borrows, 1, 0);
     let (plan, cost) = (Plan::default(), Cost { queries: 1, bytes: 10 });
     let now = 10 * MINUTE;
-    let short = borrower.want(now, &alone(borrows), tenant, &plan, cost).unwrap_err();
+    let short = borrower.reserve(now, &alone(borrows), tenant, &plan, cost).unwrap_err();
     assert_eq!(short.reason, Reason::Queries);
-    let asked = borrower.said();
-    let [(to, Note::Ask { serial, .. })] = &asked[..] else { panic!("{asked:?}") };
+    let asked = borrower.take_messages();
+    let [(to, BudgetMessage::Request { serial, .. })] = &asked[..] else { panic!("{asked:?}") };
     assert_eq!(*to, lends);
-    let lend = Note::Lend { tenant: tenant.into(), serial: *serial, cost, after: 0 };
-    borrower.receive(now + LIFE, &alone(borrows), lends, lend.clone(), |_| Plan::default());
-    assert_eq!(borrower.left(now + LIFE, tenant), Cost::default(), "it had lapsed when it came");
-    let again = now + LIFE;
-    let _ = borrower.want(again, &alone(borrows), tenant, &plan, cost);
-    let Note::Ask { serial, .. } = &borrower.said()[0].1 else { panic!() };
-    let lend = Note::Lend { tenant: tenant.into(), serial: *serial, cost, after: 0 };
+    let lend = BudgetMessage::Grant { tenant: tenant.into(), serial: *serial, cost, after: 0 };
+    borrower.receive(now + LEASE_TIME, &alone(borrows), lends, lend.clone(), |_| Plan::default());
+    assert_eq!(borrower.remaining(now + LEASE_TIME, tenant), Cost::default(), "it had lapsed when it came");
+    let again = now + LEASE_TIME;
+    let _ = borrower.reserve(again, &alone(borrows), tenant, &plan, cost);
+    let BudgetMessage::Request { serial, .. } = &borrower.take_messages()[0].1 else { panic!() };
+    let lend = BudgetMessage::Grant { tenant: tenant.into(), serial: *serial, cost, after: 0 };
     borrower.receive(again + 1, &alone(borrows), lends, lend.clone(), |_| Plan::default());
     borrower.receive(again + 2, &alone(borrows), lends, lend, |_| Plan::default());
-    assert_eq!(borrower.left(again + 2, tenant), cost, "said twice, it is there once");
-    assert_eq!(borrower.left(again + LIFE, tenant), Cost::default());
+    assert_eq!(borrower.remaining(again + 2, tenant), cost, "said twice, it is there once");
+    assert_eq!(borrower.remaining(again + LEASE_TIME, tenant), Cost::default());
 }
 
 #[test]
 fn budgets_at_the_end_of_their_counters_are_lent_and_never_more() {
     let plan = Plan { queries_per_min: u32::MAX, bytes_per_min: u64::MAX, ..Plan::default() };
-    let one = Facts { members: vec![alone(0).members[0]; 1], ..alone(0) };
+    let one = MembershipView { members: vec![alone(0).members[0]; 1], ..alone(0) };
     let mut budgets = Budgets::new(0, 1, 0);
     let most = Cost { queries: 1, bytes: u64::MAX };
-    assert_eq!(budgets.want(2 * WINDOW, &one, "a", &plan, most), Ok(()));
+    assert_eq!(budgets.reserve(2 * WINDOW, &one, "a", &plan, most), Ok(()));
     let charge = budgets.charge(2 * WINDOW, "a", most).unwrap();
-    assert!(budgets.want(2 * WINDOW + SECOND, &one, "a", &plan, Cost { queries: 1, bytes: 1 }).is_err());
+    assert!(budgets.reserve(2 * WINDOW + SECOND, &one, "a", &plan, Cost { queries: 1, bytes: 1 }).is_err());
     budgets.settle(2 * WINDOW, charge, Cost { queries: 1, bytes: 0 });
-    assert_eq!(budgets.left(2 * WINDOW, "a").bytes, u64::MAX);
+    assert_eq!(budgets.remaining(2 * WINDOW, "a").bytes, u64::MAX);
     let end = u64::MAX - 1;
     let mut budgets = Budgets::new(0, 1, 0);
-    assert_eq!(budgets.want(end, &one, "a", &plan, Cost { queries: 1, bytes: 1 }), Ok(()));
+    assert_eq!(budgets.reserve(end, &one, "a", &plan, Cost { queries: 1, bytes: 1 }), Ok(()));
     budgets.tick(u64::MAX, &one);
 }
--- a/tests/estimate/main.rs
+++ b/tests/estimate/main.rs
@@ -6,19 +6,19 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use myrtleyard::estimate::charged::Charged;
-use myrtleyard::estimate::decide::{Cut, Limits, Running, decide};
+use myrtleyard::estimate::budget_lease::{Budgets, Cost, Insufficient};
+use myrtleyard::estimate::charged::ChargedQuery;
+use myrtleyard::estimate::decide::{LimitExceeded, Limits, RunningQuery, decide};
 use myrtleyard::estimate::estimator::Estimator;
-use myrtleyard::estimate::known::{BUDGET, BURST, Catalogue, Known};
-use myrtleyard::estimate::learned::{FIGURES, Figure, Learned, Shape, Touched};
-use myrtleyard::estimate::lend::{Budgets, Cost, Short};
-use myrtleyard::estimate::predict::{Estimate, OLD, predict};
+use myrtleyard::estimate::learned::{Calibration, FIGURES, Figure, Shape, Touched};
+use myrtleyard::estimate::predict::{Estimate, STALE_AFTER, predict};
 use myrtleyard::estimate::summary::{Summary, Version, weight};
+use myrtleyard::estimate::summary_cache::{BUDGET, BURST, Catalogue, SummaryCache};
 use myrtleyard::estimate::{Decision, Doubt, Reason};
-use myrtleyard::membership::{Fact, Facts, Rank, State as Held};
+use myrtleyard::membership::{MemberView, MembershipView, Rank, State as Held};
 use myrtleyard::plans::Plan;
 use myrtleyard::status::query::Touched as Link;
-use myrtleyard::status::{Entry, Life, LogId, Query, ShardId, State, States};
+use myrtleyard::status::{Entry, Generation, LogId, Query, ShardId, State, States};
 use proptest::prelude::*;
 
 /// A span, and the time at which all tiers here are told of, microseconds.
@@ -55,16 +55,16 @@
     }
 }
 
-pub fn facts(size: usize) -> Facts {
-    let fact = Fact { state: Held::Alive, since: 0, incarnation: 1, near: true };
-    Facts { own: 0, members: vec![fact; size], isolated: false, minority: false }
+pub fn facts(size: usize) -> MembershipView {
+    let fact = MemberView { state: Held::Alive, since: 0, incarnation: 1, same_zone: true };
+    MembershipView { own: 0, members: vec![fact; size], isolated: false, minority: false }
 }
 
 /// Each owner's entries.
 type Index = BTreeMap<Rank, Vec<Entry>>;
 
 fn log(owner: Rank) -> LogId {
-    LogId { owner, life: Life(u64::from(owner) + 100) }
+    LogId { owner, generation: Generation(u64::from(owner) + 100) }
 }
 
 fn spans(entries: &[Entry]) -> BTreeMap<u32, Vec<&Entry>> {
@@ -92,11 +92,11 @@
     (catalogue, spans.into_iter().map(summary).map(sent).collect())
 }
 
-fn settled(index: &Index) -> Known {
-    let mut known = Known::new(0, index.len(), 1, NOW);
+fn settled(index: &Index) -> SummaryCache {
+    let mut known = SummaryCache::new(0, index.len(), 1, NOW);
     for (owner, entries) in index {
         let (catalogue, summaries) = catalogue(*owner, entries, NOW);
-        known.tell(NOW, catalogue, summaries);
+        known.publish(NOW, catalogue, summaries);
     }
     known
 }
@@ -134,8 +134,8 @@
     index.values().map(|entries| entries.iter().collect()).collect()
 }
 
-fn asked(index: &Index, known: &Known, query: &Query) -> Estimate {
-    predict(query, known, Some(&facts(index.len())), &Learned::default(), 0, NOW)
+fn asked(index: &Index, known: &SummaryCache, query: &Query) -> Estimate {
+    predict(query, known, Some(&facts(index.len())), &Calibration::default(), 0, NOW)
 }
 
 fn any_entry() -> impl Strategy<Value = Entry> {
@@ -235,11 +235,11 @@
 #[test]
 fn a_shard_without_summary_counts_as_one_that_may_be_touched_and_is_named() {
     let index = full_of(3, 600, |_| "a".into());
-    let mut known = Known::new(0, 3, 1, NOW);
+    let mut known = SummaryCache::new(0, 3, 1, NOW);
     for (owner, entries) in &index {
         let (catalogue, mut summaries) = catalogue(*owner, entries, NOW);
         summaries.retain(|summary| *owner != 2 || summary.span != 15);
-        known.tell(NOW, catalogue, summaries);
+        known.publish(NOW, catalogue, summaries);
     }
     let asked_for = Query { from: 15 * SPAN, to: 16 * SPAN, ..query("a") };
     let said = asked(&index, &known, &asked_for).prediction;
@@ -256,21 +256,22 @@
     let mut known = settled(&index);
     let before = asked(&index, &known, &Query { to: NOW, ..query("a") }).prediction;
     let (mut later, _) = catalogue(1, &[], NOW);
-    later.log.life = Life(7);
+    later.log.generation = Generation(7);
     later.incarnation = 2;
-    known.tell(NOW, later.clone(), vec![]);
+    known.publish(NOW, later.clone(), vec![]);
     let said = asked(&index, &known, &Query { to: NOW, ..query("a") }).prediction;
     assert!(!said.bound && said.doubts == [Doubt::Gone { owner: 1 }], "{:?}", said.doubts);
     assert!(said.entries.most >= before.entries.most, "{:?}", said.entries);
     // What the former life's process says late does not make it the present one.
     let (mut late, _) = catalogue(1, &index[&1], NOW);
     late.version.made = 9;
-    known.tell(NOW, late, vec![]);
-    assert_eq!(known.present(1).map(|held| held.catalogue.log.life), Some(Life(7)));
+    known.publish(NOW, late, vec![]);
+    assert_eq!(known.current(1).map(|held| held.catalogue.log.generation), Some(Generation(7)));
     let mut dead = facts(2);
     dead.members[1].state = Held::Dead;
     let known = settled(&index);
-    let said = predict(&Query { to: NOW, ..query("a") }, &known, Some(&dead), &Learned::default(), 0, NOW);
+    let said =
+        predict(&Query { to: NOW, ..query("a") }, &known, Some(&dead), &Calibration::default(), 0, NOW);
     assert!(!said.prediction.bound && said.prediction.doubts == [Doubt::Gone { owner: 1 }]);
     assert!(said.prediction.time.1 > before.time.1 + 200_000, "it is priced so: {:?}", said.prediction.time);
 }
@@ -279,10 +280,11 @@
 fn what_is_old_is_told_and_wider() {
     let index = full_of(2, 300, |_| "a".into());
     let known = settled(&index);
-    let now = NOW + OLD;
-    let ask = |at: u64| predict(&query("a"), &known, Some(&facts(2)), &Learned::default(), 0, at).prediction;
+    let now = NOW + STALE_AFTER;
+    let ask =
+        |at: u64| predict(&query("a"), &known, Some(&facts(2)), &Calibration::default(), 0, at).prediction;
     let (fresh, old) = (ask(NOW), ask(now));
-    assert!(fresh.doubts.is_empty() && old.doubts.contains(&Doubt::Old { owner: 1, age: OLD }));
+    assert!(fresh.doubts.is_empty() && old.doubts.contains(&Doubt::Old { owner: 1, age: STALE_AFTER }));
     assert!(old.entries.expected > fresh.entries.expected && old.entries.most > fresh.entries.most * 2);
 }
 
@@ -335,13 +337,13 @@
     assert_eq!(summary.part(&query("a")).map(|part| part.most), Some(u64::MAX));
     let (mut catalogue, _) = catalogue(0, &[entry(1, "a", 0, 1, 5 * SPAN, State::Taken)], u64::MAX);
     catalogue.slack = u64::MAX;
-    let mut known = Known::new(0, 2, 1, u64::MAX);
-    known.tell(u64::MAX, catalogue.clone(), vec![summary.clone()]);
+    let mut known = SummaryCache::new(0, 2, 1, u64::MAX);
+    known.publish(u64::MAX, catalogue.clone(), vec![summary.clone()]);
     (catalogue.log, summary.log) = (log(1), log(1));
-    known.tell(u64::MAX, catalogue, vec![summary]);
-    let said = predict(&query("a"), &known, Some(&facts(2)), &Learned::default(), 0, u64::MAX);
+    known.publish(u64::MAX, catalogue, vec![summary]);
+    let said = predict(&query("a"), &known, Some(&facts(2)), &Calibration::default(), 0, u64::MAX);
     assert_eq!((said.prediction.entries.most, said.prediction.bytes.most), (u64::MAX, u64::MAX));
-    let mut learned = Learned::default();
+    let mut learned = Calibration::default();
     for _ in 0..200 {
         learned.learn(&said.basis, &Touched { figures: [u64::MAX; FIGURES], took: u64::MAX });
     }
@@ -372,7 +374,7 @@
     let ids = Query { ids: vec!["m-1".into(), "m-1000002".into()], ..all.clone() };
     let decided = decide_by(&Plan { shards: 1, ..Plan::default() }, &ids, Ok(())).decision;
     assert_eq!(decided, Decision::Refused { reason: Reason::Shards });
-    let short = Short { after: 5, reason: Reason::Queries };
+    let short = Insufficient { after: 5, reason: Reason::Queries };
     let decided = decide_by(&Plan::default(), &all, Err(short)).decision;
     assert_eq!(decided, Decision::Later { after: 5, reason: Reason::Queries });
     let limits = Limits { plan: &Plan::default(), within: 100, unix: NOW };
@@ -388,29 +390,30 @@
     let mut budgets = Budgets::new(0, 1, 0);
     let (plan, whole) = (Plan::default(), Cost { queries: 1, bytes: estimate.prediction.bytes.most });
     let now = 200_000_000;
-    assert_eq!(budgets.want(now, &facts(1), "a", &plan, whole), Ok(()));
-    let before = budgets.left(now, "a");
-    let mut running = Running::begin(&mut budgets, now, "a", &estimate).unwrap();
-    assert_eq!(budgets.left(now, "a").bytes, before.bytes - whole.bytes);
+    assert_eq!(budgets.reserve(now, &facts(1), "a", &plan, whole), Ok(()));
+    let before = budgets.remaining(now, "a");
+    let mut running = RunningQuery::begin(&mut budgets, now, "a", &estimate).unwrap();
+    assert_eq!(budgets.remaining(now, "a").bytes, before.bytes - whole.bytes);
     assert_eq!((0..5).map(|_| running.shard()).collect::<Result<Vec<_>, _>>().map(|s| s.len()), Ok(5));
-    assert_eq!(running.shard(), Err(Cut::Shards(5)));
+    assert_eq!(running.shard(), Err(LimitExceeded::Shards(5)));
     assert_eq!(running.read(500), Ok(()));
-    assert_eq!(running.read(u64::MAX), Err(Cut::Bytes(500)));
-    assert_eq!(running.read(whole.bytes), Err(Cut::Bytes(500)));
+    assert_eq!(running.read(u64::MAX), Err(LimitExceeded::Bytes(500)));
+    assert_eq!(running.read(whole.bytes), Err(LimitExceeded::Bytes(500)));
     assert_eq!(running.end(&mut budgets, now), (5, 500));
-    assert_eq!(budgets.left(now, "a"), Cost { queries: before.queries - 1, bytes: before.bytes - 500 });
+    assert_eq!(budgets.remaining(now, "a"), Cost { queries: before.queries - 1, bytes: before.bytes - 500 });
 }
 
 #[test]
 fn summaries_spread_to_all_within_their_budget_and_the_newest_wins() {
     let size = 12;
     let index = full_of(size, 2_000, |n| format!("t{}", n % 30));
-    let mut senders: Vec<Known> = (0..size).map(|r| Known::new(r, size.into(), u64::from(r), 0)).collect();
+    let mut senders: Vec<SummaryCache> =
+        (0..size).map(|r| SummaryCache::new(r, size.into(), u64::from(r), 0)).collect();
     for (owner, entries) in &index {
         let (catalogue, summaries) = catalogue(*owner, entries, NOW);
-        senders[usize::from(*owner)].tell(0, catalogue, summaries);
+        senders[usize::from(*owner)].publish(0, catalogue, summaries);
     }
-    let lacking = |known: &Known| {
+    let lacking = |known: &SummaryCache| {
         let held = known.all().map(|held| held.catalogue.spans.len() - held.summaries.len());
         (usize::from(size) - known.all().count()) * 10 + held.sum::<usize>()
     };
@@ -442,7 +445,7 @@
     // One that changes is held in its newest version by all.
     let (mut newer, _) = catalogue(3, &index[&3], NOW + 1);
     newer.version.upto += 1;
-    senders[3].tell(120_000_000, newer.clone(), vec![]);
+    senders[3].publish(120_000_000, newer.clone(), vec![]);
     let mut ages = vec![];
     for now in (120_000_000..160_000_000u64).step_by(50_000) {
         for rank in 0..size {
@@ -455,7 +458,7 @@
         }
     }
     for known in &senders {
-        let held = known.present(3).unwrap();
+        let held = known.current(3).unwrap();
         assert_eq!(held.catalogue, newer);
         ages.push(held.age(160_000_000));
     }
@@ -466,11 +469,11 @@
 fn when_intervals_do_not_hold_they_widen_say_so_and_hold_again() {
     let index = full_of(2, 500, |_| "a".into());
     let known = settled(&index);
-    let mut learned = Learned::default();
+    let mut learned = Calibration::default();
     let asked_for = query("a");
     let shape = Shape::of(&asked_for);
     let mut rng = fastrand::Rng::with_seed(5);
-    let mut play = |learned: &mut Learned, queries: usize, off: f64| {
+    let mut play = |learned: &mut Calibration, queries: usize, off: f64| {
         let mut told = 0;
         for _ in 0..queries {
             let said = predict(&asked_for, &known, Some(&facts(2)), learned, 0, NOW);
@@ -483,20 +486,20 @@
         told
     };
     play(&mut learned, 600, 1.0);
-    let calm = learned.held(shape, Figure::Bytes).unwrap();
+    let calm = learned.hit_rate(shape, Figure::Bytes).unwrap();
     assert!((83..=98).contains(&calm), "{calm}");
     // All at once queries touch nearly three times as much, and then ten times: that is noticed.
     let told = play(&mut learned, 60, 3.0) + play(&mut learned, 60, 10.0);
     assert!(told > 20, "{told}");
     play(&mut learned, 600, 10.0);
-    let again = learned.held(shape, Figure::Bytes).unwrap();
+    let again = learned.hit_rate(shape, Figure::Bytes).unwrap();
     assert!((83..=98).contains(&again), "{again}");
 }
 
 #[test]
 fn a_clock_that_steps_back_takes_the_bound_from_what_it_may_have_stepped_over() {
     let mut estimator = Estimator::new(0, 1, 1, SPAN, BTreeMap::new(), 1, 0);
-    estimator.look(facts(1));
+    estimator.set_view(facts(1));
     let mut entries = vec![entry(1, "a", 0, 1, NOW - 1_000, State::Taken)];
     let shard = |e: &Entry| ShardId { owner: 0, span: (e.taken_at / SPAN) as u32 };
     let made = |estimator: &mut Estimator, now: u64, unix: u64, entries: &[Entry]| {
@@ -522,14 +525,14 @@
 fn a_read_by_plan_is_held_to_its_bound_log_by_log_and_all_that_it_read_is_charged() {
     let plans = [("default".to_owned(), Plan { shards: 20, ..Plan::default() })].into();
     let mut estimator = Estimator::new(0, 1, 7, SPAN, plans, 1, 0);
-    estimator.look(facts(1));
+    estimator.set_view(facts(1));
     let now = 200_000_000;
-    let mut charged = Charged::begin(&mut estimator, now, &query("a")).unwrap();
+    let mut charged = ChargedQuery::begin(&mut estimator, now, &query("a")).unwrap();
     let most = charged.decided.estimate.prediction.bytes.most;
-    let before = estimator.budgets.left(now, "a");
+    let before = estimator.budgets.remaining(now, "a");
     let link = |life: u64, server, shards, bytes| Link {
         server,
-        log: LogId { owner: 0, life: Life(life) },
+        log: LogId { owner: 0, generation: Generation(life) },
         shards,
         entries: 1,
         bytes,
@@ -540,13 +543,13 @@
     charged.touched(&[link(1, 0, 18, most), link(1, 1, 18, 50)]);
     assert_eq!(charged.check(), Ok(()), "one log at two senders");
     charged.touched(&[link(2, 0, 3, 50)]);
-    assert_eq!(charged.check(), Err(Cut::Shards(21)));
+    assert_eq!(charged.check(), Err(LimitExceeded::Shards(21)));
     let cut = charged.check().map(|()| None);
     charged.end(&mut estimator, now, cut);
-    assert_eq!(estimator.budgets.left(now, "a"), Cost { bytes: before.bytes - 100, ..before });
+    assert_eq!(estimator.budgets.remaining(now, "a"), Cost { bytes: before.bytes - 100, ..before });
     assert_eq!((estimator.counts.cut, estimator.counts.read), (1, most + 100));
     // One that failed before it read anything costs a query.
-    let failed = Charged::begin(&mut estimator, now, &query("a")).unwrap();
+    let failed = ChargedQuery::begin(&mut estimator, now, &query("a")).unwrap();
     failed.end(&mut estimator, now, Ok(None));
-    assert_eq!(estimator.budgets.left(now, "a").bytes, before.bytes - 100);
+    assert_eq!(estimator.budgets.remaining(now, "a").bytes, before.bytes - 100);
 }
--- a/tests/estimate/runs.rs
+++ b/tests/estimate/runs.rs
@@ -1,8 +1,8 @@
 //! Planned runs: what the module knows makes them cheap, slow, or late.
 
-use myrtleyard::estimate::sending::{Fits, NoRun, Planned, Run, Runs, Took, plan};
+use myrtleyard::estimate::sending::{Fits, Planned, Run, RunError, RunTimes, Runs, plan};
 use myrtleyard::interface::{
-    Class, Decay, DestinationId, Effect, Outlook, RouteOutlook, Rules, Settings, Tenant, Weights,
+    Class, Decay, DestinationId, DestinationSummary, Effect, RouteSummary, Rules, Settings, Tenant, Weights,
 };
 
 const SECOND: u64 = 1_000_000;
@@ -32,7 +32,7 @@
         tenants: vec![Tenant { name: String::new(), quota: 40.0 }],
         kinds: vec![],
         tolls: vec![],
-        decay: Decay::Line,
+        decay: Decay::Linear,
         slots: 32,
         max_open: 100,
         try_limit: 4,
@@ -45,7 +45,7 @@
         connect_timeout: SECOND,
         idle_close: 10 * SECOND,
         max_retry_after: SECOND,
-        must_ask: false,
+        list_on_request: false,
         weights: Weights::None,
         over_share_worth: 0.1,
         report: (None, None),
@@ -55,12 +55,12 @@
     }
 }
 
-fn route() -> RouteOutlook {
-    RouteOutlook::new([0.0, f64::INFINITY, 10.0], 0, None, Some((100_000.0, 20_000.0)))
+fn route() -> RouteSummary {
+    RouteSummary::new([0.0, f64::INFINITY, 10.0], 0, None, Some((100_000.0, 20_000.0)))
 }
 
-fn well(route: RouteOutlook) -> Outlook {
-    Outlook { endpoints: 2, bundle: 8, routes: vec![route], ..Outlook::default() }
+fn well(route: RouteSummary) -> DestinationSummary {
+    DestinationSummary { endpoints: 2, max_batch: 8, routes: vec![route], ..DestinationSummary::default() }
 }
 
 fn run(messages: u64) -> Run {
@@ -74,7 +74,7 @@
     }
 }
 
-fn planned(run: &Run, outlook: impl Fn(DestinationId) -> Outlook) -> Planned {
+fn planned(run: &Run, outlook: impl Fn(DestinationId) -> DestinationSummary) -> Planned {
     plan(run, (Some(0), Some(0)), &settings(), &Runs::default(), 100 * SECOND, outlook).unwrap().0
 }
 
@@ -84,19 +84,19 @@
     assert_eq!((said.endpoints, said.attempts.least, said.attempts.most), (4, 800, 3_200));
     assert!(said.calls.least == 100 && said.calls.holds(150) && said.calls.most >= 800, "{:?}", said.calls);
     assert!(said.wire_bytes.least >= 800 * 300 && said.wire_bytes.expected > said.wire_bytes.least);
-    let limited = RouteOutlook { limit: 10.0, ..route() };
+    let limited = RouteSummary { limit: 10.0, ..route() };
     let slow = planned(&run(800), |_| well(limited));
     assert!(slow.time.least > said.time.least && slow.time.expected > 10 * SECOND, "{:?}", slow.time);
     assert!(said.in_time || said.time.most > 24 * SECOND);
     assert!(!slow.in_time);
-    let paced = planned(&run(800), |_| well(RouteOutlook { pace: 2.0, ..route() }));
+    let paced = planned(&run(800), |_| well(RouteSummary { pace: 2.0, ..route() }));
     assert!(paced.time.expected > 30 * SECOND, "{:?}", paced.time);
     assert!(said.connections.most <= 32 && said.connections.least >= 1);
 }
 
 #[test]
 fn a_destination_that_is_down_is_named_and_the_run_takes_as_long_as_it_is_shut() {
-    let down = RouteOutlook { shut_until: 103 * SECOND, cold: Some(0.2), ..route() };
+    let down = RouteSummary { blocked_until: 103 * SECOND, cold_share: Some(0.2), ..route() };
     let up = planned(&run(100), |_| well(route()));
     let said = planned(&run(100), |to| well(if to.0 == 2 { down } else { route() }));
     assert_eq!(said.shut.into_iter().collect::<Vec<_>>(), [(2, 3 * SECOND)]);
@@ -110,7 +110,7 @@
         let (said, raw) =
             plan(&run(400), (Some(0), Some(0)), &settings(), runs, 0, |_| well(route())).unwrap();
         let took = raw.map(|raw| (raw * times) as u64);
-        runs.learn("note", raw, &said, Took { figures: took });
+        runs.learn("note", raw, &said, RunTimes { figures: took });
         said
     };
     let mut rng = fastrand::Rng::with_seed(3);
@@ -126,7 +126,7 @@
 fn a_run_fits_into_its_tenants_share_now_later_or_only_more_slowly() {
     // A quota of 40 a second, of which a sender of four has ten.
     let idle = |_| well(route());
-    let busy = |_| Outlook { tenant_rate: 30.0, ..well(route()) };
+    let busy = |_| DestinationSummary { tenant_rate: 30.0, ..well(route()) };
     assert_eq!(planned(&run(30), idle).fits, Fits::Now);
     let Fits::After { after } = planned(&run(20), busy).fits else { panic!() };
     // 30 a second fade to the five that are left in ln 6 aims.
@@ -138,13 +138,15 @@
 
 #[test]
 fn what_is_wrong_with_a_run_is_named() {
-    let ask = |run: &Run, places| plan(run, places, &settings(), &Runs::default(), 0, |_| Outlook::default());
+    let ask = |run: &Run, places| {
+        plan(run, places, &settings(), &Runs::default(), 0, |_| DestinationSummary::default())
+    };
     let both = (Some(0), Some(0));
-    assert_eq!(ask(&run(1), both).unwrap_err(), NoRun::Nowhere(1));
-    assert_eq!(ask(&run(1), (None, Some(0))).unwrap_err(), NoRun::Class("note".into()));
-    assert_eq!(ask(&run(1), (Some(0), None)).unwrap_err(), NoRun::Tenant("a".into()));
+    assert_eq!(ask(&run(1), both).unwrap_err(), RunError::Nowhere(1));
+    assert_eq!(ask(&run(1), (None, Some(0))).unwrap_err(), RunError::Class("note".into()));
+    assert_eq!(ask(&run(1), (Some(0), None)).unwrap_err(), RunError::Tenant("a".into()));
     let none = Run { destinations: vec![], ..run(1) };
-    assert_eq!(ask(&none, both).unwrap_err(), NoRun::Destinations(0));
+    assert_eq!(ask(&none, both).unwrap_err(), RunError::Destinations(0));
     let most = Run { messages: u64::MAX, body_bytes: u64::MAX, over_ms: u64::MAX, ..run(1) };
     assert_eq!(planned(&most, |_| well(route())).attempts.most, u64::MAX);
 }
--- a/tests/estimate/tier.rs
+++ b/tests/estimate/tier.rs
@@ -6,7 +6,7 @@
 use myrtleyard::estimate::estimator::Estimator;
 use myrtleyard::estimate::learned::{Figure, Shape};
 use myrtleyard::membership::Rank;
-use myrtleyard::status::{Entry, Life, LogId, Query, ShardId, State};
+use myrtleyard::status::{Entry, Generation, LogId, Query, ShardId, State};
 
 use super::{SPAN, entry, facts, query, touch};
 
@@ -35,7 +35,7 @@
         let estimator = |own: usize| {
             let mut estimator =
                 Estimator::new(own as Rank, SENDERS, 1, SPAN, BTreeMap::new(), seed + own as u64, now);
-            estimator.look(super::Facts { own: own as Rank, ..facts(SENDERS) });
+            estimator.set_view(super::MembershipView { own: own as Rank, ..facts(SENDERS) });
             estimator
         };
         Self {
@@ -86,13 +86,13 @@
         let later = self.on_the_way.split_off(&(now, 0));
         for (from, to, bytes) in std::mem::replace(&mut self.on_the_way, later).into_values() {
             let estimator = &mut self.estimators[usize::from(to)];
-            assert!(bytes.len() <= 256 && estimator.claims(&bytes));
+            assert!(bytes.len() <= 256 && estimator.accepts(&bytes));
             estimator.receive(now, from, &bytes);
         }
         for at in 0..SENDERS {
             let estimator = &mut self.estimators[at];
-            if estimator.makes(now) {
-                let log = LogId { owner: at as Rank, life: Life(at as u64 + 1) };
+            if estimator.summaries_due(now) {
+                let log = LogId { owner: at as Rank, generation: Generation(at as u64 + 1) };
                 let entries = &self.entries[at];
                 let shard = |e: &Entry| ShardId { owner: at as Rank, span: (e.taken_at / SPAN) as u32 };
                 estimator.summarise(now, now, (log, self.upto[at]), || entries.iter().map(|e| (shard(e), e)));
--- a/tests/list_memory.rs
+++ b/tests/list_memory.rs
@@ -11,13 +11,13 @@
 use myrtleyard::endpoints::Bounds;
 use myrtleyard::endpoints::listing::Listing;
 use myrtleyard::endpoints::reader::{self, List};
-use myrtleyard::endpoints::table::{Table, WORN_SHARE};
+use myrtleyard::endpoints::table::{REBUILD_SHARE, Table};
 
 /// Bytes that one table may add to the process.
 const ONE: u64 = 23_000_000;
 
 /// Bytes that the process may have more at any time: a worn table, and another one being made of a stream.
-const MOST: u64 = 48_000_000;
+const MAX_BYTES: u64 = 48_000_000;
 
 /// Snapshots taken in a row, each while the former one is held.
 const ROUNDS: usize = 3;
@@ -38,11 +38,11 @@
 }
 
 fn wear(table: &mut Table) {
-    for number in 0..=DESIGN.endpoints / WORN_SHARE as u32 {
+    for number in 0..=DESIGN.endpoints / REBUILD_SHARE as u32 {
         let entry = Listing { weight: 0.25, ..DESIGN.entry(number) };
         table.change(entry, usize::MAX).unwrap();
     }
-    assert!(table.worn());
+    assert!(table.needs_rebuild());
 }
 
 /// Guards the memory of a sender, and that what a list took goes back to the system with it.
@@ -58,6 +58,6 @@
         assert_eq!((table.len(), table.destinations()), (558_000, 310_000));
         let (one, most) = (memory("VmRSS") - before, memory("VmHWM") - before);
         assert!(one <= ONE + ONE / 20, "{one} bytes are held after round {round}");
-        assert!(most <= MOST, "{most} bytes at most in round {round}");
+        assert!(most <= MAX_BYTES, "{most} bytes at most in round {round}");
     }
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -11,7 +11,7 @@
 
 fn settled(size: usize, seed: u64) -> Tier {
     let mut tier = Tier::new(size, seed);
-    tier.until(30, Tier::whole).expect("the views do not converge");
+    tier.until(30, Tier::converged).expect("the views do not converge");
     tier.pass(5 * PERIOD);
     tier
 }
@@ -22,19 +22,19 @@
         [(2, 1, 6, 0), (3, 2, 6, 8), (10, 3, 6, 8), (100, 4, 10, 10), (300, 5, 15, 12)]
     {
         let mut tier = Tier::new(size, seed);
-        tier.until(known, Tier::whole).unwrap_or_else(|| panic!("{size}: the views do not converge"));
+        tier.until(known, Tier::converged).unwrap_or_else(|| panic!("{size}: the views do not converge"));
         tier.pass(3 * PERIOD);
-        tier.take(1);
+        tier.remove(1);
         if size == 2 {
             // A member that hears nobody may itself be the one that is cut off.
             tier.pass(50 * PERIOD);
             assert!(tier.all_see(1, State::Suspect) && tier.members[0].as_ref().unwrap().isolated(tier.now));
         } else {
-            let after = tier.until(seen, |tier| tier.all_see(1, State::Dead) && tier.equal());
+            let after = tier.until(seen, |tier| tier.all_see(1, State::Dead) && tier.views_equal());
             assert!(after.unwrap_or_else(|| panic!("{size}: the crash is not seen")) > 3, "too early");
         }
         tier.start(1);
-        assert!(tier.until(12, Tier::whole).is_some(), "{size}: the restart is not seen");
+        assert!(tier.until(12, Tier::converged).is_some(), "{size}: the restart is not seen");
     }
 }
 
@@ -50,7 +50,7 @@
     for size in [2, 10, 200] {
         // Besides its heartbeats, a member may ask once per period, and it answers asks.
         let cost = cost(size);
-        assert!((9.9..SENDS as f64 + 2.0).contains(&cost), "{size}: {cost}");
+        assert!((9.9..DATAGRAMS_PER_PERIOD as f64 + 2.0).contains(&cost), "{size}: {cost}");
     }
 }
 
@@ -63,10 +63,10 @@
         tier.echo = (0.1, 2 * PERIOD);
         for period in 0..150 {
             tier.pass(PERIOD);
-            assert_eq!(tier.wronged(), 0, "{size} members, {loss} lost, period {period}");
+            assert_eq!(tier.false_deaths(), 0, "{size} members, {loss} lost, period {period}");
         }
         tier.loss = 0.0;
-        assert!(tier.until(10, Tier::whole).is_some(), "{size} members, {loss} lost");
+        assert!(tier.until(10, Tier::converged).is_some(), "{size} members, {loss} lost");
     }
 }
 
@@ -89,16 +89,16 @@
         tier.cut = cut;
         for period in 0..200 {
             tier.pass(PERIOD);
-            assert_eq!(tier.wronged(), 0, "{name}, period {period}");
+            assert_eq!(tier.false_deaths(), 0, "{name}, period {period}");
         }
-        assert!(tier.equal(), "{name}");
+        assert!(tier.views_equal(), "{name}");
     }
     // A network whose datagrams take up to three periods, every third period.
     let mut tier = settled(30, 12);
     for period in 0..200 {
         tier.delay = if period % 3 == 0 { (500, 3 * PERIOD) } else { (500, 20_000) };
         tier.pass(PERIOD);
-        assert_eq!(tier.wronged(), 0, "slow, period {period}");
+        assert_eq!(tier.false_deaths(), 0, "slow, period {period}");
     }
 }
 
@@ -128,7 +128,7 @@
             }
         }
         tier.cut = Box::new(|_, _, _| false);
-        let healed = tier.until(10, Tier::whole);
+        let healed = tier.until(10, Tier::converged);
         assert!(healed.is_some(), "{name}: the split does not heal");
     }
 }
@@ -139,34 +139,34 @@
     let mut out = vec![];
     let now = tier.now;
     tier.members[5].as_mut().unwrap().leave(now, &mut out);
-    tier.post(5, out);
-    tier.take(5);
+    tier.send(5, out);
+    tier.remove(5);
     assert!(tier.until(5, |tier| tier.all_see(5, State::Left)).is_some(), "the leave is not seen");
     for _ in 0..40 {
         tier.pass(PERIOD);
         assert!(tier.all_see(5, State::Left), "the state does not stay");
     }
     tier.start(5);
-    assert!(tier.until(10, Tier::whole).is_some());
+    assert!(tier.until(10, Tier::converged).is_some());
 }
 
 #[test]
 fn seven_in_ten_killed_at_once_are_seen_gone_and_back_together() {
     let mut tier = settled(50, 13);
-    (0..35).for_each(|rank| drop(tier.take(rank)));
-    let gone = tier.until(40, |t| (0..35).all(|rank| t.all_see(rank, State::Dead)) && t.equal());
+    (0..35).for_each(|rank| drop(tier.remove(rank)));
+    let gone = tier.until(40, |t| (0..35).all(|rank| t.all_see(rank, State::Dead)) && t.views_equal());
     assert!(gone.is_some(), "the deaths are not seen");
     assert!(tier.members[40].as_ref().unwrap().minority());
-    assert_eq!(tier.wronged(), 0);
+    assert_eq!(tier.false_deaths(), 0);
     (0..35).for_each(|rank| tier.start(rank));
-    assert!(tier.until(10, Tier::whole).is_some(), "the restarts are not seen");
+    assert!(tier.until(10, Tier::converged).is_some(), "the restarts are not seen");
 }
 
 /// A paused process must attribute the silence to its own pause: it suspects nobody when it resumes.
 #[test]
 fn who_was_stopped_finds_itself_to_blame() {
     let mut tier = settled(10, 14);
-    let stopped = tier.take(2);
+    let stopped = tier.remove(2);
     assert!(tier.until(20, |tier| tier.all_see(2, State::Dead)).is_some());
     tier.pass(30 * PERIOD);
     tier.put(2, stopped);
@@ -178,8 +178,8 @@
             0
         );
     }
-    assert!(tier.whole());
-    let (stops, last) = tier.members[2].as_ref().unwrap().stops();
+    assert!(tier.converged());
+    let (stops, last) = tier.members[2].as_ref().unwrap().pauses();
     assert!(stops == 1 && last.is_some_and(|at| at >= now));
 }
 
@@ -190,7 +190,7 @@
         let mut tier = settled(20, 15);
         let before = tier.members[0].as_ref().unwrap().version;
         for _ in 0..cycles {
-            let member = tier.take(6);
+            let member = tier.remove(6);
             tier.pass(away * PERIOD);
             tier.put(6, member);
             tier.pass(back * PERIOD);
@@ -207,14 +207,17 @@
 fn a_restart_faster_than_detection_is_a_new_life_also_without_a_folder() {
     let mut tier = settled(10, 16);
     for life in 2..6 {
-        tier.take(3);
+        tier.remove(3);
         tier.start(3);
         let risen = |t: &Tier| t.members.iter().flatten().all(|m| m.members()[3].record.incarnation == life);
         assert!(tier.until(6, risen).is_some(), "life {life}");
         assert!(tier.all_see(3, State::Alive));
     }
     let seen = tier.members[0].as_ref().unwrap().history().filter(|change| change.member == 3);
-    assert!(seen.filter(|change| change.from == change.to).count() >= 4, "each restart is a change in the history");
+    assert!(
+        seen.filter(|change| change.from == change.to).count() >= 4,
+        "each restart is a change in the history"
+    );
 }
 
 fn forged(from: Rank, tier: u32, size: u16, records: &[(Rank, Record)]) -> Vec<u8> {
@@ -265,8 +268,8 @@
     assert!(counts.unreadable > 0 && counts.foreign >= 2 && counts.unknown == 1, "{counts:?}");
     assert_eq!(member.members().len(), 10);
     assert!(out.len() < 100, "{} answers to 40,000 datagrams", out.len());
-    tier.post(0, out);
-    assert!(tier.until(20, Tier::whole).is_some(), "the views do not recover");
+    tier.send(0, out);
+    assert!(tier.until(20, Tier::converged).is_some(), "the views do not recover");
 }
 
 /// Guards the rollout of a longer list: members with the old and with the new list see each other alive.
@@ -337,7 +340,7 @@
     #[test]
     fn any_bytes_are_read_or_turned_down(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         if let Some(read) = Datagram::read(&bytes) {
-            prop_assert!(read.records.len() <= MOST_RECORDS);
+            prop_assert!(read.records.len() <= MAX_RECORDS);
         }
     }
 }
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -9,7 +9,7 @@
 use std::hash::{Hash, Hasher};
 
 use myrtleyard::interface::Micros;
-use myrtleyard::membership::{Membership, Rank, SENDS, State};
+use myrtleyard::membership::{DATAGRAMS_PER_PERIOD, Membership, Rank, State};
 use stateright::{Checker, Model, Property};
 use tier::{PERIOD, START, config, place};
 
@@ -103,8 +103,8 @@
     /// Lets time pass: each running member ticks, and its datagrams arrive at once unless their link is cut.
     fn pass(&self, tier: &mut Tier, periods: u64, cut: u32) {
         let link = |a: usize, b: usize| a * (self.size - 1) + if b > a { b - 1 } else { b };
-        for _ in 0..periods * SENDS as u64 {
-            tier.now += PERIOD / SENDS as u64;
+        for _ in 0..periods * DATAGRAMS_PER_PERIOD as u64 {
+            tier.now += PERIOD / DATAGRAMS_PER_PERIOD as u64;
             for rank in 0..self.size {
                 let mut out = vec![];
                 if let Some(process) = tier.processes[rank].as_mut().filter(|p| !p.stopped) {
@@ -204,13 +204,10 @@
                 // A member that is alone hears nobody, and declares nobody dead.
                 !tier.calm || digests.len() < 2 || digests.windows(2).all(|two| two[0] == two[1])
             }),
-            Property::always(
-                "every member is alive in its own view",
-                |_, tier: &Tier| {
-                    let own = |p: &Process| p.member.state(p.member.own()) == Some(State::Alive);
-                    tier.processes.iter().flatten().all(own)
-                },
-            ),
+            Property::always("every member is alive in its own view", |_, tier: &Tier| {
+                let own = |p: &Process| p.member.state(p.member.own()) == Some(State::Alive);
+                tier.processes.iter().flatten().all(own)
+            }),
         ]
     }
 }
--- a/tests/plans.rs
+++ b/tests/plans.rs
@@ -3,25 +3,25 @@
 use std::collections::BTreeMap;
 
 use myrtleyard::interface::Micros;
-use myrtleyard::membership::{Fact, Facts, State};
-use myrtleyard::plans::limits::{Denied, MOST_TENANTS, OTHERS, Plans, Tally};
-use myrtleyard::plans::route::{Holder, Log, Reason, Role, Route, Stated, World};
+use myrtleyard::membership::{MemberView, MembershipView, State};
+use myrtleyard::plans::limits::{Denied, MAX_TENANTS, OTHERS, Plans, Tally};
+use myrtleyard::plans::route::{Holder, HolderReply, Log, Reason, Role, Route, RouteContext};
 use myrtleyard::plans::session::{ANSWER_WITHIN, ASK_WITHIN, Ask, Ended, Outcome, Read, Verdict};
-use myrtleyard::plans::token::{LONGEST, MOST_LOGS, Token, Unreadable, VERSION};
-use myrtleyard::plans::{Config, Level, Otherwise, Plan};
-use myrtleyard::status::{Life, LogId, Positions, Rank, Reached};
+use myrtleyard::plans::token::{MAX_LOGS, MAX_TOKEN_LEN, Token, TokenError, VERSION};
+use myrtleyard::plans::{Config, Fallback, Level, Plan};
+use myrtleyard::status::{Generation, LogId, Positions, Rank, Watermark};
 use proptest::prelude::*;
 
 const TIER: u32 = 77;
 const NOW: Micros = 100_000_000;
 
 fn log(owner: Rank, life: u64) -> LogId {
-    LogId { owner, life: Life(life) }
+    LogId { owner, generation: Generation(life) }
 }
 
 fn token(logs: &[(Rank, u64, u64)]) -> Token {
     let mut token = Token::default();
-    logs.iter().for_each(|(owner, life, upto)| token.see(log(*owner, *life), *upto));
+    logs.iter().for_each(|(owner, life, upto)| token.observe(log(*owner, *life), *upto));
     token
 }
 
@@ -50,16 +50,16 @@
         for (log, upto) in a.logs().chain(b.logs()) {
             prop_assert!(both.upto(log).map_or(both.overflowed(), |held| held >= upto));
         }
-        prop_assert!(both.logs().count() <= MOST_LOGS);
+        prop_assert!(both.logs().count() <= MAX_LOGS);
     }
 
     /// Guards against a token that a header, a proxy or a client has changed: it is taken whole or not at all.
     #[test]
     fn a_token_is_read_as_it_was_written_or_not(a in any_token(), at in any::<prop::sample::Index>(), with in 0..64u8) {
         let text = a.text(TIER);
-        prop_assert!(text.len() <= LONGEST);
+        prop_assert!(text.len() <= MAX_TOKEN_LEN);
         prop_assert_eq!(Token::read(&text, TIER), Ok(a));
-        prop_assert_eq!(Token::read(&text, TIER + 1), Err(Unreadable::Foreign));
+        prop_assert_eq!(Token::read(&text, TIER + 1), Err(TokenError::Foreign));
         for end in 0..text.len() {
             prop_assert!(Token::read(&text[..end], TIER).is_err(), "cut at {}", end);
         }
@@ -79,24 +79,24 @@
 #[test]
 fn each_unreadable_token_is_told_by_its_kind() {
     let text = token(&[(1, 2, 3)]).text(TIER);
-    let kind = |text: &str| Token::read(text, TIER).err().map(Unreadable::code);
-    assert_eq!(kind(&"A".repeat(LONGEST + 1)), Some("token_long"));
+    let kind = |text: &str| Token::read(text, TIER).err().map(TokenError::code);
+    assert_eq!(kind(&"A".repeat(MAX_TOKEN_LEN + 1)), Some("token_long"));
     assert_eq!(kind("not a token!"), Some("token_text"));
     assert_eq!(kind(&text[..text.len() - 4]), Some("token_cut"));
     assert_eq!(kind(""), Some("token_cut"));
-    assert_eq!(Token::read("____________________", TIER), Err(Unreadable::Version(255)));
+    assert_eq!(Token::read("____________________", TIER), Err(TokenError::Version(255)));
     assert_ne!(VERSION, 255);
-    assert_eq!(Token::read(&text, TIER + 1).err().map(Unreadable::code), Some("token_foreign"));
+    assert_eq!(Token::read(&text, TIER + 1).err().map(TokenError::code), Some("token_foreign"));
 }
 
 /// Guards against a lesser position that comes in where a token that overflowed has room again.
 #[test]
 fn what_overflowed_asks_for_more_and_never_for_less() {
     let mut full = Token::default();
-    (0..=MOST_LOGS as u16).for_each(|owner| full.see(log(owner, 1), 9));
-    let left_out = log(MOST_LOGS as u16, 1);
+    (0..=MAX_LOGS as u16).for_each(|owner| full.observe(log(owner, 1), 9));
+    let left_out = log(MAX_LOGS as u16, 1);
     assert!(full.overflowed() && full.upto(left_out).is_none());
-    full.see(left_out, 3);
+    full.observe(left_out, 3);
     assert_eq!(full.upto(left_out), None);
     assert_eq!(full.without(&[log(0, 1)]), None);
     let read = Token::read(&full.text(TIER), TIER);
@@ -127,7 +127,7 @@
     silent: Vec<Rank>,
     /// A log's owner has begun another life.
     over: Vec<LogId>,
-    empty: Option<Reached>,
+    empty: Option<Watermark>,
     own: Rank,
     size: usize,
     as_of: Micros,
@@ -158,8 +158,8 @@
         }
     }
 
-    fn reached(&self, upto: u64) -> Reached {
-        Reached { upto, as_of: self.as_of }
+    fn reached(&self, upto: u64) -> Watermark {
+        Watermark { upto, as_of: self.as_of }
     }
 
     fn read(&mut self, plan: &Plan, token: &Token, logs: &[LogId]) -> Ended<u64> {
@@ -171,10 +171,14 @@
                 self.has.insert((log, rank), upto);
             }
             let state = |rank: Rank| self.states.get(&rank).copied().unwrap_or(State::Alive);
-            let fact =
-                |rank| Fact { state: state(rank as Rank), since: 0, incarnation: 1, near: rank % 2 == 0 };
+            let fact = |rank| MemberView {
+                state: state(rank as Rank),
+                since: 0,
+                incarnation: 1,
+                same_zone: rank % 2 == 0,
+            };
             let members = (0..self.size).map(fact).collect();
-            let facts = Facts { own: self.own, members, isolated: false, minority: false };
+            let facts = MembershipView { own: self.own, members, isolated: false, minority: false };
             let role = |rank| self.roles.get(&rank).copied().unwrap_or(Role::Replica);
             let holders = |id: LogId| {
                 let of = self.hints.iter().filter(|hint| hint.0.0 == id);
@@ -190,7 +194,7 @@
             let own = self.has.iter().filter(|has| has.0.1 == self.own);
             let here: Positions = own.map(|has| (has.0.0, self.reached(*has.1))).collect();
             let cost = |rank, _| self.costs.get(&rank).copied().unwrap_or(100);
-            let world = World {
+            let world = RouteContext {
                 own: self.own,
                 here: &here,
                 facts: Some(&facts),
@@ -206,9 +210,9 @@
             for ask in &asks {
                 for (log, _) in ask.logs.iter().filter(|_| !self.silent.contains(&ask.to)) {
                     let stated = match self.has.get(&(*log, ask.to)) {
-                        _ if ask.to == log.owner && self.over.contains(log) => Stated::Over,
-                        Some(upto) => Stated::Has(self.reached(*upto)),
-                        None => Stated::Nothing,
+                        _ if ask.to == log.owner && self.over.contains(log) => HolderReply::Over,
+                        Some(upto) => HolderReply::Has(self.reached(*upto)),
+                        None => HolderReply::Nothing,
                     };
                     read.answered((ask.to, ask.number), *log, stated, (1, u64::from(ask.to)));
                 }
@@ -256,10 +260,10 @@
     adopted.hints.insert((id, 4), 0);
     assert_eq!(route(adopted), Some((Route::Adopter(4), Reason::TookOver)));
     let mut empty = tier();
-    empty.empty = Some(Reached { upto: 5, as_of: 0 });
+    empty.empty = Some(Watermark { upto: 5, as_of: 0 });
     assert_eq!(route(empty), Some((Route::NotTouched, Reason::Summary)));
     let mut old_summary = tier();
-    old_summary.empty = Some(Reached { upto: 4, as_of: 0 });
+    old_summary.empty = Some(Watermark { upto: 4, as_of: 0 });
     assert_eq!(route(old_summary), Some((Route::Owner(0), Reason::Cheapest)));
 }
 
@@ -311,7 +315,7 @@
     let ended = tier.read(&session, &token(&[(0, 1, 5)]), &[id]);
     assert_eq!((ended.outcome, ended.parts[0].verdict), (Outcome::Refused, Verdict::Late));
     assert_eq!((&ended.parts[0].answer, &ended.token), (&None, &token(&[(0, 1, 5)])));
-    let stale = Plan { otherwise: Otherwise::TellStale, ..session };
+    let stale = Plan { otherwise: Fallback::TellStale, ..session };
     let ended = lagging().read(&stale, &token(&[(0, 1, 5)]), &[id]);
     assert_eq!(ended.outcome, Outcome::Less);
     assert_eq!(ended.parts[0].answer.as_ref().map(|answer| answer.1.upto), Some(4));
@@ -370,7 +374,7 @@
     let text = token(&[(1, 2, 3)]).text(TIER);
     let denied = plans.admit("shop", Some(&text), TIER, NOW);
     assert_eq!(denied, Err(Denied::NoSession { plan: "default".into(), level: "any" }));
-    assert_eq!(plans.admit("bank", Some("x!"), TIER, NOW), Err(Denied::Token(Unreadable::Text)));
+    assert_eq!(plans.admit("bank", Some("x!"), TIER, NOW), Err(Denied::Token(TokenError::Text)));
     let mut admitted = |at| (0..30).filter(|_| plans.admit("bank", Some(&text), TIER, at).is_ok()).count();
     assert_eq!([admitted(NOW), admitted(NOW + 500_000), admitted(NOW + 9_000_000)], [10, 5, 10]);
     // A clock that steps back keeps nobody out for longer than a burst.
@@ -388,13 +392,13 @@
 #[test]
 fn tenants_are_bounded_and_the_rest_shares_one_place() {
     let mut plans = Plans::new([("default".to_owned(), Plan { reads_per_s: 1, ..Plan::default() })].into());
-    for tenant in 0..MOST_TENANTS + 50 {
+    for tenant in 0..MAX_TENANTS + 50 {
         let admitted = plans.admit(&format!("t{tenant}"), None, TIER, NOW).is_ok();
-        assert_eq!(admitted, tenant <= MOST_TENANTS, "tenant {tenant}");
+        assert_eq!(admitted, tenant <= MAX_TENANTS, "tenant {tenant}");
         let tally = Tally { asked: 2, ..Tally::default() };
         plans.ended(&format!("t{tenant}"), Level::Any, Outcome::Less, [Verdict::Late].into_iter(), tally);
     }
-    assert!(plans.counts().count() <= MOST_TENANTS + 3);
+    assert!(plans.counts().count() <= MAX_TENANTS + 3);
     let others = plans.counts().find(|counts| counts.0 == OTHERS).map(|counts| *counts.2);
     assert!(
         others.is_some_and(|c| c.less == 50 && c.late == 50 && c.asked == 100 && c.denied > 0),
@@ -407,12 +411,12 @@
 /// Guards monotonic reads: rows of a log that has its answer already may be shown with those of another one.
 #[test]
 fn what_came_with_a_later_answer_counts_for_the_session() {
-    let log = LogId { owner: 1, life: Life(7) };
+    let log = LogId { owner: 1, generation: Generation(7) };
     let plan = Plan { level: Level::Session, ..Plan::default() };
     let Ok(mut read) = Read::begin(&plan, Token::default(), [log], NOW, ANSWER_WITHIN) else {
         unreachable!("one log")
     };
-    let has = |upto| Stated::Has(Reached { upto, as_of: NOW });
+    let has = |upto| HolderReply::Has(Watermark { upto, as_of: NOW });
     read.answered((1, 1), log, has(5), (5, 0u64));
     read.answered((2, 2), log, has(9), (9, 0));
     assert_eq!(read.ended().token.upto(log), Some(9));
--- a/tests/plans_model.rs
+++ b/tests/plans_model.rs
@@ -6,13 +6,13 @@
 use std::fmt;
 
 use myrtleyard::interface::Micros;
-use myrtleyard::membership::{Fact, Facts, State};
-use myrtleyard::plans::adopted::{Adopted, Known};
-use myrtleyard::plans::route::{Holder, Log, Need, Role, Stated, World};
+use myrtleyard::membership::{MemberView, MembershipView, State};
+use myrtleyard::plans::adopted::{Adopted, ReplicaNumbers};
+use myrtleyard::plans::route::{Holder, HolderReply, Log, Need, Role, RouteContext};
 use myrtleyard::plans::session::{ANSWER_WITHIN, Outcome, Read, Verdict};
 use myrtleyard::plans::token::Token;
-use myrtleyard::plans::{Level, Otherwise, Plan};
-use myrtleyard::status::{Life, LogId, Positions, Rank, Reached};
+use myrtleyard::plans::{Fallback, Level, Plan};
+use myrtleyard::status::{Generation, LogId, Positions, Rank, Watermark};
 use stateright::{Checker, Model, Property};
 
 /// All reads begin then, by a clock of their own: when they do makes no difference.
@@ -62,15 +62,27 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Passed {
     Change(Rank, Rank, LogId, u64),
-    Facts(Rank, Rank, LogId, Mask, u64),
-    Asked { read: (usize, usize), number: u32, from: Rank, to: Rank, logs: Vec<(LogId, Need)> },
-    Answered { read: (usize, usize), number: u32, from: Rank, to: Rank, logs: Vec<(LogId, Stated, Mask)> },
+    MembershipView(Rank, Rank, LogId, Mask, u64),
+    Asked {
+        read: (usize, usize),
+        number: u32,
+        from: Rank,
+        to: Rank,
+        logs: Vec<(LogId, Need)>,
+    },
+    Answered {
+        read: (usize, usize),
+        number: u32,
+        from: Rank,
+        to: Rank,
+        logs: Vec<(LogId, HolderReply, Mask)>,
+    },
 }
 
 impl Passed {
     fn link(&self) -> (Rank, Rank) {
         match self {
-            Self::Change(from, to, ..) | Self::Facts(from, to, ..) => (*from, *to),
+            Self::Change(from, to, ..) | Self::MembershipView(from, to, ..) => (*from, *to),
             Self::Asked { from, to, .. } | Self::Answered { from, to, .. } => (*from, *to),
         }
     }
@@ -201,17 +213,21 @@
     }
 
     fn log(tier: &Tier, owner: Rank) -> LogId {
-        LogId { owner, life: Life(tier.senders[usize::from(owner)].life) }
+        LogId { owner, generation: Generation(tier.senders[usize::from(owner)].life) }
     }
 
     /// What a sender states of a log, and shows.
-    fn states(&self, tier: &Tier, rank: Rank, log: LogId, need: Need) -> (Stated, Mask) {
+    fn states(&self, tier: &Tier, rank: Rank, log: LogId, need: Need) -> (HolderReply, Mask) {
         let sender = &tier.senders[usize::from(rank)];
-        let has = |number: u64, mask: Mask| (Stated::Has(Reached { upto: number, as_of: 1 }), mask);
+        let has = |number: u64, mask: Mask| (HolderReply::Has(Watermark { upto: number, as_of: 1 }), mask);
         if rank == log.owner {
-            return if log.life.0 == sender.life { has(sender.last, sender.kept) } else { (Stated::Over, 0) };
+            return if log.generation.0 == sender.life {
+                has(sender.last, sender.kept)
+            } else {
+                (HolderReply::Over, 0)
+            };
         }
-        let Some(copy) = sender.copies.get(&log) else { return (Stated::Nothing, 0) };
+        let Some(copy) = sender.copies.get(&log) else { return (HolderReply::Nothing, 0) };
         let claimed = match self.fault {
             Fault::EarlyClaim => greatest(copy.mask),
             _ => prefix(copy.mask),
@@ -223,15 +239,17 @@
         match adopted.upto() {
             Some(number) => has(number.max(claimed), copy.mask),
             // What it has for sure it may tell; that it has no more, it may not.
-            None if need.met(log, rank, Reached { upto: claimed, as_of: 1 }) => has(claimed, copy.mask),
-            None => (Stated::NotYet, 0),
+            None if need.met(log, rank, Watermark { upto: claimed, as_of: 1 }) => has(claimed, copy.mask),
+            None => (HolderReply::NotYet, 0),
         }
     }
 
     /// Up to which number what it shows goes.
-    fn shows(&self, stated: Stated, shown: Mask) -> u64 {
+    fn shows(&self, stated: HolderReply, shown: Mask) -> u64 {
         match stated {
-            Stated::Has(reached) if self.fault == Fault::HidesBeyond => greatest(shown).min(reached.upto),
+            HolderReply::Has(reached) if self.fault == Fault::HidesBeyond => {
+                greatest(shown).min(reached.upto)
+            }
             _ => greatest(shown),
         }
     }
@@ -245,9 +263,9 @@
             let adopts = tier.senders[usize::from(rank)].adopts.contains_key(&id);
             let role = if adopts { Role::Adopter } else { Role::Replica };
             let reached = match (self.hints, self.states(tier, rank, id, Need::Any).0) {
-                (Hints::True, Stated::Has(reached)) => reached,
-                (Hints::Wrong, _) => Reached { upto: u64::MAX, as_of: u64::MAX },
-                _ => Reached { upto: 0, as_of: 0 },
+                (Hints::True, HolderReply::Has(reached)) => reached,
+                (Hints::Wrong, _) => Watermark { upto: u64::MAX, as_of: u64::MAX },
+                _ => Watermark { upto: 0, as_of: 0 },
             };
             Holder { rank, role, reached }
         };
@@ -259,21 +277,21 @@
         ids.into_iter().map(known).collect()
     }
 
-    fn facts(&self, tier: &Tier, own: Rank) -> Option<Facts> {
+    fn facts(&self, tier: &Tier, own: Rank) -> Option<MembershipView> {
         let member = |sender: &Sender| {
             let dead = match self.hints {
                 Hints::Wrong => !sender.down,
                 _ => sender.down,
             };
-            Fact {
+            MemberView {
                 state: if dead { State::Dead } else { State::Alive },
                 since: 0,
                 incarnation: 1,
-                near: true,
+                same_zone: true,
             }
         };
         let members = tier.senders.iter().map(member).collect();
-        let facts = Facts { own, members, isolated: false, minority: false };
+        let facts = MembershipView { own, members, isolated: false, minority: false };
         (self.hints != Hints::None).then_some(facts)
     }
 
@@ -286,11 +304,11 @@
         let here: Positions = logs
             .iter()
             .filter_map(|log| match self.states(tier, own, log.id, Need::Any).0 {
-                Stated::Has(reached) => Some((log.id, reached)),
+                HolderReply::Has(reached) => Some((log.id, reached)),
                 _ => None,
             })
             .collect();
-        let world = World {
+        let world = RouteContext {
             own,
             here: &here,
             facts: facts.as_ref(),
@@ -338,7 +356,7 @@
             let needed = if let Need::Upto(number) = part.need { upto(number) } else { 0 };
             let has = |rank: Rank| {
                 let sender = &tier.senders[usize::from(rank)];
-                let own = rank == part.log.owner && sender.life == part.log.life.0;
+                let own = rank == part.log.owner && sender.life == part.log.generation.0;
                 let copy = sender.copies.get(&part.log).map(|copy| copy.mask);
                 own.then_some(sender.kept).or(copy).is_some_and(|mask| mask & needed == needed)
             };
@@ -374,7 +392,7 @@
         if self.fault == Fault::LesserMerge {
             let mut lesser = Token::default();
             for (log, upto) in session.token.logs() {
-                lesser.see(log, before.upto(log).unwrap_or(upto).min(token.upto(log).unwrap_or(upto)));
+                lesser.observe(log, before.upto(log).unwrap_or(upto).min(token.upto(log).unwrap_or(upto)));
             }
             session.token = lesser;
         }
@@ -382,7 +400,7 @@
 
     fn begin(&self, tier: &mut Tier, session: usize, at: Rank) {
         let plan =
-            Plan { level: Level::Session, wait_ms: 30, otherwise: Otherwise::Refuse, ..Plan::default() };
+            Plan { level: Level::Session, wait_ms: 30, otherwise: Fallback::Refuse, ..Plan::default() };
         let logs: Vec<LogId> = self.logs(tier).into_iter().map(|log| log.id).collect();
         let known = &mut tier.sessions[session];
         known.reads += 1;
@@ -407,10 +425,10 @@
                 copy.mask |= bit(number);
                 copy.told = copy.told.max(number);
             }
-            Passed::Facts(from, to, log, mask, told) => {
+            Passed::MembershipView(from, to, log, mask, told) => {
                 let sender = &mut tier.senders[usize::from(to)];
                 let Some(adopted) = sender.adopts.get_mut(&log) else { return };
-                adopted.told(from, known(mask));
+                adopted.report(from, known(mask));
                 let copy = sender.copies.entry(log).or_default();
                 copy.mask |= mask;
                 copy.told = copy.told.max(told);
@@ -454,7 +472,7 @@
         sender.down = false;
         // A new process's first datagram ends the channels of the one before.
         let old = |passed: &Passed| match passed {
-            Passed::Change(from, ..) | Passed::Facts(from, ..) => *from == rank,
+            Passed::Change(from, ..) | Passed::MembershipView(from, ..) => *from == rank,
             _ => false,
         };
         tier.passed.retain(|passed| !old(passed));
@@ -519,7 +537,7 @@
         let has = |log: LogId, rank: Rank| {
             let needed = upto(tier.sessions[session].token.upto(log).unwrap_or(0));
             let (stated, shown) = self.states(tier, rank, log, Need::Any);
-            matches!(stated, Stated::Has(_)) && shown & needed == needed
+            matches!(stated, HolderReply::Has(_)) && shown & needed == needed
         };
         parts.iter().all(|(log, verdict)| match verdict {
             Verdict::Kept => true,
@@ -534,13 +552,13 @@
         let copy = tier.senders[usize::from(other)].copies.get(&log).cloned().unwrap_or_default();
         // Who is asked answers with what it has when it does; the question itself is left out here.
         if !tier.senders[usize::from(other)].down {
-            tier.passed.insert(Passed::Facts(other, rank, log, copy.mask, copy.told));
+            tier.passed.insert(Passed::MembershipView(other, rank, log, copy.mask, copy.told));
         }
     }
 }
 
-fn known(mask: Mask) -> Known {
-    Known { upto: prefix(mask), beyond: (1..16).filter(|number| mask & bit(*number) != 0).collect() }
+fn known(mask: Mask) -> ReplicaNumbers {
+    ReplicaNumbers { upto: prefix(mask), beyond: (1..16).filter(|number| mask & bit(*number) != 0).collect() }
 }
 
 impl Model for Checked {
@@ -631,7 +649,7 @@
                     tier.passed.insert(Passed::Change(owner, cover, log, number));
                 }
                 let mut token = Token::default();
-                token.see(log, number);
+                token.observe(log, number);
                 *tier.sessions[session].wrote.entry(log).or_default() |= bit(number);
                 self.merge(&mut tier.sessions[session], &token);
             }
@@ -691,7 +709,7 @@
                 }
                 let copy = sender.copies.entry(log).or_default();
                 let mut adopted = Adopted::new(covers);
-                adopted.told(covers.0, known(copy.mask));
+                adopted.report(covers.0, known(copy.mask));
                 sender.adopts.insert(log, adopted);
                 self.ask_facts(&mut tier, covers.0, log);
             }
