--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -14,18 +14,18 @@
 fn five_failures_open_and_a_success_closes() {
     let mut s = one();
     s.serve(20);
-    s.suffer(5, Outcome::Error);
+    s.fail_calls(5, Outcome::Error);
     let before = s.sent.len();
     s.accept(SAFE);
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert_eq!(s.sent.len(), before, "messages are held while the breaker is open");
-    s.pass(2 * SECOND);
+    s.advance(2 * SECOND);
     assert_eq!(s.sent.len(), before + 1, "one trial after half an aim");
     s.accept(SAFE);
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert_eq!(s.sent.len(), before + 1, "one trial at a time");
     s.end(Outcome::Delivered);
-    s.pass(4 * SECOND);
+    s.advance(4 * SECOND);
     assert!(s.sent.len() > before + 1, "closed by its success");
 }
 
@@ -42,15 +42,15 @@
     // The ramp allows the trial after three seconds. The first message has 50 ms left then.
     for time_left in [3 * SECOND + SECOND / 20, 10 * SECOND] {
         let message = s.message(SAFE, None, time_left);
-        s.tell(vec![Event::Accepted(message)]);
+        s.handle(vec![Event::Accepted(message)]);
     }
-    s.pass(3 * SECOND + SECOND / 10);
+    s.advance(3 * SECOND + SECOND / 10);
     assert_eq!(s.sent.len(), before + 1, "one trial");
     assert_eq!(s.refused.len(), 1, "the first message is answered at its deadline");
     assert_ne!(s.sent[before].message, s.refused[0].0);
     s.end(Outcome::Delivered);
     s.accept(SAFE);
-    s.pass(4 * SECOND);
+    s.advance(4 * SECOND);
     assert!(s.sent.len() > before + 1, "closed by its success");
 }
 
@@ -62,14 +62,14 @@
         s.accept(SAFE);
         s.end(Outcome::Error);
         // The repeat, or after two failures the next message, is served once the ramp allows it.
-        s.pass(4 * SECOND);
+        s.advance(4 * SECOND);
         while !s.out.is_empty() {
             s.end(Outcome::Delivered);
         }
     }
     let before = s.sent.len();
     s.accept(SAFE);
-    s.pass(3 * SECOND);
+    s.advance(3 * SECOND);
     assert!(s.sent.len() > before, "the breaker never opened");
 }
 
@@ -86,9 +86,9 @@
     }
     assert!(s.sent.len() - before <= 8);
     let refused = s.sent.len();
-    s.pass(SECOND / 10);
+    s.advance(SECOND / 10);
     assert_eq!(s.sent.len(), refused, "a pause follows the refusals");
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert!(s.sent.len() > refused, "sending continues, since the breaker is closed");
 }
 
@@ -103,19 +103,19 @@
         if let Event::Ended { report, .. } = &mut event {
             *report = vec![0.5, limit];
         }
-        s.tell(vec![event]);
+        s.handle(vec![event]);
     };
     for _ in 0..6 {
         s.accept(SAFE);
         while s.out.is_empty() {
-            s.pass(SECOND / 20);
+            s.advance(SECOND / 20);
         }
         told(&mut s, Outcome::Full(None), 3.0);
-        s.pass(SECOND);
+        s.advance(SECOND);
     }
     while !s.out.is_empty() {
         told(&mut s, Outcome::Delivered, 3.0);
-        s.pass(SECOND);
+        s.advance(SECOND);
     }
     let served = |s: &mut Sender, limit| {
         let before = s.sent.len();
@@ -123,7 +123,7 @@
             s.accept(SAFE);
         }
         for _ in 0..20 {
-            s.pass(SECOND / 20);
+            s.advance(SECOND / 20);
             while !s.out.is_empty() {
                 told(s, Outcome::Delivered, limit);
             }
@@ -145,12 +145,12 @@
     }
     assert_eq!(s.out.len(), 2);
     // Longer than a call may go unanswered, and shorter than the time-outs.
-    s.pass(SECOND * 3 / 10);
+    s.advance(SECOND * 3 / 10);
     let before = s.sent.len();
     s.accept(SAFE);
     assert_eq!(s.sent.len(), before, "two silent calls open the breaker");
     s.end(Outcome::Delivered);
-    s.pass(4 * SECOND);
+    s.advance(4 * SECOND);
     assert!(s.sent.len() > before, "a late answer closes the breaker");
 }
 
@@ -164,10 +164,10 @@
     assert!(first.until < s.now + SECOND, "{first:?}");
     let wait = s.out.iter().find(|out| out.message == once).map(|out| out.until - out.sent);
     assert_eq!(wait, Some(4 * SECOND), "a message that must not run twice waits until its aim");
-    s.pass(SECOND / 10);
+    s.advance(SECOND / 10);
     s.accept(SAFE);
     s.end_last(Outcome::Delivered);
-    s.pass(SECOND);
+    s.advance(SECOND);
     let again = s.sent.iter().rfind(|out| out.message == keyed).copied();
     let again = again.filter(|again| again.attempt == 1).expect("the message is repeated");
     assert!(again.until - again.sent > first.until - first.sent, "the repeat has a longer time-out");
@@ -200,7 +200,7 @@
     let mut s = Sender::new(settings(), &[entry(1, 2)]);
     s.serve(1);
     let batch = (0..40).map(|_| Event::Accepted(s.message(SAFE, None, 20 * SECOND))).collect();
-    s.tell(batch);
+    s.handle(batch);
     assert_eq!(s.out.len(), 30, "six calls of five");
 }
 
@@ -208,11 +208,11 @@
 fn every_message_is_answered_once_in_time() {
     let mut s = Sender::new(settings(), &[]);
     let id = s.accept(SAFE);
-    s.pass(19 * SECOND);
+    s.advance(19 * SECOND);
     assert!(s.refused.is_empty(), "held, since its destination may still be listed");
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert_eq!(s.refused, [(id, 0)]);
-    s.pass(10 * SECOND);
+    s.advance(10 * SECOND);
     assert_eq!((s.refused.len(), s.failed.len(), s.sent.len()), (1, 0, 0));
 }
 
@@ -221,8 +221,8 @@
     let mut s = one();
     let message = s.message(ONCE, None, 2 * SECOND);
     let id = message.id;
-    s.tell(vec![Event::Accepted(message)]);
-    s.pass(2 * SECOND);
+    s.handle(vec![Event::Accepted(message)]);
+    s.advance(2 * SECOND);
     assert_eq!(s.failed, [id]);
 }
 
@@ -231,9 +231,9 @@
     let mut s = one();
     s.accept(SAFE);
     let left = s.out[0].message;
-    s.tell(vec![Event::Left(left)]);
+    s.handle(vec![Event::Withdrawn(left)]);
     s.end(Outcome::Error);
-    s.pass(30 * SECOND);
+    s.advance(30 * SECOND);
     assert_eq!((s.sent.len(), s.refused.len(), s.failed.len()), (1, 0, 0));
 }
 
@@ -241,7 +241,7 @@
 fn time_left_of_nothing_is_answered_at_once() {
     let mut s = one();
     let message = s.message(SAFE, None, 0);
-    s.tell(vec![Event::Accepted(message)]);
+    s.handle(vec![Event::Accepted(message)]);
     assert_eq!((s.refused.len(), s.sent.len()), (1, 0));
 }
 
@@ -251,7 +251,7 @@
         let mut s = one();
         let id = s.accept(ONCE);
         s.end(outcome);
-        s.pass(25 * SECOND);
+        s.advance(25 * SECOND);
         assert_eq!((s.sent.len(), &s.failed[..], s.refused.len()), (1, &[id][..], 0), "{outcome:?}");
     }
 }
@@ -262,7 +262,7 @@
         let mut s = one();
         s.accept(ONCE);
         s.end(outcome);
-        s.pass(5 * SECOND);
+        s.advance(5 * SECOND);
         assert_eq!(s.sent.len(), 2, "{outcome:?}");
     }
 }
@@ -272,12 +272,12 @@
     let mut s = one();
     s.accept(KEYED);
     s.end(Outcome::Error);
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert_eq!(s.sent.len(), 2, "repeated within the window");
     // The window counts from the first attempt that may have run.
-    s.pass(SECOND);
+    s.advance(SECOND);
     s.end(Outcome::Error);
-    s.pass(25 * SECOND);
+    s.advance(25 * SECOND);
     assert!(s.sent.iter().all(|o| o.sent < START + 6 * SECOND));
     assert_eq!((s.failed.len(), s.refused.len()), (1, 0));
 }
@@ -286,29 +286,29 @@
 fn keyed_window_forgets_attempts_that_never_ran() {
     let mut s = one();
     s.accept(KEYED);
-    s.pass(3 * SECOND);
+    s.advance(3 * SECOND);
     s.end(Outcome::ConnectFailed);
-    s.pass(SECOND);
+    s.advance(SECOND);
     s.end(Outcome::Error);
-    s.pass(4 * SECOND);
+    s.advance(4 * SECOND);
     assert!(s.sent.len() >= 3, "the second attempt opened the window");
 }
 
 #[test]
 fn keyed_stays_in_its_zone() {
     let mut settings = settings();
-    settings.classes[KEYED].effect = Effect::Keyed { group: Group::Zone, window: 6 * SECOND };
+    settings.classes[KEYED].effect = Effect::Keyed { group: DedupScope::Zone, window: 6 * SECOND };
     let mut s = Sender::new(settings, &[entry(1, 0), entry(2, 0)]);
     for _ in 0..10 {
         s.accept(KEYED);
         while let Some(first) = s.out.first().copied() {
             s.end(Outcome::Error);
-            s.pass(SECOND / 2);
+            s.advance(SECOND / 2);
             assert!(
                 s.sent.iter().filter(|o| o.message == first.message).all(|o| o.endpoint == first.endpoint)
             );
         }
-        s.pass(10 * SECOND);
+        s.advance(10 * SECOND);
     }
 }
 
@@ -320,7 +320,7 @@
         if !s.out.is_empty() {
             s.end(Outcome::ConnectFailed);
         }
-        s.pass(SECOND * 3 / 2);
+        s.advance(SECOND * 3 / 2);
     }
     assert_eq!((s.sent.len(), s.refused.len()), (4, 1));
 }
@@ -330,13 +330,13 @@
     let mut s = one();
     let mut drained = entry(1, 0);
     drained.listing = Listing::Draining;
-    s.tell(vec![Event::Changes(vec![drained])]);
+    s.handle(vec![Event::Changes(vec![drained])]);
     s.accept(SAFE);
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert!(s.sent.is_empty());
-    s.tell(vec![Event::Changes(vec![entry(1, 0)])]);
+    s.handle(vec![Event::Changes(vec![entry(1, 0)])]);
     assert_eq!(s.sent.len(), 1, "sent once the endpoint is listed as ready again");
-    s.tell(vec![Event::List(vec![])]);
+    s.handle(vec![Event::List(vec![])]);
     s.accept(SAFE);
     assert_eq!(s.sent.len(), 1, "an endpoint that is not in the whole list is gone");
 }
@@ -344,12 +344,12 @@
 #[test]
 fn a_list_that_must_be_asked_for_is_asked_for_again_after_failures() {
     let mut settings = settings();
-    settings.must_ask = true;
+    settings.list_on_request = true;
     let mut s = Sender::new(settings, &[entry(1, 0)]);
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert_eq!(s.other, [Action::Watch]);
-    s.tell(vec![Event::ListFailed]);
-    s.pass(10 * SECOND);
+    s.handle(vec![Event::ListFailed]);
+    s.advance(10 * SECOND);
     assert_eq!(s.other, [Action::Watch, Action::Watch]);
 }
 
@@ -358,7 +358,7 @@
 #[test]
 fn the_senders_of_a_large_fleet_ask_for_the_list_one_after_the_other() {
     let mut settings = settings();
-    (settings.must_ask, settings.senders) = (true, 100);
+    (settings.list_on_request, settings.senders) = (true, 100);
     let mut fleet: Vec<_> = (0..100).map(|seed| Policy::new(settings.clone(), seed, START)).collect();
     let mut most = 0;
     // Every request fails at once.
@@ -387,9 +387,9 @@
     for _ in 0..5 {
         s.accept(ONCE);
     }
-    s.pass(2 * SECOND - 1);
+    s.advance(2 * SECOND - 1);
     assert_eq!(s.sent.len(), 1);
-    s.pass(2 * SECOND);
+    s.advance(2 * SECOND);
     assert!(s.sent.len() > 1);
 }
 
@@ -399,15 +399,15 @@
 fn each_message_of_a_call_may_be_told_a_wait() {
     let mut s = Sender::new(settings(), &[entry(1, 2)]);
     let batch = (0..2).map(|_| Event::Accepted(s.message(SAFE, None, 20 * SECOND))).collect();
-    s.tell(batch);
+    s.handle(batch);
     assert_eq!(s.out.len(), 2);
     let ends = vec![
         s.ended(s.out[0], Outcome::Full(Some(SECOND / 2))),
         s.ended(s.out[1], Outcome::Full(Some(2 * SECOND))),
     ];
     s.out.clear();
-    s.tell(ends);
-    s.pass(2 * SECOND - 1);
+    s.handle(ends);
+    s.advance(2 * SECOND - 1);
     assert_eq!(s.sent.len(), 2);
 }
 
@@ -438,13 +438,13 @@
     let mut s = one();
     let first = s.accept_keyed(ORDERED, Some(9));
     let second = s.accept_keyed(ORDERED, Some(9));
-    s.tell(vec![Event::Left(first)]);
-    s.pass(SECOND);
+    s.handle(vec![Event::Withdrawn(first)]);
+    s.advance(SECOND);
     assert_eq!(s.sent.len(), 1, "an attempt of the earlier message is outstanding");
     s.end(Outcome::Reset);
-    s.pass(SECOND - 1);
+    s.advance(SECOND - 1);
     assert_eq!(s.sent.len(), 1);
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert_eq!(s.sent.last().map(|o| o.message), Some(second));
 }
 
@@ -460,7 +460,7 @@
 fn recover(s: &mut Sender, seconds: u64) {
     for _ in 0..seconds * 4 {
         s.accept(SAFE);
-        s.pass(SECOND / 4);
+        s.advance(SECOND / 4);
         while !s.out.is_empty() {
             s.end(Outcome::Delivered);
         }
@@ -471,7 +471,7 @@
 fn a_returning_destination_is_not_pushed_over() {
     let mut s = one();
     s.serve(80);
-    s.suffer(12, Outcome::ConnectFailed);
+    s.fail_calls(12, Outcome::ConnectFailed);
     let back = s.now;
     recover(&mut s, 4);
     // The usual rate is four per second. The ramp allows twice a fifth of that for three seconds, and rises.
@@ -492,7 +492,7 @@
         while !s.out.is_empty() {
             s.end(Outcome::Full(None));
         }
-        s.pass(SECOND / 4);
+        s.advance(SECOND / 4);
     }
     let back = s.now;
     recover(&mut s, 4);
@@ -505,9 +505,9 @@
 fn a_failure_while_cold_starts_the_warm_up_anew() {
     let mut s = one();
     s.serve(80);
-    s.suffer(4, Outcome::ConnectFailed);
+    s.fail_calls(4, Outcome::ConnectFailed);
     recover(&mut s, 10);
-    s.suffer(1, Outcome::ConnectFailed);
+    s.fail_calls(1, Outcome::ConnectFailed);
     let back = s.now;
     recover(&mut s, 5);
     assert!(busiest_span(&s, back) <= 12, "{}", busiest_span(&s, back));
@@ -520,7 +520,7 @@
     other.destination = DestinationId(8);
     let mut s = Sender::new(settings(), &[entry(1, 0), other]);
     s.serve(20);
-    s.suffer(12, Outcome::ConnectFailed);
+    s.fail_calls(12, Outcome::ConnectFailed);
     for _ in 0..64 {
         s.accept(SAFE);
     }
@@ -528,7 +528,7 @@
     let mut message = s.message(SAFE, None, 20 * SECOND);
     message.destination = DestinationId(8);
     let id = message.id;
-    s.tell(vec![Event::Accepted(message)]);
+    s.handle(vec![Event::Accepted(message)]);
     assert!(s.refused.iter().all(|r| r.0 != id));
     assert!(s.sent.iter().any(|o| o.message == id));
 }
@@ -537,18 +537,18 @@
 #[test]
 fn a_full_buffer_turns_away_what_comes_before_it_hands_back() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
-    let wait = Event::Wait { endpoint: endpoint(1), wait: 10 * SECOND };
-    s.tell(vec![wait.clone()]);
+    let wait = Event::RetryAfter { endpoint: endpoint(1), wait: 10 * SECOND };
+    s.handle(vec![wait.clone()]);
     let taken: Vec<_> = (0..60).map(|_| s.accept(SAFE)).collect();
     assert_eq!(s.refused, []);
-    s.pass(2 * SECOND);
+    s.advance(2 * SECOND);
     let new: Vec<_> = (0..5).map(|_| s.accept(SAFE)).collect();
     let refused: Vec<_> = std::mem::take(&mut s.refused).into_iter().map(|r| r.0).collect();
     assert_eq!(refused, new, "these have not been reported as accepted to their clients");
     // After nine tenths of their time the wait is extended: handing them back is no longer early.
-    s.pass(7 * SECOND);
-    s.tell(vec![wait]);
-    s.pass(6 * SECOND);
+    s.advance(7 * SECOND);
+    s.handle(vec![wait]);
+    s.advance(6 * SECOND);
     let new = s.accept(SAFE);
     assert!(s.refused.iter().all(|r| taken.contains(&r.0) && r.0 != new), "{:?}", s.refused);
     assert_eq!(s.refused.len(), 1);
@@ -559,7 +559,7 @@
     let run = || {
         let mut s = Sender::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
         s.serve(30);
-        s.suffer(10, Outcome::Error);
+        s.fail_calls(10, Outcome::Error);
         recover(&mut s, 10);
         s.sent
     };
@@ -577,11 +577,11 @@
     }
     for _ in 0..20 {
         s.accept(SAFE);
-        s.pass(SECOND / 20);
+        s.advance(SECOND / 20);
         let answered = s.out.remove(s.out.len() - 1);
         let event = s.ended(answered, Outcome::Delivered);
-        s.tell(vec![event]);
-        s.pass(SECOND / 5);
+        s.handle(vec![event]);
+        s.advance(SECOND / 5);
     }
     assert!(s.failed.len() == 3, "the three calls have timed out");
     let before = s.sent.len();
@@ -598,13 +598,13 @@
         let mut settings = settings();
         settings.senders = senders;
         let mut s = Sender::new(settings, &[entry(1, 0)]);
-        s.pass(10 * SECOND);
+        s.advance(10 * SECOND);
         s.accept(SAFE);
         for _ in 0..8 {
             if !s.out.is_empty() {
                 s.end(Outcome::ConnectFailed);
             }
-            s.pass(SECOND);
+            s.advance(SECOND);
         }
         s.sent.len()
     };
@@ -620,7 +620,7 @@
     s.end(Outcome::Delivered);
     assert!(s.other.contains(&close), "closed: no second use is expected");
     s.other.clear();
-    s.pass(SECOND);
+    s.advance(SECOND);
     s.accept(SAFE);
     s.end(Outcome::Delivered);
     assert!(!s.other.contains(&close), "kept: it was used again before an idle connection would close");
@@ -630,7 +630,7 @@
     let message = s.message(class, None, 20 * SECOND);
     let id = message.id;
     let may_have_run = ran.iter().map(|age| (*age, endpoint(1))).collect();
-    s.tell(vec![Event::Resumed { message, attempts, may_have_run }]);
+    s.handle(vec![Event::Resumed { message, attempts, may_have_run }]);
     id
 }
 
@@ -656,11 +656,11 @@
     let mut s = one();
     s.serve(20);
     let end = s.now + 3 * SECOND;
-    s.tell(vec![Event::Stopping(end)]);
+    s.handle(vec![Event::Stopping(end)]);
     s.accept(ONCE);
     assert!(s.out[0].until <= end);
     s.end(Outcome::Delivered);
-    s.pass(29 * SECOND / 10);
+    s.advance(29 * SECOND / 10);
     let before = s.sent.len();
     s.accept(ONCE);
     assert_eq!(s.sent.len(), before, "its answer would come too late");
@@ -673,11 +673,11 @@
 #[test]
 fn a_wait_in_any_answer_binds() {
     let mut s = one();
-    s.tell(vec![Event::Wait { endpoint: endpoint(1), wait: SECOND }]);
+    s.handle(vec![Event::RetryAfter { endpoint: endpoint(1), wait: SECOND }]);
     s.accept(SAFE);
-    s.pass(SECOND - 10_000);
+    s.advance(SECOND - 10_000);
     assert!(s.sent.is_empty());
-    s.pass(20_000);
+    s.advance(20_000);
     assert_eq!(s.sent.len(), 1);
 }
 
@@ -688,18 +688,18 @@
     for _ in 0..10 {
         s.accept(SAFE);
     }
-    s.tell(vec![Event::List(vec![entry(1, 2)])]);
+    s.handle(vec![Event::List(vec![entry(1, 2)])]);
     for _ in 0..5 {
         let call: Vec<_> = s.out.drain(..s.out.len().min(5)).collect();
         let ends = call.iter().enumerate().map(|(n, out)| {
             s.ended(*out, if n == 0 { Outcome::Moot { no_slot: false } } else { Outcome::Error })
         });
         let ends = ends.collect();
-        s.tell(ends);
+        s.handle(ends);
     }
     let before = s.sent.len();
     s.accept(SAFE);
-    s.pass(SECOND / 2);
+    s.advance(SECOND / 2);
     assert_eq!(s.sent.len(), before, "five failed calls have opened the breaker");
 }
 
@@ -710,7 +710,7 @@
     let mut s = Sender::new(settings, &[entry(1, 0)]);
     let probed =
         Event::Probed { endpoint: endpoint(1), outcome: Outcome::Delivered, report: vec![1.0, limit] };
-    s.tell(vec![probed]);
+    s.handle(vec![probed]);
     s
 }
 
@@ -723,11 +723,11 @@
         for from in 0..10 {
             let told = fleet[from].other.len();
             fleet[from].accept(SAFE);
-            fleet[from].pass(SECOND / 10);
+            fleet[from].advance(SECOND / 10);
             for at in told..fleet[from].other.len() {
-                let Action::Tell { content, .. } = fleet[from].other[at].clone() else { continue };
+                let Action::SendNote { content, .. } = fleet[from].other[at].clone() else { continue };
                 for to in (0..10).filter(|to| *to != from) {
-                    fleet[to].tell(vec![Event::Note { from: from as u16, content: content.clone() }]);
+                    fleet[to].handle(vec![Event::Note { from: from as u16, content: content.clone() }]);
                 }
             }
         }
@@ -742,14 +742,20 @@
 fn notes_hold_a_sender_back_for_a_round_of_all_at_most() {
     let mut s = one_of(10, 10.0);
     let note = |content: &[u8]| Event::Note { from: 1, content: content.to_vec() };
-    s.tell(vec![note(&[]), note(&[0x11]), note(&[0x21, 7, 0]), note(&[0x11, 9, 9]), note(&[0x11, 7, 0, 0])]);
+    s.handle(vec![
+        note(&[]),
+        note(&[0x11]),
+        note(&[0x21, 7, 0]),
+        note(&[0x11, 9, 9]),
+        note(&[0x11, 7, 0, 0]),
+    ]);
     s.accept(SAFE);
     assert_eq!(s.sent.len(), 1, "none of these notes has an effect");
     s.end(Outcome::Delivered);
     for _ in 0..3 {
-        s.tell(vec![note(&[0x11, 7, 0]); 1000]);
+        s.handle(vec![note(&[0x11, 7, 0]); 1000]);
         s.accept(SAFE);
-        s.pass(SECOND / 2);
+        s.advance(SECOND / 2);
     }
     assert_eq!(s.sent.len(), 2, "held for a round of one second plus half a second ahead of the limit");
 }
@@ -761,20 +767,20 @@
     let mut s = one_of(10, 100.0);
     let probed =
         Event::Probed { endpoint: endpoint(1), outcome: Outcome::Delivered, report: vec![1.0, 110.0] };
-    s.tell(vec![probed]);
+    s.handle(vec![probed]);
     assert_eq!(s.other, [], "the change is within the error of reports");
     let probed = Event::Probed { endpoint: endpoint(1), outcome: Outcome::Delivered, report: vec![1.0, 1.0] };
-    s.tell(vec![probed]);
-    let [Action::Tell { to: None, content }] = &s.other[..] else { panic!("{:?}", s.other) };
+    s.handle(vec![probed]);
+    let [Action::SendNote { to: None, content }] = &s.other[..] else { panic!("{:?}", s.other) };
 
     let mut peer = one_of(10, 100.0);
-    peer.tell(vec![Event::Note { from: 1, content: content.clone() }]);
+    peer.handle(vec![Event::Note { from: 1, content: content.clone() }]);
     for _ in 0..3 {
         peer.accept(SAFE);
     }
     assert_eq!(peer.sent.len(), 1);
     let mut unaware = one_of(10, 100.0);
-    unaware.tell(vec![Event::Note { from: 1, content: vec![0x13, 7, 0, 0, 0] }]);
+    unaware.handle(vec![Event::Note { from: 1, content: vec![0x13, 7, 0, 0, 0] }]);
     for _ in 0..3 {
         unaware.accept(SAFE);
     }
@@ -789,8 +795,8 @@
         let settings = Settings { senders: 10, weights: Weights::Nominal, ..settings() };
         let mut s = Sender::new(settings, &[Entry { weight: 20.0, ..entry(1, 0) }]);
         let destination = DEST;
-        let cold = part.map(|part| Event::Cold { destination, ago: SECOND, part });
-        s.tell(cold.into_iter().collect());
+        let cold = part.map(|part| Event::ReturnedCold { destination, ago: SECOND, part });
+        s.handle(cold.into_iter().collect());
         for _ in 0..30 {
             s.accept(SAFE);
             while !s.out.is_empty() {
@@ -815,16 +821,16 @@
         let mut s = one_of(100, 20.0);
         s.accept(SAFE);
         s.end(Outcome::Delivered);
-        s.pass(5 * SECOND);
+        s.advance(5 * SECOND);
         s.accept(SAFE);
         for _ in 0..refusals {
             while s.out.is_empty() && s.now < START + 20 * SECOND {
-                s.pass(SECOND / 20);
+                s.advance(SECOND / 20);
             }
             s.end(Outcome::Full(None));
         }
         let before = s.sent.len();
-        s.pass(3 * SECOND);
+        s.advance(3 * SECOND);
         s.sent.len() - before
     };
     assert_eq!(calls(1), 1, "the next call is sent, and shows whether the cause was more than a limit");
@@ -838,15 +844,15 @@
     // Kind 0 has one route for all endpoints, kind 1 one for each.
     for (from, to) in [(0, 0), (1, 1), (1, 0), (0, 1)] {
         let mut s = Sender::new(settings(), &[entry(1, from)]);
-        s.tell(vec![Event::Wait { endpoint: endpoint(1), wait: 30 * SECOND }]);
-        s.pass(11 * SECOND);
-        s.tell(vec![]);
+        s.handle(vec![Event::RetryAfter { endpoint: endpoint(1), wait: 30 * SECOND }]);
+        s.advance(11 * SECOND);
+        s.handle(vec![]);
         let kept = s.policy.evict(DEST, s.now).unwrap();
         assert_eq!(kept.len(), 1);
-        s.pass(SECOND);
+        s.advance(SECOND);
         let routes = [(DEST, (to == 1).then_some(endpoint(1)))];
-        s.policy.enter(routes, kept.into_iter().collect());
-        s.tell(vec![Event::Changes(vec![entry(1, to)])]);
+        s.policy.load_destination(routes, kept.into_iter().collect());
+        s.handle(vec![Event::Changes(vec![entry(1, to)])]);
         s.accept(SAFE);
         assert!(s.sent.is_empty(), "from kind {from} to kind {to}");
     }
@@ -861,16 +867,16 @@
     for _ in 0..1000 {
         s.accept(SAFE);
         s.end(Outcome::Delivered);
-        s.pass(SECOND / 500);
+        s.advance(SECOND / 500);
     }
     s.accept(SAFE);
     s.end(Outcome::Full(Some(SECOND / 10)));
-    s.pass(SECOND / 5);
+    s.advance(SECOND / 5);
     while !s.out.is_empty() {
         s.end(Outcome::Delivered);
     }
-    s.pass(12 * SECOND);
-    s.tell(vec![]);
+    s.advance(12 * SECOND);
+    s.handle(vec![]);
     let kept = s.policy.evict(DEST, s.now).unwrap();
     assert_eq!(kept.len(), 1);
     let bytes = postcard::to_allocvec(&kept[0].1).unwrap().len();
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -53,7 +53,10 @@
             let ran = self.may_have_run.entry(out.message).or_default();
             match class {
                 ONCE => assert!(ran.is_empty(), "no effect takes place twice"),
-                KEYED => assert!(ran.iter().all(|r| out.sent <= r.1 + 6 * SECOND), "no repeat after the key's window"),
+                KEYED => assert!(
+                    ran.iter().all(|r| out.sent <= r.1 + 6 * SECOND),
+                    "no repeat after the key's window"
+                ),
                 _ => {}
             }
             let others = s.out.iter().filter(|o| o.message == out.message && o.attempt != out.attempt);
@@ -61,7 +64,10 @@
             if class == ORDERED {
                 let earlier = self.order.iter().take_while(|m| **m != out.message);
                 for m in earlier.filter(|m| self.accepted[m].0 == ORDERED && self.accepted[m].1 == key) {
-                    assert!(self.over.contains(m), "no attempt before earlier messages of the key have ended");
+                    assert!(
+                        self.over.contains(m),
+                        "no attempt before earlier messages of the key have ended"
+                    );
                     assert!(s.out.iter().all(|o| o.message != *m));
                 }
                 let rest = self.rest.get(&key).filter(|r| r.1 != out.message).map_or(0, |r| r.0);
@@ -75,11 +81,17 @@
         assert_eq!(distinct.len(), answers.len(), "each message has one final answer");
         for (id, _) in &s.refused {
             let ran = self.may_have_run.get(id).is_some_and(|r| !r.is_empty());
-            assert!(!ran || self.accepted[id].0 >= SAFE, "no refusal of a message that may have run and must not be repeated");
+            assert!(
+                !ran || self.accepted[id].0 >= SAFE,
+                "no refusal of a message that may have run and must not be repeated"
+            );
         }
         self.over.extend(distinct);
         for (id, (_, _, deadline)) in &self.accepted {
-            assert!(s.now <= deadline + 20_000 || self.over.contains(id), "every message is answered in time");
+            assert!(
+                s.now <= deadline + 20_000 || self.over.contains(id),
+                "every message is answered in time"
+            );
         }
     }
 
@@ -122,7 +134,7 @@
                     let message = s.message(class, (class == ORDERED).then_some(key), time_left);
                     watch.accepted.insert(message.id, (class, key, s.now + time_left));
                     watch.order.push(message.id);
-                    s.tell(vec![Event::Accepted(message)]);
+                    s.handle(vec![Event::Accepted(message)]);
                 }
                 Step::End { which, outcome, wait } if !s.out.is_empty() => {
                     let out = s.out.remove(which % s.out.len());
@@ -138,12 +150,12 @@
                     ][outcome];
                     watch.ended(out, outcome, s.now);
                     let event = s.ended(out, outcome);
-                    s.tell(vec![event]);
+                    s.handle(vec![event]);
                 }
                 Step::Leave(which) if !watch.order.is_empty() => {
                     let id = watch.order[which % watch.order.len()];
                     watch.over.insert(id);
-                    s.tell(vec![Event::Left(id)]);
+                    s.handle(vec![Event::Withdrawn(id)]);
                 }
                 Step::List { endpoint: n, listing } => {
                     let mut entry = entry(n, 0);
@@ -152,7 +164,7 @@
                         Listing::Ready => watch.drained.remove(&endpoint(n)),
                         _ => watch.drained.insert(endpoint(n)),
                     };
-                    s.tell(vec![Event::Changes(vec![entry])]);
+                    s.handle(vec![Event::Changes(vec![entry])]);
                 }
                 Step::Pass(span) => {
                     // Time passes in small steps, so that each time-out is seen before the sends that follow
@@ -164,10 +176,10 @@
                             s.out.retain(|o| *o != out);
                             watch.ended(out, Outcome::TimedOut, s.now);
                             let event = s.ended(out, Outcome::TimedOut);
-                            s.tell(vec![event]);
+                            s.handle(vec![event]);
                             watch.check(&s);
                         }
-                        s.pass((until - s.now).min(5_000));
+                        s.advance((until - s.now).min(5_000));
                         watch.check(&s);
                     }
                 }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -17,7 +17,7 @@
     (message.id, Event::Resumed { message, attempts, may_have_run: ran.to_vec() })
 }
 
-fn keyed(group: Group, window: Micros) -> Settings {
+fn keyed(group: DedupScope, window: Micros) -> Settings {
     let mut settings = settings();
     settings.classes[KEYED].effect = Effect::Keyed { group, window };
     settings
@@ -26,20 +26,20 @@
 /// Guards a keyed message that was out at the end of a process: the next one may hear of its endpoint only later.
 #[test]
 fn a_keyed_message_whose_endpoint_is_not_listed_yet_is_repeated_within_its_window() {
-    for group in [Group::All, Group::Zone, Group::Endpoint] {
+    for group in [DedupScope::All, DedupScope::Zone, DedupScope::Endpoint] {
         let mut s = Sender::new(keyed(group, 6 * SECOND), &[]);
         let (_, event) = resumed(&mut s, KEYED, 20 * SECOND, &[(SECOND, endpoint(1))]);
-        s.tell(vec![event]);
-        s.pass(2 * SECOND);
+        s.handle(vec![event]);
+        s.advance(2 * SECOND);
         assert_eq!((s.failed.len(), s.sent.len()), (0, 0), "{group:?}: held");
-        s.tell(vec![Event::Changes(vec![entry(1, 0)])]);
+        s.handle(vec![Event::Changes(vec![entry(1, 0)])]);
         assert_eq!(s.sent.len(), 1, "{group:?}");
 
         let mut late = Sender::new(keyed(group, 6 * SECOND), &[]);
         let (id, event) = resumed(&mut late, KEYED, 20 * SECOND, &[(SECOND, endpoint(1))]);
-        late.tell(vec![event]);
-        late.pass(5 * SECOND);
-        late.tell(vec![Event::Changes(vec![entry(1, 0)])]);
+        late.handle(vec![event]);
+        late.advance(5 * SECOND);
+        late.handle(vec![Event::Changes(vec![entry(1, 0)])]);
         assert_eq!((late.sent.len(), &late.failed[..]), (0, &[id][..]), "{group:?}: its window is over");
     }
 }
@@ -51,12 +51,12 @@
     for _ in 0..52 {
         s.accept(ONCE);
     }
-    s.pass(SECOND);
+    s.advance(SECOND);
     let (old, mut events): (Vec<_>, Vec<_>) = (0..4).map(|_| resumed(&mut s, ONCE, 10 * SECOND, &[])).unzip();
     let new: Vec<Message> = (0..8).map(|_| s.message(ONCE, None, 20 * SECOND)).collect();
     let expected: Vec<MessageId> = new.iter().map(|message| message.id).take(4).collect();
     events.extend(new.into_iter().map(Event::Accepted));
-    s.tell(events);
+    s.handle(events);
     let refused: Vec<MessageId> = s.refused.iter().map(|refused| refused.0).collect();
     assert!(old.iter().all(|id| !refused.contains(id)), "{old:?} of {refused:?}");
     assert_eq!(refused, expected);
@@ -66,15 +66,15 @@
 /// one that may have run is repeated while there is time.
 #[test]
 fn at_the_end_of_a_process_a_short_window_holds_back_first_calls_and_no_repeats() {
-    let mut s = Sender::new(keyed(Group::All, SECOND), &[entry(1, 0)]);
+    let mut s = Sender::new(keyed(DedupScope::All, SECOND), &[entry(1, 0)]);
     s.serve(20);
     let end = s.now + SECOND / 10;
-    s.tell(vec![Event::Stopping(end)]);
+    s.handle(vec![Event::Stopping(end)]);
     let before = s.sent.len();
     s.accept(KEYED);
     assert_eq!(s.sent.len(), before, "it would be out at the end, and its window over at the next start");
     let (id, event) = resumed(&mut s, KEYED, 20 * SECOND, &[(SECOND / 2, endpoint(1))]);
-    s.tell(vec![event]);
+    s.handle(vec![event]);
     assert_eq!(s.sent.len(), before + 1, "nothing is lost by its repeat");
     assert_eq!(s.sent[before].message, id);
 }
@@ -86,12 +86,12 @@
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     s.serve(20);
     // Held while the destination still looked well.
-    s.suffer(5, Outcome::Error);
+    s.fail_calls(5, Outcome::Error);
     let (id, event) = resumed(&mut s, ONCE, SECOND * 3 / 2, &[]);
-    s.tell(vec![event]);
-    s.pass(SECOND);
+    s.handle(vec![event]);
+    s.advance(SECOND);
     assert!(s.refused.is_empty() && s.sent.iter().all(|out| out.message != id), "held");
     // An answer to an earlier call closes the breaker.
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert_eq!(s.refused.iter().map(|refused| refused.0).collect::<Vec<_>>(), [id], "it ends in time");
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -16,13 +16,13 @@
 
 impl Sender {
     fn adopt(&mut self, settings: Settings) {
-        self.tell(vec![Event::Settings(Box::new(settings))]);
+        self.handle(vec![Event::Settings(Box::new(settings))]);
     }
 
     fn accept_of(&mut self, tenant: usize) -> MessageId {
         let message = Message { tenant, ..self.message(SAFE, None, 20 * SECOND) };
         let id = message.id;
-        self.tell(vec![Event::Accepted(message)]);
+        self.handle(vec![Event::Accepted(message)]);
         id
     }
 }
@@ -34,7 +34,7 @@
     let mut sender = Sender::new(shared(vec![tenant("loud", 0.01), tenant("quiet", 100.0)]), &[]);
     let (loud, quiet) = ([sender.accept_of(0), sender.accept_of(0)], sender.accept_of(1));
     sender.adopt(shared(vec![tenant("quiet", 100.0), tenant("loud", 0.01)]));
-    sender.tell(vec![Event::List(vec![entry(1, 0)])]);
+    sender.handle(vec![Event::List(vec![entry(1, 0)])]);
     for _ in 0..3 {
         sender.end(Outcome::Delivered);
     }
@@ -50,13 +50,13 @@
     for _ in 0..4 {
         sender.accept_of(0);
     }
-    assert!(sender.policy.outlook(DEST, 0).tenant_rate > 0.5);
+    assert!(sender.policy.destination_summary(DEST, 0).tenant_rate > 0.5);
     let quiet = sender.accept_of(1);
     sender.adopt(shared(vec![tenant("new", 0.01), tenant("quiet", 100.0)]));
-    assert_eq!(sender.policy.outlook(DEST, 0).tenant_rate, 0.0);
-    assert!(sender.policy.outlook(DEST, 1).tenant_rate > 0.1);
+    assert_eq!(sender.policy.destination_summary(DEST, 0).tenant_rate, 0.0);
+    assert!(sender.policy.destination_summary(DEST, 1).tenant_rate > 0.1);
     let new = sender.accept_of(0);
-    sender.tell(vec![Event::List(vec![entry(1, 0)])]);
+    sender.handle(vec![Event::List(vec![entry(1, 0)])]);
     while !sender.out.is_empty() {
         sender.end(Outcome::Delivered);
     }
@@ -82,7 +82,7 @@
         let begun = sender.now;
         let calls = sender.sent.len();
         while sender.sent.len() == calls && sender.now < begun + 20 * SECOND {
-            sender.pass(SECOND / 100);
+            sender.advance(SECOND / 100);
         }
         sender.now - begun
     };
@@ -101,7 +101,7 @@
     let changed = Settings { tolls: vec![0.0, 0.0, 9.0], ..settings() };
     let listed = |n, kind, zone| Entry { zone, ..entry(n, kind) };
     sender.adopt(changed);
-    sender.tell(vec![Event::Changes(vec![listed(1, 1, 2), listed(2, 1, 0)])]);
+    sender.handle(vec![Event::Changes(vec![listed(1, 1, 2), listed(2, 1, 0)])]);
     assert_eq!(sender.policy.route_of(endpoint(1)), Some((DEST, Some(endpoint(1)))));
     sender.accept(SAFE);
     assert_eq!(sender.sent[0].endpoint, endpoint(2), "the first endpoint's zone has a toll now");
@@ -112,13 +112,13 @@
 fn a_wait_binds_whatever_becomes_of_the_route() {
     for (before, after) in [(0, 1), (1, 0)] {
         let mut sender = Sender::new(settings(), &[entry(1, before)]);
-        sender.tell(vec![Event::Wait { endpoint: endpoint(1), wait: 3 * SECOND }]);
+        sender.handle(vec![Event::RetryAfter { endpoint: endpoint(1), wait: 3 * SECOND }]);
         sender.adopt(settings());
-        sender.tell(vec![Event::Changes(vec![entry(1, after)])]);
+        sender.handle(vec![Event::Changes(vec![entry(1, after)])]);
         sender.accept(SAFE);
-        sender.pass(3 * SECOND - 1);
+        sender.advance(3 * SECOND - 1);
         assert_eq!(sender.sent.len(), 0, "{before} to {after}");
-        sender.pass(SECOND);
+        sender.advance(SECOND);
         assert_eq!(sender.sent.len(), 1, "{before} to {after}");
     }
 }
@@ -128,13 +128,13 @@
 #[test]
 fn zones_that_are_not_named_are_not_one() {
     let mut own = settings();
-    own.classes[KEYED].effect = Effect::Keyed { group: Group::Zone, window: 6 * SECOND };
+    own.classes[KEYED].effect = Effect::Keyed { group: DedupScope::Zone, window: 6 * SECOND };
     let unnamed = |n| Entry { zone: u16::MAX, ..entry(n, 0) };
     let mut sender = Sender::new(own, &[unnamed(1)]);
     sender.accept(KEYED);
     sender.end(Outcome::Reset);
-    sender.tell(vec![Event::List(vec![unnamed(2)])]);
-    sender.pass(10 * SECOND);
+    sender.handle(vec![Event::List(vec![unnamed(2)])]);
+    sender.advance(10 * SECOND);
     assert_eq!(sender.sent.iter().filter(|out| out.endpoint == endpoint(2)).count(), 0);
 }
 
@@ -144,10 +144,10 @@
 fn a_limit_that_was_told_in_another_form_is_forgotten() {
     let nominal = Settings { weights: Weights::Nominal, ..settings() };
     let mut sender = Sender::new(nominal, &[Entry { weight: 30.0, ..entry(1, 0) }]);
-    assert_eq!(sender.policy.outlook(DEST, 0).routes[0].limit, 30.0);
+    assert_eq!(sender.policy.destination_summary(DEST, 0).routes[0].limit, 30.0);
     sender.adopt(settings());
-    sender.tell(vec![Event::Changes(vec![Entry { weight: 30.0, ..entry(1, 0) }])]);
-    assert_eq!(sender.policy.outlook(DEST, 0).routes[0].limit, 0.0);
+    sender.handle(vec![Event::Changes(vec![Entry { weight: 30.0, ..entry(1, 0) }])]);
+    assert_eq!(sender.policy.destination_summary(DEST, 0).routes[0].limit, 0.0);
 }
 
 /// At a handover, an older version's settings lack the fields that were added since.
--- a/tests/start_tier.rs
+++ b/tests/start_tier.rs
@@ -2,7 +2,7 @@
 //! that bears so many calls a second, over links that lose datagrams.
 
 use myrtleyard::interface::Micros;
-use myrtleyard::start::{Begin, Config, Failed, Named, Phase, Start};
+use myrtleyard::start::{Begin, CallFailure, Config, Named, Phase, Start};
 
 const STEP: Micros = 20_000;
 const SECOND: Micros = 1_000_000;
@@ -15,7 +15,7 @@
 
 /// The list service: a bucket of calls, of a list that has changed since the senders last ran.
 struct Service {
-    bears: f64,
+    capacity: f64,
     room: f64,
     version: u64,
     list: Vec<Named>,
@@ -27,18 +27,18 @@
 }
 
 impl Service {
-    fn call(&mut self, now: Micros) -> Result<(), Failed> {
+    fn call(&mut self, now: Micros) -> Result<(), CallFailure> {
         let second = ((now - BEGAN) / SECOND) as usize;
         if self.calls.len() <= second {
             self.calls.resize(second + 1, (0, 0));
         }
         self.calls[second].0 += 1;
         if now < self.silent_until {
-            return Err(Failed::Silence);
+            return Err(CallFailure::NoAnswer);
         }
         if self.room < 1.0 || now < self.refuses_until {
             self.calls[second].1 += 1;
-            return Err(Failed::Answer);
+            return Err(CallFailure::Rejected);
         }
         self.room -= 1.0;
         Ok(())
@@ -49,7 +49,7 @@
     core: Option<Start>,
     from: u64,
     /// The end of the call that is out: when, and how.
-    out: Option<(Micros, Result<bool, Failed>)>,
+    out: Option<(Micros, Result<bool, CallFailure>)>,
     rests: Micros,
     listed: Option<Micros>,
     lives: u32,
@@ -77,10 +77,10 @@
 }
 
 impl Tier {
-    fn new(count: usize, bears: f64, section: &str, seed: u64) -> Self {
+    fn new(count: usize, capacity: f64, section: &str, seed: u64) -> Self {
         let service = Service {
-            bears,
-            room: bears,
+            capacity,
+            room: capacity,
             version: 43,
             list: list(true),
             silent_until: 0,
@@ -107,14 +107,14 @@
             own: rank as u16,
             size: self.senders.len(),
             version: self.senders[rank].from,
-            bears: None,
+            capacity: None,
             lives: self.senders[rank].lives,
             watched: true,
             grace: GRACE,
             seed: self.rng.u64(..),
         };
         let mut core = Start::new(&self.config, begin, self.now);
-        core.begins_from(begin.version, list(false));
+        core.load_cached(begin.version, list(false));
         self.senders[rank].core = Some(core);
         self.senders[rank].out = None;
     }
@@ -147,10 +147,10 @@
             false => sender.out.is_none() && core.ask_at(now).is_some_and(|at| at <= now),
         };
         if due {
-            let from = if core.whole() { 0 } else { sender.from };
+            let from = if core.has_list() { 0 } else { sender.from };
             core.asked(now);
             sender.out = Some(match service.call(now) {
-                Err(Failed::Silence) => (now + 3 * SECOND, Err(Failed::Silence)),
+                Err(CallFailure::NoAnswer) => (now + 3 * SECOND, Err(CallFailure::NoAnswer)),
                 Err(how) => (now + 5_000, Err(how)),
                 Ok(()) if service.version > from => (now + 5_000, Ok(true)),
                 Ok(()) => (now + HOLD, Ok(service.version != from)),
@@ -162,7 +162,7 @@
         while self.now < until {
             self.now += STEP;
             let (now, service) = (self.now, &mut self.service);
-            service.room = (service.room + service.bears * STEP as f64 / 1e6).min(service.bears);
+            service.room = (service.room + service.capacity * STEP as f64 / 1e6).min(service.capacity);
             let there = self.senders.iter().filter(|sender| sender.core.is_some()).count();
             let there = (there as f64 * self.view) as usize;
             let mut out = vec![];
@@ -179,7 +179,7 @@
             for rank in 0..self.senders.len() {
                 self.ask(rank);
                 let Some(core) = &mut self.senders[rank].core else { continue };
-                core.look(there);
+                core.set_peers(there);
                 if !self.off && core.due() <= now {
                     let mut said = vec![];
                     core.tick(now, &mut said);
@@ -295,7 +295,7 @@
     let troubles: [(&str, Trouble, u32); 8] = [
         ("silent", |tier| tier.service.silent_until = BEGAN + 8 * SECOND, 48),
         ("refusing", |tier| tier.service.refuses_until = BEGAN + 8 * SECOND, 48),
-        ("weak", |tier| tier.service.bears = 10.0, 48),
+        ("weak", |tier| tier.service.capacity = 10.0, 48),
         ("killed", |_| {}, 48),
         ("joined", |_| {}, 48),
         ("split", |tier| tier.split_until = BEGAN + 10 * SECOND, 48),
@@ -339,7 +339,7 @@
         assert!(tier.all_listed().is_some(), "{section}");
         let core = tier.senders[7].core.as_mut().unwrap();
         for _ in 0..50 {
-            core.failed(tier.now, Failed::Answer);
+            core.failed(tier.now, CallFailure::Rejected);
             assert!(core.ask_at(tier.now).is_some_and(|at| at <= tier.now + 600_000));
         }
     }
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -6,12 +6,13 @@
 use myrtleyard::status::index::{Index, Place};
 use myrtleyard::status::log::{Log, restore};
 use myrtleyard::status::query::{
-    Answer, Here, Holding, LONGEST, LOOKED_A_TURN, Piece, PieceEnd, Queries, Refused, Routes,
+    Answer, LocalLogs, LogStatus, MAX_ENTRIES_PER_TURN, MAX_QUERY_TIME, PartialResult, Queries,
+    QueryRejected, ResultEnd, Routes,
 };
 use myrtleyard::status::replicate::Replication;
 use myrtleyard::status::shards::{Table, key_of};
-use myrtleyard::status::store::{Batch, Have, Store};
-use myrtleyard::status::{Change, Entry, Life, LogId, Query, Reached, State, States};
+use myrtleyard::status::store::{Batch, BatchAck, Store};
+use myrtleyard::status::{Change, Entry, Generation, LogId, Query, State, States, Watermark};
 use proptest::prelude::*;
 
 fn entry(id: &str, tenant: &str, taken_at: u64, states: &[State]) -> Entry {
@@ -100,7 +101,7 @@
 const ROOM: u64 = 100_000;
 
 fn filled(changes: u64) -> (Log, Segments, Folder) {
-    let mut log = Log::new(1, Life(7), Segments::memory(ROOM), 1 << 40, 5);
+    let mut log = Log::new(1, Generation(7), Segments::memory(ROOM), 1 << 40, 5);
     let (mut segments, mut folder) = (Segments::new(ROOM, 9, 1), Folder::default());
     folder.carry_out(segments.begin(&mut log, []));
     for n in 0..changes {
@@ -122,7 +123,7 @@
 fn a_killed_owner_goes_on_where_what_it_told_ends() {
     let (log, mut segments, folder) = filled(40);
     let restored = restore(&folder.segments(), 9, 1_000);
-    let again = Log::resume(1, restored, Life(8), 1 << 20, 1 << 40);
+    let again = Log::resume(1, restored, Generation(8), 1 << 20, 1 << 40);
     assert_eq!((again.id(), again.last(), rows(&again)), (log.id(), log.last(), rows(&log)));
     let mut longer = log;
     longer.put(entry("new", "t", 99, &[State::Taken]));
@@ -132,8 +133,8 @@
     for cut in bytes.len()..whole.0[at].len() {
         let mut torn = folder.clone();
         torn.0.insert(*at, whole.0[at][..cut].to_vec());
-        let again = Log::resume(1, restore(&torn.segments(), 9, 1_000), Life(8), 1 << 20, 1 << 40);
-        assert_eq!((again.id().life, again.last()), (Life(7), 40), "cut at {cut}");
+        let again = Log::resume(1, restore(&torn.segments(), 9, 1_000), Generation(8), 1 << 20, 1 << 40);
+        assert_eq!((again.id().generation, again.last()), (Generation(7), 40), "cut at {cut}");
         assert_eq!(again.table().known_since(), 5);
     }
 }
@@ -164,8 +165,8 @@
     doubtful.push(("one is spoilt", changed(&|f| f.0.get_mut(&ats[1]).unwrap()[60] ^= 1), 9, 1_000));
     doubtful.push(("the newest is spoilt", changed(&|f| f.0.get_mut(&ats[2]).unwrap()[60] ^= 1), 9, 1_000));
     for (why, folder, boot, now) in doubtful {
-        let again = Log::resume(1, restore(&folder.segments(), boot, now), Life(8), 1 << 20, 1 << 40);
-        assert_eq!((again.id().life, again.table().known_since()), (Life(8), now), "{why}");
+        let again = Log::resume(1, restore(&folder.segments(), boot, now), Generation(8), 1 << 20, 1 << 40);
+        assert_eq!((again.id().generation, again.table().known_since()), (Generation(8), now), "{why}");
         assert_eq!(again.last(), again.table().len() as u64, "{why}: all of it is written in the new life");
         let whole = ["the machine was started since", "the clock went back"].contains(&why);
         let known = rows(&again);
@@ -178,7 +179,7 @@
 #[test]
 fn the_folder_stays_within_its_room_and_holds_the_log() {
     let mut rng = fastrand::Rng::with_seed(3);
-    let mut log = Log::new(1, Life(7), Segments::memory(ROOM), 1 << 40, 0);
+    let mut log = Log::new(1, Generation(7), Segments::memory(ROOM), 1 << 40, 0);
     let (mut segments, mut folder) = (Segments::new(ROOM, 9, 1), Folder::default());
     folder.carry_out(segments.begin(&mut log, []));
     let (mut most, mut horizon, mut taken) = (0, 0, BTreeMap::new());
@@ -195,7 +196,8 @@
         assert!(log.table().known_since() >= horizon);
         horizon = log.table().known_since();
         if n % 500 == 499 {
-            let again = Log::resume(1, restore(&folder.segments(), 9, 1 << 40), Life(8), 1 << 30, 1 << 50);
+            let again =
+                Log::resume(1, restore(&folder.segments(), 9, 1 << 40), Generation(8), 1 << 30, 1 << 50);
             assert_eq!((again.id(), again.last()), (log.id(), log.last()));
             for (number, entry) in rows(&log) {
                 let held = again.table().at(number).unwrap();
@@ -250,17 +252,17 @@
 /// Guards positions: a batch that does not go on where the copy is, or comes from one who told less, claims nothing.
 #[test]
 fn a_batch_with_a_gap_before_it_is_left_and_claims_nothing() {
-    let log = myrtleyard::status::LogId { owner: 1, life: Life(7) };
+    let log = myrtleyard::status::LogId { owner: 1, generation: Generation(7) };
     let batch = |from, to, claim: Option<u64>| Batch {
         log,
         from,
         to,
         known_since: 0,
-        claim: claim.map(|upto| Reached { upto, as_of: 50 }),
+        claim: claim.map(|upto| Watermark { upto, as_of: 50 }),
         changes: vec![Change { number: to, entry: entry(&format!("m{to}"), "t", to, &[State::Taken]) }],
     };
     let mut store = Store::new(1 << 20, 1 << 40);
-    assert_eq!(store.apply(1, 1, batch(0, 3, Some(3))).reached, Reached { upto: 3, as_of: 50 });
+    assert_eq!(store.apply(1, 1, batch(0, 3, Some(3))).reached, Watermark { upto: 3, as_of: 50 });
     let have = store.apply(2, 1, batch(5, 9, Some(9)));
     assert!(have.gap && have.cursor == 3 && have.reached.upto == 3);
     assert_eq!(store.logs()[&log].table.len(), 1);
@@ -274,17 +276,17 @@
 
 /// One sender's log with so many messages, and a query on it: the answer, and how many turns it took.
 fn ask(messages: u64, query: Query, routes: Routes, turns: u64) -> (Answer, u64) {
-    let mut log = Log::new(1, Life(7), 1 << 30, 1 << 40, 0);
+    let mut log = Log::new(1, Generation(7), 1 << 30, 1 << 40, 0);
     for n in 0..messages {
         log.put(entry(&format!("m{n:06}"), if n % 2 == 0 { "even" } else { "odd" }, n, &[State::Taken]));
     }
     let store = Store::new(1 << 20, 1 << 40);
-    let here = Here { log: &log, store: &store, span: 1_000 };
+    let here = LocalLogs { log: &log, store: &store, span: 1_000 };
     let mut queries = Queries::new(1, 5);
-    let number = queries.ask(0, query, routes, LONGEST).unwrap();
+    let number = queries.ask(0, query, routes, MAX_QUERY_TIME).unwrap();
     for turn in 1..=turns {
         queries.step(turn * 5_000, here);
-        if let Some((told, answer)) = queries.answers().pop() {
+        if let Some((told, answer)) = queries.take_answers().pop() {
             assert_eq!(told, number);
             return (answer, turn);
         }
@@ -315,7 +317,7 @@
     assert_eq!((answer.next, turns), (Some((1_999, "m001999".into())), 1));
     let (answer, turns) = ask(20_000, query(r#"{"tenant": "none"}"#), alone(), 200);
     assert!(answer.rows.is_empty() && answer.touched[0].entries == 20_000, "{:?}", answer.touched);
-    assert!(turns as usize >= 20_000 / LOOKED_A_TURN, "{turns} turns");
+    assert!(turns as usize >= 20_000 / MAX_ENTRIES_PER_TURN, "{turns} turns");
     let (answer, _) = ask(10, query(r#"{"tenant": "odd", "ids": ["m000001", "m000002", "x"]}"#), alone(), 2);
     assert_eq!(answer.rows.iter().map(|row| row.id.as_str()).collect::<Vec<_>>(), ["m000001"]);
     assert_eq!(answer.not_known, ["m000002", "x"]);
@@ -360,12 +362,12 @@
 fn a_cut_answer_names_what_is_missing_in_time() {
     let routes = Routes(BTreeMap::from([(1, vec![1]), (2, vec![2, 3]), (3, vec![])]));
     let (answer, turns) = ask(10, query(r#"{"tenant": "even"}"#), routes, 200);
-    assert!(answer.partial && turns * 5_000 == LONGEST && answer.rows.len() == 5);
+    assert!(answer.partial && turns * 5_000 == MAX_QUERY_TIME && answer.rows.len() == 5);
     let missing: Vec<_> = answer.missing.iter().map(|missing| missing.owner).collect();
     assert_eq!((missing, answer.asked, answer.reached), (vec![2, 3], 3, 1));
     let mut queries = Queries::new(1, 5);
-    let refused = queries.ask(0, query(r#"{"tenant": "t", "limit": 1001}"#), alone(), LONGEST);
-    assert_eq!(refused, Err(Refused::Limit(1_001)));
+    let refused = queries.ask(0, query(r#"{"tenant": "t", "limit": 1001}"#), alone(), MAX_QUERY_TIME);
+    assert_eq!(refused, Err(QueryRejected::Limit(1_001)));
 }
 
 /// Guards against a life that goes on without what it has told: a process may end between any two removals.
@@ -376,11 +378,11 @@
     let mut index = Index::new(&config, place, Default::default(), vec![], (ROOM, 9), 3, 10);
     let mut folder = Folder::default();
     for n in 0..400 {
-        index.taken(entry(&format!("m{n}"), "t", n + 10, &[State::Delivered])).unwrap();
+        index.accepted(entry(&format!("m{n}"), "t", n + 10, &[State::Delivered])).unwrap();
         folder.carry_out(index.write());
     }
     assert!(folder.0.len() > 2 && restore(&folder.segments(), 9, 1_000).life.is_some());
-    for (n, step) in index.not_written(1_000).into_iter().enumerate() {
+    for (n, step) in index.write_failed(1_000).into_iter().enumerate() {
         folder.carry_out(vec![step]);
         assert_eq!(restore(&folder.segments(), 9, 1_000).life, None, "after step {n}");
     }
@@ -391,7 +393,8 @@
 #[test]
 fn whoever_has_more_than_a_process_began_with_has_of_another_one() {
     let (log, ..) = filled(40);
-    let have = |upto| Have { log: log.id(), cursor: upto, reached: Reached { upto, as_of: 1 }, gap: false };
+    let have =
+        |upto| BatchAck { log: log.id(), cursor: upto, reached: Watermark { upto, as_of: 1 }, gap: false };
     for (begun, first, goes_on) in [(20, 20, true), (20, 21, false), (40, 40, true)] {
         let mut replication = Replication::new(1, 0);
         replication.begins(begun);
@@ -405,24 +408,24 @@
 /// was claimed of it.
 #[test]
 fn rows_count_once_their_position_is_there() {
-    let log = Log::new(1, Life(7), 1 << 30, 1 << 40, 0);
+    let log = Log::new(1, Generation(7), 1 << 30, 1 << 40, 0);
     let store = Store::new(1 << 20, 1 << 40);
-    let here = Here { log: &log, store: &store, span: 1_000 };
+    let here = LocalLogs { log: &log, store: &store, span: 1_000 };
     for (ended, as_of, server, whole) in
         [(false, 50, 3, false), (true, 50, 3, true), (true, 0, 3, false), (true, 0, 2, true)]
     {
         let mut queries = Queries::new(1, 5);
         let routes = Routes(BTreeMap::from([(2, vec![server])]));
-        let number = queries.ask(0, query(r#"{"tenant": "t"}"#), routes, LONGEST).unwrap();
+        let number = queries.ask(0, query(r#"{"tenant": "t"}"#), routes, MAX_QUERY_TIME).unwrap();
         queries.step(1, here);
-        let log = LogId { owner: 2, life: Life(4) };
-        let reached = Reached { upto: 1, as_of };
-        let holding = Holding { log, reached, known_since: 0, shown: 1, touched: (1, 1, 1) };
-        let end = PieceEnd { logs: vec![holding], whole_upto: None, busy: false };
+        let log = LogId { owner: 2, generation: Generation(4) };
+        let reached = Watermark { upto: 1, as_of };
+        let holding = LogStatus { log, reached, known_since: 0, shown: 1, touched: (1, 1, 1) };
+        let end = ResultEnd { logs: vec![holding], whole_upto: None, busy: false };
         let rows = vec![entry("m", "t", 9, &[State::Taken])];
-        queries.piece(2, server, Piece { number, rows, end: ended.then_some(end) }, 9);
-        queries.step(LONGEST, here);
-        let (_, answer) = queries.answers().pop().unwrap();
+        queries.receive_result(2, server, PartialResult { number, rows, end: ended.then_some(end) }, 9);
+        queries.step(MAX_QUERY_TIME, here);
+        let (_, answer) = queries.take_answers().pop().unwrap();
         assert_eq!(
             (answer.rows.len(), answer.partial),
             (usize::from(ended), !whole),
--- a/tests/status_tier.rs
+++ b/tests/status_tier.rs
@@ -5,11 +5,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use myrtleyard::interface::Micros;
-use myrtleyard::membership::{Fact, Facts, State as Held};
+use myrtleyard::membership::{MemberView, MembershipView, State as Held};
 use myrtleyard::status::folder::Step;
 use myrtleyard::status::index::{Index, Place};
 use myrtleyard::status::log::restore;
-use myrtleyard::status::query::{Answer, LONGEST};
+use myrtleyard::status::query::{Answer, MAX_QUERY_TIME};
 use myrtleyard::status::{Config, Entry, LogId, Query, Rank, State, States};
 
 const SIZE: usize = 5;
@@ -128,15 +128,15 @@
         self.told.retain(|(holder, _), _| *holder != rank as Rank);
     }
 
-    fn facts(&self, own: Rank) -> Facts {
-        let fact = |sender: &Sender| Fact {
+    fn facts(&self, own: Rank) -> MembershipView {
+        let fact = |sender: &Sender| MemberView {
             state: if sender.index.is_some() { Held::Alive } else { Held::Dead },
             since: 0,
             incarnation: 1,
-            near: true,
+            same_zone: true,
         };
         let members = self.senders.iter().map(fact).collect();
-        Facts { own, members, isolated: false, minority: false }
+        MembershipView { own, members, isolated: false, minority: false }
     }
 
     /// Something happens to a message here.
@@ -150,7 +150,7 @@
             self.next += 1;
             sender.open.push(id.clone());
             let states = States::default().with(State::Taken);
-            let number = index.taken(Entry {
+            let number = index.accepted(Entry {
                 id: id.clone(),
                 class: "note".into(),
                 tenant: "t".into(),
@@ -193,8 +193,8 @@
             let facts = self.facts(rank as Rank);
             let sender = &mut self.senders[rank];
             let Some(index) = &mut sender.index else { continue };
-            if index.looks(now) {
-                index.look(Some(facts));
+            if index.view_due(now) {
+                index.set_view(Some(facts));
             }
             if index.due() > now {
                 continue;
@@ -283,12 +283,12 @@
     fn ask(&mut self, rank: usize, query: &Query) -> Answer {
         let index = self.senders[rank].index.as_mut().expect("it is there");
         let routes = index.routes();
-        let number = index.ask(self.now, query.clone(), routes, LONGEST).unwrap();
-        let until = self.now + LONGEST + 10 * STEP;
+        let number = index.ask(self.now, query.clone(), routes, MAX_QUERY_TIME).unwrap();
+        let until = self.now + MAX_QUERY_TIME + 10 * STEP;
         while self.now < until {
             self.step(0.0);
             let index = self.senders[rank].index.as_mut().expect("it is there");
-            if let Some((_, answer)) = index.answers().into_iter().find(|(n, _)| *n == number) {
+            if let Some((_, answer)) = index.take_answers().into_iter().find(|(n, _)| *n == number) {
                 return answer;
             }
         }
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -4,17 +4,19 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
-use myrtleyard::takeover::lots::{Epoch, Fact, Item, LotId, Lots, Memory, Op, Out, Rank, Said};
+use myrtleyard::takeover::groups::{
+    DurableState, Epoch, GroupEvent, Item, Op, Out, Rank, ReplicaGroupId, ReplicaGroups, Update,
+};
 use stateright::{Checker, Model, Property};
 
-const LOT: LotId = LotId { owner: 0, number: 7 };
+const GROUP: ReplicaGroupId = ReplicaGroupId { owner: 0, number: 7 };
 const SENDERS: usize = 3;
 
 /// A message that a sender has in hand, as its journal has it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Held {
     epoch: Epoch,
-    sides: Vec<(Rank, u64)>,
+    backups: Vec<(Rank, u64)>,
     /// An attempt may have run: no other may begin.
     begun: bool,
     /// The number of the intent that is not granted yet.
@@ -26,8 +28,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Sender {
     /// `None` while the process is down.
-    lots: Option<Lots>,
-    memory: Memory,
+    groups: Option<ReplicaGroups>,
+    memory: DurableState,
     held: BTreeMap<Item, Held>,
     /// It has never lost its state.
     whole: bool,
@@ -109,20 +111,22 @@
     }
 
     /// Calls `act` on a sender's groups, and applies the effects.
-    fn act(&mut self, rank: Rank, fault: Fault, act: impl FnOnce(&mut Lots, &mut Out)) {
+    fn act(&mut self, rank: Rank, fault: Fault, act: impl FnOnce(&mut ReplicaGroups, &mut Out)) {
         let mut out = Out::default();
         let sender = &mut self.senders[usize::from(rank)];
-        let Some(lots) = &mut sender.lots else { return };
-        act(lots, &mut out);
+        let Some(groups) = &mut sender.groups else { return };
+        act(groups, &mut out);
         if fault != Fault::NoMemory {
-            sender.memory = lots.memory().clone();
+            sender.memory = groups.durable_state().clone();
         }
         for said in out.said {
             let sender = &mut self.senders[usize::from(rank)];
             match said {
-                Said::Granted { upto, .. } => {
+                GroupEvent::Granted { upto, .. } => {
                     // The records are the first updates that the first owner replicates.
-                    if rank == 0 && !self.closing && sender.lots.as_ref().is_some_and(|lots| !lots.alone(LOT))
+                    if rank == 0
+                        && !self.closing
+                        && sender.groups.as_ref().is_some_and(|groups| !groups.is_sole_owner(GROUP))
                     {
                         self.covered.extend(0..upto.min(2));
                     }
@@ -130,15 +134,15 @@
                         (held.waits, held.free) = (None, true);
                     }
                 }
-                Said::Adopt { epoch, sides, items, .. } => {
+                GroupEvent::Adopt { epoch, backups, items, .. } => {
                     for (item, known) in items {
-                        let (sides, begun) = (sides.clone(), known.may_have_run());
-                        sender.held.insert(item, Held { epoch, sides, begun, waits: None, free: false });
+                        let (backups, begun) = (backups.clone(), known.may_have_run());
+                        sender.held.insert(item, Held { epoch, backups, begun, waits: None, free: false });
                     }
                 }
-                Said::Lost { items, .. } => sender.held.retain(|item, _| !items.contains(item)),
-                Said::Over(_, item) => drop(sender.held.remove(&item)),
-                Said::Alone(_) => {}
+                GroupEvent::Lost { items, .. } => sender.held.retain(|item, _| !items.contains(item)),
+                GroupEvent::Finished(_, item) => drop(sender.held.remove(&item)),
+                GroupEvent::SoleOwner(_) => {}
             }
         }
         for (to, op) in out.ops {
@@ -157,17 +161,17 @@
         match passed {
             Passed::Anew => {
                 self.unaware.remove(&(to, from));
-                self.act(to, fault, |lots, out| lots.reset(from, out));
+                self.act(to, fault, |groups, out| groups.reset(from, out));
             }
             Passed::Op(op) => {
                 let intent = match &op {
-                    Op::Tell { lot, epoch, n, fact: Fact::Intent(_), .. } => Some((*lot, *epoch, *n)),
+                    Op::Tell { group, epoch, n, fact: Update::Intent(_), .. } => Some((*group, *epoch, *n)),
                     _ => None,
                 };
-                self.act(to, fault, |lots, out| {
-                    lots.receive(from, op, out);
-                    if let (Fault::NoFence, Some((lot, epoch, upto))) = (fault, intent) {
-                        out.ops = vec![(from, Op::Granted { lot, epoch, upto })];
+                self.act(to, fault, |groups, out| {
+                    groups.receive(from, op, out);
+                    if let (Fault::NoFence, Some((group, epoch, upto))) = (fault, intent) {
+                        out.ops = vec![(from, Op::Granted { group, epoch, upto })];
                     }
                 });
             }
@@ -183,19 +187,19 @@
             }
             for a in 0..SENDERS as Rank {
                 for b in 0..SENDERS as Rank {
-                    if a != b && self.senders[usize::from(b)].lots.is_none() {
-                        self.act(a, fault, |lots, out| {
-                            lots.heard(b);
-                            lots.lapse(b, out);
+                    if a != b && self.senders[usize::from(b)].groups.is_none() {
+                        self.act(a, fault, |groups, out| {
+                            groups.heard(b);
+                            groups.lapse(b, out);
                         });
                     } else if a != b {
-                        self.act(a, fault, |lots, out| {
-                            lots.heard(b);
-                            lots.orphaned(b, out);
+                        self.act(a, fault, |groups, out| {
+                            groups.heard(b);
+                            groups.orphaned(b, out);
                         });
                     }
                 }
-                self.act(a, fault, |lots, out| lots.ask_again(out));
+                self.act(a, fault, |groups, out| groups.ask_again(out));
                 let items: Vec<Item> = self.senders[usize::from(a)].held.keys().copied().collect();
                 for item in items {
                     for act in [Act::Intend(a, item), Act::Call(a, item), Act::End(a, item)] {
@@ -209,7 +213,7 @@
     }
 
     fn may(&self, act: &Act) -> bool {
-        let up = |rank: &Rank| self.senders[usize::from(*rank)].lots.is_some();
+        let up = |rank: &Rank| self.senders[usize::from(*rank)].groups.is_some();
         let held = |rank: &Rank, item: &Item| self.senders[usize::from(*rank)].held.get(item);
         match act {
             Act::Intend(rank, item) => {
@@ -228,25 +232,28 @@
             Act::Deliver(from, to) => self.pass(from, to, fault),
             Act::Lapse(rank, on) => {
                 self.lapses += 1;
-                self.act(rank, fault, |lots, out| {
-                    lots.lapse(on, out);
+                self.act(rank, fault, |groups, out| {
+                    groups.lapse(on, out);
                 });
             }
             Act::Orphaned(rank, on) => {
                 self.lapses += 1;
-                self.act(rank, fault, |lots, out| lots.orphaned(on, out));
+                self.act(rank, fault, |groups, out| groups.orphaned(on, out));
             }
             Act::Retire(on) => {
                 self.lapses += 1;
                 // Messages of a closed group are replicated again in another group.
                 self.covered.clear();
                 self.closing = true;
-                self.act(0, fault, |lots, out| lots.retire(on, out));
+                self.act(0, fault, |groups, out| groups.retire(on, out));
             }
             Act::Intend(rank, item) => {
                 let mut waits = None;
-                self.act(rank, fault, |lots, out| waits = lots.tell((LOT, item), Fact::Intent(0), 0, out));
-                let owns = self.senders[usize::from(rank)].lots.as_ref().is_some_and(|lots| lots.owns(LOT));
+                self.act(rank, fault, |groups, out| {
+                    waits = groups.replicate((GROUP, item), Update::Intent(0), 0, out)
+                });
+                let owns =
+                    self.senders[usize::from(rank)].groups.as_ref().is_some_and(|groups| groups.owns(GROUP));
                 if let Some(held) = self.senders[usize::from(rank)].held.get_mut(&item) {
                     held.free = waits.is_none() && owns || fault == Fault::NoWait;
                     held.waits = waits.filter(|_| !held.free);
@@ -261,18 +268,18 @@
             Act::End(rank, item) => {
                 self.over.insert(item);
                 self.senders[usize::from(rank)].held.remove(&item);
-                self.act(rank, fault, |lots, out| {
-                    lots.tell((LOT, item), Fact::Over, 0, out);
+                self.act(rank, fault, |groups, out| {
+                    groups.replicate((GROUP, item), Update::Over, 0, out);
                 });
             }
             Act::Crash(rank, kept) => {
                 self.crashes += 1;
                 let sender = &mut self.senders[usize::from(rank)];
-                sender.lots = None;
+                sender.groups = None;
                 sender.whole = false;
                 if !kept {
                     sender.held.clear();
-                    sender.memory = Memory { id: sender.memory.id + 100, promises: BTreeMap::new() };
+                    sender.memory = DurableState { id: sender.memory.id + 100, promises: BTreeMap::new() };
                 }
                 for held in sender.held.values_mut() {
                     (held.waits, held.free) = (None, false);
@@ -283,7 +290,7 @@
             }
             Act::Start(rank) => {
                 let sender = &mut self.senders[usize::from(rank)];
-                sender.lots = Some(Lots::new(rank, sender.memory.clone()));
+                sender.groups = Some(ReplicaGroups::new(rank, sender.memory.clone()));
                 let held = sender.held.clone();
                 for other in (0..SENDERS as Rank).filter(|other| *other != rank) {
                     self.links.remove(&(other, rank));
@@ -298,9 +305,9 @@
                     self.covered.clear();
                 }
                 if let Some(first) = held.values().next() {
-                    let (epoch, sides) = (first.epoch, first.sides.clone());
+                    let (epoch, backups) = (first.epoch, first.backups.clone());
                     let open = held.keys().copied().collect();
-                    self.act(rank, fault, |lots, out| lots.resume(LOT, epoch, &sides, open, out));
+                    self.act(rank, fault, |groups, out| groups.resume(GROUP, epoch, &backups, open, out));
                 }
             }
         }
@@ -312,9 +319,9 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<World> {
-        let memory = |rank: u64| Memory { id: rank, promises: BTreeMap::new() };
+        let memory = |rank: u64| DurableState { id: rank, promises: BTreeMap::new() };
         let sender = |rank: Rank| Sender {
-            lots: Some(Lots::new(rank, memory(rank.into()))),
+            groups: Some(ReplicaGroups::new(rank, memory(rank.into()))),
             memory: memory(rank.into()),
             held: BTreeMap::new(),
             whole: true,
@@ -330,16 +337,16 @@
             lapses: 0,
             crashes: 0,
         };
-        world.act(0, Fault::None, |lots, out| lots.open(LOT, [1, 2], out));
+        world.act(0, Fault::None, |groups, out| groups.open(GROUP, [1, 2], out));
         for (from, to) in [(0, 1), (0, 2), (1, 0), (2, 0)] {
             world.pass(from, to, Fault::None);
         }
         for item in 0..self.items {
-            world.act(0, Fault::None, |lots, out| {
-                lots.tell((LOT, item), Fact::Record(vec![item as u8]), 0, out);
+            world.act(0, Fault::None, |groups, out| {
+                groups.replicate((GROUP, item), Update::Record(vec![item as u8]), 0, out);
             });
-            let sides = vec![(1, 1), (2, 2)];
-            let held = Held { epoch: 0, sides, begun: false, waits: None, free: false };
+            let backups = vec![(1, 1), (2, 2)];
+            let held = Held { epoch: 0, backups, begun: false, waits: None, free: false };
             world.senders[0].held.insert(item, held);
         }
         vec![world]
@@ -347,14 +354,14 @@
 
     fn actions(&self, world: &World, acts: &mut Vec<Act>) {
         for (link, passed) in &world.links {
-            let down = world.senders[usize::from(link.1)].lots.is_none();
+            let down = world.senders[usize::from(link.1)].groups.is_none();
             if !passed.is_empty() && !down {
                 acts.push(Act::Deliver(link.0, link.1));
             }
         }
         for rank in 0..SENDERS as Rank {
             let sender = &world.senders[usize::from(rank)];
-            let Some(_) = &sender.lots else {
+            let Some(_) = &sender.groups else {
                 acts.push(Act::Start(rank));
                 continue;
             };
@@ -393,7 +400,7 @@
                 let mut calm = world.clone();
                 calm.calm(model.fault);
                 (0..model.items).all(|item| {
-                    let held = |sender: &Sender| sender.lots.is_some() && sender.held.contains_key(&item);
+                    let held = |sender: &Sender| sender.groups.is_some() && sender.held.contains_key(&item);
                     // Neither backup ever lost its state, or a sender that has it in its journal is up.
                     let covered = world.covered.contains(&item);
                     let covers = covered && calm.senders[1].whole && calm.senders[2].whole;
--- a/tests/takeover_tier.rs
+++ b/tests/takeover_tier.rs
@@ -5,8 +5,10 @@
 use std::collections::BTreeMap;
 
 use myrtleyard::interface::Micros;
-use myrtleyard::takeover::lots::{Attempt, Fact, Item, Known, LotId, Memory, Rank, Said};
-use myrtleyard::takeover::{Config, Tag, Takeover};
+use myrtleyard::takeover::groups::{
+    Attempt, DurableState, GroupEvent, Item, MessageState, Rank, ReplicaGroupId, Update,
+};
+use myrtleyard::takeover::{Config, ReplicaTag, Takeover};
 
 const SIZE: usize = 6;
 const STEP: Micros = 1_000;
@@ -15,7 +17,7 @@
 #[derive(Debug, Clone)]
 struct Held {
     id: u32,
-    tag: Tag,
+    tag: ReplicaTag,
     /// The number of the owner's update with its record.
     told: u32,
     /// When it may be called for: until then it waits for its destination.
@@ -28,11 +30,11 @@
 
 struct Sender {
     part: Option<Takeover>,
-    memory: Memory,
-    journal: BTreeMap<(LotId, Item), Held>,
+    memory: DurableState,
+    journal: BTreeMap<(ReplicaGroupId, Item), Held>,
     stopped: Micros,
     /// Groups whose messages may be replicated again.
-    bare: Vec<LotId>,
+    bare: Vec<ReplicaGroupId>,
     down: Option<Micros>,
 }
 
@@ -71,7 +73,7 @@
             datagrams: 0,
         };
         for rank in 0..SIZE {
-            let memory = Memory { id: tier.rng.u64(..), promises: BTreeMap::new() };
+            let memory = DurableState { id: tier.rng.u64(..), promises: BTreeMap::new() };
             let journal = BTreeMap::new();
             tier.senders.push(Sender { part: None, memory, journal, stopped: 0, bare: vec![], down: None });
             tier.start(rank);
@@ -89,7 +91,7 @@
     }
 
     fn crash(&mut self, rank: usize, folder_kept: bool, back: Micros) {
-        let fresh = Memory { id: self.rng.u64(..), promises: BTreeMap::new() };
+        let fresh = DurableState { id: self.rng.u64(..), promises: BTreeMap::new() };
         let sender = &mut self.senders[rank];
         (sender.part, sender.down) = (None, Some(back));
         sender.bare.clear();
@@ -112,8 +114,8 @@
         self.next += 1;
         let mut record = id.to_le_bytes().to_vec();
         record.resize(self.rng.usize(4..900), 0);
-        let told = part.tell(now, tag.lot, tag.item, Fact::Record(record)).unwrap_or(0);
-        let place = (tag.lot, tag.item);
+        let told = part.replicate(now, tag.group, tag.item, Update::Record(record)).unwrap_or(0);
+        let place = (tag.group, tag.item);
         let held = Held { id, tag, told, at, waits: None, free: false, out: None };
         self.senders[rank].journal.insert(place, held);
     }
@@ -124,10 +126,10 @@
         let now = self.now;
         let Some(mut part) = self.senders[rank].part.take() else { return };
         let mut journal = std::mem::take(&mut self.senders[rank].journal);
-        for said in part.said() {
+        for said in part.take_events() {
             match said {
-                Said::Granted { lot, upto } => {
-                    for (place, held) in journal.iter_mut().filter(|(place, _)| place.0 == lot) {
+                GroupEvent::Granted { group, upto } => {
+                    for (place, held) in journal.iter_mut().filter(|(place, _)| place.0 == group) {
                         if held.waits.is_some_and(|n| n <= upto) {
                             (held.waits, held.free) = (None, true);
                         }
@@ -136,33 +138,33 @@
                         }
                     }
                 }
-                Said::Adopt { lot, epoch, sides, items, .. } => {
+                GroupEvent::Adopt { group, epoch, backups, items, .. } => {
                     for (item, known) in items {
                         let record = known.record.clone().unwrap();
                         let id = u32::from_le_bytes(record[..4].try_into().unwrap());
                         self.adopted += 1;
                         if known.may_have_run() {
                             self.ended.entry(id).or_insert(now);
-                            part.tell(now, lot, item, Fact::Over);
+                            part.replicate(now, group, item, Update::Over);
                             continue;
                         }
-                        let tag = Tag { lot, epoch, item, sides: sides.clone() };
+                        let tag = ReplicaTag { group, epoch, item, backups: backups.clone() };
                         let at = now + self.rng.u64(0..SECOND);
                         let held = Held { id, tag, told: 0, at, waits: None, free: false, out: None };
-                        journal.insert((lot, item), held);
+                        journal.insert((group, item), held);
                     }
                 }
-                Said::Lost { lot, items } => {
-                    journal.retain(|place, _| place.0 != lot || !items.contains(&place.1));
+                GroupEvent::Lost { group, items } => {
+                    journal.retain(|place, _| place.0 != group || !items.contains(&place.1));
                 }
-                Said::Over(lot, item) => drop(journal.remove(&(lot, item))),
-                Said::Alone(lot) => self.senders[rank].bare.push(lot),
+                GroupEvent::Finished(group, item) => drop(journal.remove(&(group, item))),
+                GroupEvent::SoleOwner(group) => self.senders[rank].bare.push(group),
             }
         }
         let bare = std::mem::take(&mut self.senders[rank].bare);
         let places: Vec<_> = journal.keys().filter(|place| bare.contains(&place.0)).copied().collect();
         for place in places {
-            let Some(tag) = part.place_again(200, 20 * SECOND) else {
+            let Some(tag) = part.place_rereplicated(200, 20 * SECOND) else {
                 self.senders[rank].bare.push(place.0);
                 continue;
             };
@@ -170,12 +172,17 @@
             let begun = held.waits.is_some() || held.free || held.out.is_some();
             let attempts = begun.then_some((0, Attempt { at: now, never_ran: false })).into_iter().collect();
             let record = Some(held.id.to_le_bytes().to_vec());
-            part.tell_all(now, tag.lot, tag.item, &Known { record, attempts, given_up: None, over: false });
-            part.tell(now, place.0, place.1, Fact::Over);
+            part.replicate_all(
+                now,
+                tag.group,
+                tag.item,
+                &MessageState { record, attempts, given_up: None, over: false },
+            );
+            part.replicate(now, place.0, place.1, Update::Over);
             (held.told, held.waits) = (u32::MAX, None);
             held.free |= begun;
             self.anew += 1;
-            journal.insert((tag.lot, tag.item), Held { tag, ..held });
+            journal.insert((tag.group, tag.item), Held { tag, ..held });
         }
         let mut over = vec![];
         for (place, held) in &mut journal {
@@ -188,13 +195,13 @@
                 *self.calls.entry(held.id).or_default() += 1;
                 held.out = Some(now + 50_000);
             } else if now >= held.at && held.waits.is_none() && part.owns(place.0) {
-                held.waits = part.tell(now, place.0, place.1, Fact::Intent(0));
+                held.waits = part.replicate(now, place.0, place.1, Update::Intent(0));
                 held.free = held.waits.is_none();
             }
         }
         for place in over {
             journal.remove(&place);
-            part.tell(now, place.0, place.1, Fact::Over);
+            part.replicate(now, place.0, place.1, Update::Over);
         }
         self.senders[rank].journal = journal;
         self.senders[rank].part = Some(part);
@@ -220,7 +227,7 @@
                 if part.due() <= now {
                     part.tick(now);
                 }
-                if let Some(memory) = part.to_remember() {
+                if let Some(memory) = part.take_unsaved_state() {
                     sender.memory = memory.clone();
                 }
                 part.flush(now, &mut out);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -61,12 +61,12 @@
 #[test]
 fn settings_are_read_and_unknown_keys_passed_over() {
     let s = settings(SETTINGS.as_bytes()).expect("well formed");
-    assert_eq!(s.classes[0].effect, Effect::Keyed { group: Group::Zone, window: 9_000_000 });
+    assert_eq!(s.classes[0].effect, Effect::Keyed { group: DedupScope::Zone, window: 9_000_000 });
     assert_eq!((s.classes[0].worth, s.classes[1].worth), (2.0, 1.0));
-    assert!(s.classes[1].in_order && s.must_ask && s.probing && !s.second_copies);
-    assert_eq!(s.kinds[0], Kind { routes_apart: true, bundle: 1 });
-    assert_eq!(s.kinds[1], Kind { routes_apart: false, bundle: 4 });
-    assert_eq!((s.report, s.weights, s.decay), ((Some(2), Some(1)), Weights::Nominal, Decay::Halves));
+    assert!(s.classes[1].in_order && s.list_on_request && s.probing && !s.second_copies);
+    assert_eq!(s.kinds[0], Kind { route_per_endpoint: true, max_batch: 1 });
+    assert_eq!(s.kinds[1], Kind { route_per_endpoint: false, max_batch: 4 });
+    assert_eq!((s.report, s.weights, s.decay), ((Some(2), Some(1)), Weights::Nominal, Decay::Exponential));
     assert_eq!((s.slots, s.max_open, s.senders), (5, 50, 1));
 }
 
@@ -111,8 +111,8 @@
     entries[24 + 15] = 2;
     let list = |offset: u8| record(4, &[(5, &[offset, 0, 0, 0, 1, 0, 0, 0])]);
     let news = record(6, &[(1, &[3]), (3, &[2])]);
-    let inputs =
-        after_boot(&[list(0), news.clone(), list(24), news], &entries).expect("a list number may be defined again");
+    let inputs = after_boot(&[list(0), news.clone(), list(24), news], &entries)
+        .expect("a list number may be defined again");
     let listing = |input: &Input| match input {
         Input::Event(Event::List(list)) => list[0].listing,
         other => panic!("{other:?}"),
@@ -140,10 +140,10 @@
         Action::Refuse { message, retry_after: 5 },
         Action::Fail(message),
         Action::Cancel { message, attempt: 2 },
-        Action::Remind { at: 9, token: 1 },
+        Action::SetTimer { at: 9, token: 1 },
         Action::Probe(endpoint),
         Action::CloseIdle(endpoint),
-        Action::Tell { to: None, content: vec![1] },
+        Action::SendNote { to: None, content: vec![1] },
         Action::FetchList,
     ];
     let reply = encode(&[(0, all)]);
--- a/tests/working_set.rs
+++ b/tests/working_set.rs
@@ -17,13 +17,13 @@
     let bytes = postcard::to_allocvec(&kept).unwrap();
     let kept: Vec<(RouteId, Route)> = postcard::from_bytes(&bytes).unwrap();
     let count = kept.len();
-    s.policy.enter(routes(entries), kept.into_iter().collect());
-    s.tell(vec![Event::Changes(entries.to_vec())]);
+    s.policy.load_destination(routes(entries), kept.into_iter().collect());
+    s.handle(vec![Event::Changes(entries.to_vec())]);
     Some(count)
 }
 
 fn routes(entries: &[Entry]) -> Vec<RouteId> {
-    let apart = |entry: &Entry| settings().kinds[entry.kind].routes_apart;
+    let apart = |entry: &Entry| settings().kinds[entry.kind].route_per_endpoint;
     entries.iter().map(|entry| (DEST, apart(entry).then_some(entry.endpoint))).collect()
 }
 
@@ -32,7 +32,7 @@
     let mut s = Sender::new(settings(), &[]);
     s.accept(SAFE);
     assert!(s.policy.evict(DEST, s.now).is_none(), "the message waits for an endpoint");
-    s.pass(30 * SECOND);
+    s.advance(30 * SECOND);
     assert_eq!(s.refused.len(), 1);
     assert_eq!(s.policy.evict(DEST, s.now).map(|kept| kept.len()), Some(0));
 }
@@ -44,7 +44,7 @@
     let message = s.accept(SAFE);
     assert_eq!(s.out.len(), 1);
     assert!(s.policy.evict(DEST, s.now).is_none(), "held and outstanding");
-    s.tell(vec![Event::Left(message)]);
+    s.handle(vec![Event::Withdrawn(message)]);
     assert_eq!(s.policy.held(), 0);
     assert!(s.policy.evict(DEST, s.now).is_none(), "outstanding, although the message has ended");
     s.end(Outcome::Delivered);
@@ -56,7 +56,7 @@
 fn nothing_leaves_while_a_repeat_may_come() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     s.accept(KEYED);
-    s.tell(vec![Event::Wait { endpoint: endpoint(1), wait: SECOND }]);
+    s.handle(vec![Event::RetryAfter { endpoint: endpoint(1), wait: SECOND }]);
     s.end(Outcome::Error);
     assert_eq!((s.policy.held(), s.out.len()), (1, 0), "the repeat waits");
     assert!(s.policy.evict(DEST, s.now).is_none());
@@ -72,8 +72,8 @@
     let before = s.sent.len();
     s.accept(SAFE);
     assert_eq!(s.sent.len(), before);
-    s.policy.enter(routes(&[entry(1, 0)]), BTreeMap::new());
-    s.tell(vec![Event::Changes(vec![entry(1, 0)])]);
+    s.policy.load_destination(routes(&[entry(1, 0)]), BTreeMap::new());
+    s.handle(vec![Event::Changes(vec![entry(1, 0)])]);
     assert_eq!(s.sent.len(), before + 1);
 }
 
@@ -85,13 +85,13 @@
     let sent = |leaves: bool| {
         let mut s = Sender::new(settings(), &[entry(1, 0)]);
         s.serve(20);
-        s.pass(10 * SECOND);
-        s.tell(vec![]);
+        s.advance(10 * SECOND);
+        s.handle(vec![]);
         if leaves {
             assert_eq!(away_and_back(&mut s, &[entry(1, 0)]), Some(0));
         }
         s.accept(ONCE);
-        s.pass(SECOND);
+        s.advance(SECOND);
         s.end(Outcome::Error);
         let before = s.sent.len();
         (0..4).for_each(|_| _ = s.accept(ONCE));
@@ -106,21 +106,21 @@
 fn waits_come_back_to_the_routes_that_they_are_about() {
     let apart = [entry(1, 1), entry(2, 1)];
     let mut s = Sender::new(settings(), &apart);
-    s.tell(vec![Event::Wait { endpoint: endpoint(1), wait: 20 * SECOND }]);
-    s.pass(10 * SECOND);
+    s.handle(vec![Event::RetryAfter { endpoint: endpoint(1), wait: 20 * SECOND }]);
+    s.advance(10 * SECOND);
     assert_eq!(away_and_back(&mut s, &apart), Some(1));
     (0..4).for_each(|_| _ = s.accept(SAFE));
     assert!(!s.sent.is_empty() && s.sent.iter().all(|out| out.endpoint == endpoint(2)));
 
     let one = [entry(1, 0), entry(2, 0)];
     let mut s = Sender::new(settings(), &one);
-    s.tell(vec![Event::Wait { endpoint: endpoint(1), wait: 20 * SECOND }]);
-    s.pass(10 * SECOND);
+    s.handle(vec![Event::RetryAfter { endpoint: endpoint(1), wait: 20 * SECOND }]);
+    s.advance(10 * SECOND);
     assert_eq!(away_and_back(&mut s, &apart), Some(1));
     s.accept(SAFE);
-    s.pass(10 * SECOND - 1);
+    s.advance(10 * SECOND - 1);
     assert!(s.sent.is_empty());
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert_eq!(s.sent.len(), 1);
 }
 
@@ -165,10 +165,10 @@
         Step::End { which, outcome: how, wait } if !s.out.is_empty() => {
             let out = s.out.remove(which % s.out.len());
             let event = s.ended(out, outcome(how, wait));
-            s.tell(vec![event]);
+            s.handle(vec![event]);
         }
         Step::End { .. } => {}
-        Step::Pass(span) | Step::Idle(span) => s.pass(span),
+        Step::Pass(span) | Step::Idle(span) => s.advance(span),
     }
 }
 
@@ -197,7 +197,7 @@
                 continue;
             }
             let Some(kept) = away_and_back(&mut leaves, &one) else { continue };
-            stays.tell(vec![Event::Changes(one.to_vec())]);
+            stays.handle(vec![Event::Changes(one.to_vec())]);
             if kept == 0 {
                 for s in [&mut stays, &mut leaves] {
                     (0..3).for_each(|_| _ = s.accept(SAFE));
