--- a/src/estimate/budget_lease.rs
+++ b/src/estimate/budget_lease.rs
@@ -348,7 +348,7 @@
     /// Takes a query's cost out of what is left here.
     ///
     /// # Errors
-    /// Says what is short; [`Budgets::want`] has it brought.
+    /// Says what is short; [`Budgets::reserve`] has it brought.
     pub fn charge(&mut self, now: Micros, tenant: &str, cost: Cost) -> Result<Charge, Insufficient> {
         let left = self.remaining(now, tenant);
         if !left.covers(cost) {
--- a/src/estimate/estimator.rs
+++ b/src/estimate/estimator.rs
@@ -349,7 +349,7 @@
         self.mesh.accepts(bytes)
     }
 
-    /// A datagram of another sender has come, which [`Estimator::claims`].
+    /// A datagram of another sender has come, which [`Estimator::accepts`].
     pub fn receive(&mut self, now: Micros, from: Rank, bytes: &[u8]) {
         for message in self.mesh.receive(now, from, bytes).messages {
             match message.split_first() {
--- a/src/status/index.rs
+++ b/src/status/index.rs
@@ -347,7 +347,7 @@
         due.map_or(self.looked + LOOK, |due| due.min(self.looked + LOOK))
     }
 
-    /// A datagram that is this part's, by [`Index::claims`].
+    /// A datagram that is this part's, by [`Index::accepts`].
     pub fn receive(&mut self, now: Micros, from: Rank, bytes: &[u8]) {
         let arrived = self.mesh.receive(now, from, bytes);
         if arrived.peer_restarted {
