--- a/tests/node/charging.rs
+++ b/tests/node/charging.rs
@@ -1,11 +1,11 @@
-//! Reads by plan that are predicted, charged and corrected, at three real senders.
+//! Reads by plan at three running senders: predicted, charged, and the charge corrected to what was read.
 
 use serde_json::{Value, json};
 
 use super::status::tier_with;
 use super::world::*;
 
-/// Of 16 queries a minute a new lender has two, and more by and by.
+/// The tenant's budget. Of 16 queries a minute a new lender may grant two at once, and more over time.
 const QUERIES: u64 = 16;
 
 fn tier(platform: &Platform, water: &Value) -> Vec<Node> {
@@ -37,7 +37,8 @@
     nodes.iter().map(of).sum()
 }
 
-/// Guards against a budget that is only told: what was lent over all senders is what is answered, and nobody else waits.
+/// Guards against a budget that is reported but not enforced: all senders together answer no more queries
+/// than were granted, and no other tenant waits.
 #[test]
 fn a_tenant_over_its_queries_a_minute_is_told_later_at_every_sender_and_nobody_else_is() {
     let platform = Platform::new();
@@ -69,8 +70,8 @@
     assert!(of("water")["denied"].as_u64() > Some(0) && of("light")["denied"] == 0, "{report}");
 }
 
-/// Guards against a read that is let in by nothing but its size after the fact, against charges that stay as they were
-/// predicted, and against a narrowed answer that passes for a whole one.
+/// Guards against a read that is limited only by its size after the fact, against charges that stay as
+/// predicted, and against a narrowed answer that looks complete.
 #[test]
 fn a_read_over_its_shards_is_refused_or_narrowed_and_a_charge_is_corrected_to_what_was_read() {
     let platform = Platform::new();
@@ -82,7 +83,7 @@
     }
     let unix =
         || std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_micros() as u64;
-    // The newest is in a shard of its own.
+    // The newest message is in its own shard.
     std::thread::sleep(std::time::Duration::from_secs(4));
     hand_in(&nodes[0], "newest", "water");
     let past = json!({"tenant": "water", "to": unix()});
@@ -91,12 +92,12 @@
         node.post("/control/estimate", &body).json()["prediction"]["bound"] == json!(true)
     };
     wait_until(|| nodes.iter().all(settled));
-    // Whoever asks for ids gets all or nothing.
+    // A query for ids gets all of them or nothing.
     let (status, said) = read(&nodes[1], &json!({"tenant": "water", "ids": ids}));
     assert_eq!((status, &said["code"]), (403, &json!("plan_shards")), "{said}");
     assert!(["error", "remedy"].iter().all(|key| said[key].as_str().is_some_and(|s| s.len() > 10)), "{said}");
     assert_eq!((sum(&nodes, "refused"), sum(&nodes, "charged")), (1, 0));
-    // Of a range of time the newest are there.
+    // A query for a time range gets the newest messages.
     let (status, said) = read(&nodes[1], &past);
     let left_out = &said["read"]["left_out"];
     assert_eq!(
@@ -117,7 +118,7 @@
     assert_eq!(said["estimate"]["read"]["bytes"], json!(bytes), "{said}");
     assert!(bytes > 0 && most > 0, "{said}");
     assert_eq!(["charged", "read"].map(|figure| sum(&nodes, figure)), [before[0] + most, before[1] + bytes]);
-    // Nothing more is told without being asked for.
+    // The estimate is in the answer only on request.
     let told = nodes[2].post("/control/status/query", &json!({"tenant": "light"}).to_string()).json();
     assert!(told.get("estimate").is_none() && told.get("read").is_some(), "{told}");
 }
--- a/tests/node/configuration.rs
+++ b/tests/node/configuration.rs
@@ -1,4 +1,5 @@
-//! The check of a configuration by the running program, at the management address and on the command line.
+//! Checks and reloads of the configuration of a running sender, at the management address and on the command
+//! line.
 
 use std::process::Command;
 
@@ -35,9 +36,9 @@
     assert_eq!(
         (&figures["conf_loaded"], &figures["conf_invalid"]),
         (&json!(0), &json!(0)),
-        "nothing was taken"
+        "the check changes nothing"
     );
-    // Once it is taken, the next is held against it.
+    // Once it is in force, the next candidate is compared with it.
     node.reload(|config| *config = fewer.clone());
     wait_until(|| check(&node, &fewer).json()["changes"] == json!([]));
 }
@@ -90,7 +91,8 @@
     config["mgmt"] = json!("127.0.0.1:0");
 }
 
-/// The settings change between a message's head and its end: those in force when it is taken on are its own.
+/// The settings change between a request's head and its body: those in force when the message is accepted
+/// apply.
 #[test]
 fn a_message_that_crosses_a_reload_goes_by_the_settings_that_take_it_on() {
     let (platform, endpoint) = (Platform::new(), Served::new());
@@ -103,15 +105,15 @@
         classes.remove(0);
         classes[0]["effect"] = json!("repeatable");
     });
-    assert_eq!(gone.ask(&of_gone).status(), 503, "nothing is taken on for a class that is gone");
+    assert_eq!(gone.ask(&of_gone).status(), 503, "a removed class accepts nothing");
     assert_eq!(stays.ask(&of_stays).status(), 202);
     endpoint.next().reply(status(500));
     let again = endpoint.next();
-    assert_eq!(again.http.headers["req-id"], "b", "it may be repeated now");
+    assert_eq!(again.http.headers["req-id"], "b", "its class is repeatable now");
     again.reply(status(200));
 }
 
-/// A kind's batch size holds from the next call on, with no news of its endpoints.
+/// A kind's batch size applies from the next call on, without a list update.
 #[test]
 fn a_changed_kind_holds_for_what_is_listed_already() {
     let (platform, endpoint) = (Platform::new(), Served::new());
@@ -133,7 +135,7 @@
     }
 }
 
-/// Zones change places in the settings: each endpoint keeps its own, and with it the toll.
+/// Zones change their order in the settings: each endpoint keeps its zone by name, and with it the toll.
 #[test]
 fn a_zones_toll_goes_with_its_name() {
     let (platform, one, two) = (Platform::new(), Served::new(), Served::new());
@@ -151,22 +153,23 @@
     assert_eq!(node.hand_in("b", "note", 7, 20_000).status(), 202);
     let call = two.next();
     assert_eq!(call.http.headers["req-id"], "b");
-    assert!(!one.unseen(), "nor was it tried there first");
+    assert!(!one.unseen(), "the call was not tried there first");
     call.reply(status(200));
 }
 
-/// How the list is followed is the settings' to say, at any time: who goes on as before is told of nothing in the end.
+/// The settings decide whether the list is watched or polled; a sender that did not follow a reload would in
+/// the end miss all updates.
 #[test]
 fn a_reload_changes_how_the_list_is_followed() {
     let platform = Platform::new();
     let node = Node::start(&platform, &[], operated);
-    let asked = || platform.asks.recv_timeout(PATIENCE).expect("it asks");
+    let asked = || platform.asks.recv_timeout(PATIENCE).expect("the list is requested");
     assert!(asked().contains("from="));
     node.reload_and_wait(|config| {
         config["settings"]["discovery"] = json!("ask");
         config["settings"]["obligations"]["ask_every_us"] = json!(1_000_000);
     });
-    // A watch may have been asked for once more just before, on a connection of its own, which may be read later.
+    // One more watch may have been requested just before, on its own connection, which may be read later.
     let asks: Vec<String> = (0..4).map(|_| asked()).collect();
     let watches = asks.iter().filter(|path| path.contains("from=")).count();
     assert!(watches <= 1, "{asks:?}");
@@ -176,15 +179,16 @@
     wait_until(|| asked().contains("from="));
 }
 
-/// A message keeps what it was taken on as through a restart that finds other settings: what may not happen twice then
-/// does not for a class that may be repeated now, and what was never tried is still tried.
+/// A message keeps the effect that it was accepted with through a restart with other settings: one accepted
+/// as `once` is not repeated although its class is repeatable now, and one that was never tried is still
+/// tried.
 #[test]
 fn a_restart_with_looser_settings_repeats_nothing_that_was_taken_on_as_once() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     assert_eq!(node.hand_in("out", "order", 7, 20_000).status(), 202);
     let call = endpoint.next();
-    assert_eq!(node.hand_in("held", "order", 9, 20_000).status(), 202, "nowhere to go yet");
+    assert_eq!(node.hand_in("held", "order", 9, 20_000).status(), 202, "no endpoint is listed yet");
     node.rewrite(|config| config["settings"]["classes"][1]["effect"] = json!("repeatable"));
     let node = node.kill_and_restart();
     assert_eq!(platform.notice(204), [json!({"id": "out", "status": "undeliverable"})]);
@@ -194,7 +198,7 @@
     let held = nine.next();
     assert_eq!(held.http.headers["req-id"], "held");
     held.reply(status(200));
-    // What is taken on now may be repeated.
+    // A message accepted now may be repeated.
     for code in [500, 200] {
         let new = endpoint.next();
         assert_eq!(new.http.headers["req-id"], "new");
--- a/tests/node/door.rs
+++ b/tests/node/door.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: how they end, and what those that stand idle may not take from the others.
+//! Client connections: idle ones must not exhaust the descriptors that everything else needs.
 
 use std::net::TcpStream;
 
@@ -6,8 +6,9 @@
 
 use super::world::*;
 
-/// Idle clients fill every place that there is for clients, and the platform's agent is silent: who has a connection
-/// is served, and calls, operators and the journal go on, within the descriptors that are allowed.
+/// Idle clients use all client connections, and the discovery service does not answer: a client with a
+/// connection is still served, and calls, operators' calls and the journal go on within the allowed
+/// descriptors.
 #[test]
 fn idle_clients_that_fill_all_places_leave_descriptors_for_all_else() {
     let (platform, endpoint, nowhere) = (Platform::new(), Served::new(), Crowded::new());
@@ -30,7 +31,7 @@
     wait_until(|| node.journal_length() > before);
     assert_eq!(node.call("GET", "/control/counters").json()["answered"]["order"], 2);
     assert!(node.descriptors() <= sockets, "{}", node.descriptors());
-    // It waits for a place for as long as those before it in the backlog are kept.
+    // It waits in the backlog until the connections before it are closed.
     assert_eq!(node.hand_in("new", "order", 7, 20_000).status(), 202);
     assert_eq!(endpoint.next().http.headers["req-id"], "new");
     drop(idle);
--- a/tests/node/draining.rs
+++ b/tests/node/draining.rs
@@ -1,5 +1,5 @@
-//! Draining on the running sender: endpoints, a process, a whole machine; killed, replaced and cut short at
-//! each point.
+//! Draining at a running sender: of endpoints, of a process and of a whole machine, with the process killed,
+//! replaced or out of time at each point.
 
 use std::collections::BTreeSet;
 use std::thread;
@@ -26,7 +26,7 @@
     node.call("GET", "/control/drain").json()
 }
 
-/// The names that operators have drained, with whether calls are still out there.
+/// The endpoints that operators have drained, each with its state.
 fn drained(node: &Node) -> Vec<(String, String)> {
     let report = report(node);
     let text = |value: &Value| value.as_str().unwrap().to_owned();
@@ -42,7 +42,7 @@
     [listing("e1", 7, "plain", a.address), listing("e2", 7, "plain", b.address)]
 }
 
-/// What is out when its endpoint is drained ends there; nothing new goes there until it is put back.
+/// Calls in flight at an endpoint when it is drained end there; no new call goes there until it is restored.
 #[test]
 fn a_drained_endpoint_finishes_its_calls_and_gets_no_more() {
     let (platform, one, other) = (Platform::new(), Served::new(), Served::new());
@@ -66,14 +66,14 @@
     let listed = node.call("GET", "/control/endpoints").json();
     assert_eq!(listed["endpoints"][0]["name"], "e1");
     assert_eq!(listed["endpoints"][0]["drained_by_operator"], true);
-    assert_eq!(listed["endpoints"][0]["active"], true, "discovery knows nothing of it");
+    assert_eq!(listed["endpoints"][0]["active"], true, "discovery still lists it as active");
     assert_eq!(restore(&node, &["e1"]).json()["changed"], json!(["e1"]));
     assert_eq!(drain(&node, &["e2"], false).status(), 200);
     assert_eq!(node.hand_in("back", "order", 7, 20_000).status(), 202);
     assert_eq!(one.next().http.headers["req-id"], "back");
 }
 
-/// A disbursement that is out at the endpoint when its drain begins, and gets no answer, may have run.
+/// A disbursement in flight at an endpoint when its drain begins, which gets no answer, may have run.
 #[test]
 fn a_disbursement_out_at_a_drained_endpoint_never_goes_to_another() {
     for killed in [false, true] {
@@ -92,7 +92,7 @@
     }
 }
 
-/// The mark is laid over the list: it outlives changes of it, a kill, and ends with the endpoint.
+/// A drain mark survives list changes and a kill, and ends when the endpoint leaves the list.
 #[test]
 fn a_mark_outlives_all_but_its_endpoint() {
     let (platform, one, other, moved) = (Platform::new(), Served::new(), Served::new(), Served::new());
@@ -113,7 +113,7 @@
     ];
     for (n, list) in lists.iter().enumerate() {
         platform.tell(list);
-        // Each list brings one more endpoint, so that it shows when it has come.
+        // The index shows when the list has been applied.
         let listed = || node.call("GET", "/control/endpoints").json();
         wait_until(|| listed()["index"] == n as u64 + 2);
         assert_eq!(drained(&node), only("e1", "drained"), "list {n}");
@@ -121,15 +121,15 @@
         assert_eq!(drained(&node), only("e1", "drained"), "killed after list {n}");
         assert_eq!(node.hand_in(&format!("m{n}"), "order", 7, 20_000).status(), 202);
         other.next().reply(status(200));
-        // The list that the process was started with is older than discovery's.
+        // The list in the configuration is older than discovery's.
         wait_until(|| node.call("GET", "/control/endpoints").json()["index"] == n as u64 + 2);
     }
-    // Back under its name at a new address, it is called there.
+    // The endpoint is back under its name at a new address, and is called there.
     assert_eq!(restore(&node, &["e1"]).status(), 200);
     assert_eq!(drain(&node, &["e2"], false).status(), 200);
     assert_eq!(node.hand_in("moved", "order", 7, 20_000).status(), 202);
     moved.next().reply(status(200));
-    // Gone, and listed again: nobody drained what stands there now.
+    // Once the endpoint has left the list, an endpoint listed under its name is not drained.
     platform.tell(&[returned.clone()]);
     wait_until(|| drained(&node).is_empty());
     platform.tell(&[returned, known[1].clone()]);
@@ -157,7 +157,7 @@
     assert!(!one.unseen());
 }
 
-/// Two operators, each of whom sees that the other endpoint would still be there.
+/// Two operators drain the two endpoints of a destination at once, each relying on the other endpoint.
 #[test]
 fn of_two_operators_at_once_one_is_refused() {
     let (platform, one, other) = (Platform::new(), Served::new(), Served::new());
@@ -193,7 +193,8 @@
     assert!(!one.unseen());
 }
 
-/// A batch travels as one call: all its messages end there, and what was turned away goes elsewhere.
+/// A batch in flight at a drained endpoint: its messages end one by one, and a rejected one goes to another
+/// endpoint.
 #[test]
 fn a_batch_out_at_a_drained_endpoint_ends_message_by_message() {
     let (platform, one, other) = (Platform::new(), Served::new(), Served::new());
@@ -220,8 +221,8 @@
     assert!(!one.unseen());
 }
 
-/// Its time runs out with messages of both classes held and out: each ends as its class allows, and staff are
-/// told at each point what may be done to the machine.
+/// The drain's time runs out with messages of both classes held and in flight: each ends as its class allows,
+/// and the report says at each point what may be done to the machine.
 #[test]
 fn a_process_is_drained_within_its_time() {
     let (platform, one) = (Platform::new(), Served::new());
@@ -236,7 +237,7 @@
     let told = node.call("POST", "/control/out-of-service?within_ms=3000");
     assert_eq!((told.status(), &told.json()["state"]), (200, &json!("draining")));
     assert!(told.json()["left_ms"].as_u64().unwrap() <= 3000);
-    // No endpoint is listed for them: they are handed back at once, with when to come again.
+    // No endpoint is listed for them: they are deferred at once, with a time to retry.
     let mut handed_back = BTreeSet::new();
     while handed_back.len() < 2 {
         for notice in platform.notice(204) {
@@ -246,7 +247,7 @@
         }
     }
     assert_eq!(handed_back, BTreeSet::from(["note".to_owned(), "order".to_owned()]));
-    // Who keeps an old connection busy is served on it once more, and it ends.
+    // A client that keeps using its connection gets one more answer, and the connection is closed.
     let last = busy.ask(&handing_in("late", "order", 9, 20_000));
     assert_eq!(last.status(), 503, "it can't be delivered here");
     assert!(last.headers["retry-after"].parse::<f64>().unwrap() > 0.0);
@@ -254,19 +255,20 @@
     wait_until(|| report(&node)["clients"] == 0);
     let verdict = report(&node)["verdict"].as_str().unwrap().to_owned();
     assert_eq!(verdict, "not yet: 1 calls out");
-    // What may have run is not handed back: it fails, by the drain's end.
+    // A message that may have run is not deferred: it fails by the end of the drain.
     assert_eq!(platform.notice(204), [json!({"id": "out", "status": "undeliverable"})]);
     drop(out);
     wait_until(|| report(&node)["state"] == "drained");
     assert_eq!(report(&node)["verdict"], "safe to lose the machine");
     assert_eq!(report(&node)["owed"], 0);
-    // A drain that is put back takes clients again, and their messages have their own time.
+    // Back in service, the sender accepts clients again, and their messages have their own deadlines.
     assert_eq!(node.call("POST", "/control/in-service").status(), 200);
     assert_eq!(node.hand_in("again", "note", 9, 20_000).status(), 202);
     assert_eq!(report(&node)["state"], "serving");
 }
 
-/// What the journal still owes makes it safe to stop, and no more; killed in any state, nothing is lost.
+/// While the journal still owes messages the verdict is "safe to stop" only; a kill in any state loses
+/// nothing.
 #[test]
 fn a_kill_in_any_state_of_a_drain_loses_nothing() {
     let (platform, one) = (Platform::new(), Served::new());
@@ -279,14 +281,14 @@
     node = node.kill_and_restart();
     assert_eq!(report(&node)["state"], "serving", "a new process begins in service");
     assert_eq!(report(&node)["owed"], 1);
-    // Killed before the platform has the notice of what was handed back.
+    // Killed before the platform has accepted the notice of the deferred message.
     assert_eq!(node.call("POST", "/control/out-of-service?within_ms=1000").status(), 200);
     let deferred = json!({"id": "held", "status": "deferred"});
     let notice = platform.notice(500);
     assert_eq!((&notice[0]["id"], &notice[0]["status"]), (&deferred["id"], &deferred["status"]));
     assert_eq!(report(&node)["state"], "draining", "the notice is owed");
     node = node.kill_and_restart();
-    // The one before may have asked once more before it was killed.
+    // The previous process may have sent the notice again before it was killed.
     let notice = platform.notice(204);
     assert_eq!(notice[0]["id"], "held");
     wait_until(|| {
@@ -311,7 +313,7 @@
     let mut old = Node::start_inheriting_with(&platform, &two(&one, &other), on);
     assert_eq!(drain(&old, &["e1"], false).status(), 200);
     assert_eq!(old.hand_in("held", "order", 9, 20_000).status(), 202);
-    // Drained while it hands over, and handing over while it is drained.
+    // The process is out of service while it hands over, and hands over while it is out of service.
     assert_eq!(old.call("POST", "/control/out-of-service?within_ms=60000").status(), 200);
     platform.notice(204);
     assert_eq!(old.hand_in("out", "order", 7, 20_000).status(), 202);
@@ -320,14 +322,14 @@
     assert_eq!(report(&new)["state"], "serving");
     assert_eq!(drained(&new), only("e1", "drained"));
     for call in ["/control/endpoints/drain", "/control/endpoints/restore"] {
-        assert_eq!(old.post(call, "{\"names\": [\"e1\"]}").status(), 409, "it is the new one's matter");
+        assert_eq!(old.post(call, "{\"names\": [\"e1\"]}").status(), 409, "only the new process may do it");
     }
     assert_eq!(old.call("POST", "/control/out-of-service?within_ms=1000").status(), 409);
-    assert_eq!(drain(&new, &["e2"], false).status(), 409, "the last one");
+    assert_eq!(drain(&new, &["e2"], false).status(), 409, "it is the last endpoint");
     assert_eq!(new.hand_in("a", "order", 7, 20_000).status(), 202);
     let call = other.next();
     assert_eq!(call.http.headers["req-id"], "a");
-    // Its calls at both processes are seen.
+    // The report counts the calls of both processes.
     wait_until(|| {
         let listed = new.call("GET", "/control/endpoints").json();
         listed["endpoints"][1]["messages_out"] == 2
@@ -376,14 +378,14 @@
     assert_eq!(node.call("POST", "/control/drain").status(), 405);
     assert!(drained(&node).is_empty());
     assert_eq!(report(&node)["state"], "serving");
-    // Without its section the part is off, and keeps no file.
+    // Without its section draining is off and stores no file.
     let off = Node::start(&platform, &two(&one, &other), |config| config["mgmt"] = json!("127.0.0.1:0"));
     assert_eq!(drain(&off, &["e1"], false).status(), 404);
     assert_eq!(off.files(), ["journal"]);
-    assert_eq!(node.files(), ["journal"], "nor with it, until something is marked");
+    assert_eq!(node.files(), ["journal"], "nor with the section, until an endpoint is marked");
 }
 
-/// What can't be written down is not promised.
+/// A mark that can't be stored must not be acknowledged.
 #[test]
 fn a_mark_that_cannot_be_kept_is_refused() {
     let (platform, one, other) = (Platform::new(), Served::new(), Served::new());
@@ -393,8 +395,9 @@
     assert!(drained(&node).is_empty());
     std::fs::remove_dir(node.state().join("drained.new")).unwrap();
     assert_eq!(drain(&node, &["e1"], false).status(), 200);
-    // A file that is spoilt costs the marks, and not the sender.
-    let node = node.kill_and_restart_after(|state| std::fs::write(state.join("drained"), b"spoilt").unwrap());
+    // A corrupt file loses the marks; the sender still starts.
+    let node =
+        node.kill_and_restart_after(|state| std::fs::write(state.join("drained"), b"corrupt").unwrap());
     assert!(drained(&node).is_empty());
     assert_eq!(drain(&node, &["e1"], false).status(), 200);
 }
--- a/tests/node/entering.rs
+++ b/tests/node/entering.rs
@@ -1,5 +1,5 @@
-//! Messages in hand while a list comes to have more destinations than the module is told of, and changes of such a list
-//! that cross. Found by an attack on the working set's argument.
+//! Messages held while a list grows to more destinations than the policy's working set, and conflicting
+//! changes of such a list. Found in a review that tried to break the working set's correctness argument.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 use super::residing::*;
 use super::world::*;
 
-/// The next call is this message's, and it is delivered.
+/// Answers the next call, which must be this message's, with 200.
 fn delivered(endpoint: &Served, id: &str) {
     let call = endpoint.next();
     assert_eq!(call.http.headers["req-id"], id);
     call.reply(status(200));
 }
 
-/// Guards the start: a configuration names few endpoints, so that messages wait for the first list.
+/// Guards the start: a configuration lists few endpoints, so that messages wait for the first list.
 #[test]
 fn a_message_that_came_before_the_long_list_goes_when_that_comes() {
     let (platform, rest, seven) = (Platform::new(), Served::new(), Served::new());
@@ -25,7 +25,7 @@
     delivered(&seven, "early");
 }
 
-/// Guards what was taken on through a restart, whose journal is read before the list comes.
+/// Guards accepted messages through a restart, where the journal is read before the list arrives.
 #[test]
 fn a_message_of_the_process_before_goes_when_the_long_list_comes() {
     let (platform, rest, seven) = (Platform::new(), Served::new(), Served::new());
@@ -38,7 +38,8 @@
     drop(node);
 }
 
-/// Guards growth: the list goes beyond without the message's destination, whose endpoint comes by a later change.
+/// Guards growth: the list outgrows the working set without the message's destination, whose endpoint is
+/// added later.
 #[test]
 fn a_message_held_while_the_list_grows_goes_when_its_endpoint_comes() {
     let (platform, rest, late) = (Platform::new(), Served::new(), Served::new());
@@ -50,7 +51,8 @@
     drop(node);
 }
 
-/// Guards against misdirection: of a name that changes tell twice the last one counts, wherever it leads.
+/// Guards against misdirection: if changes name an endpoint twice, the last entry counts, whatever its
+/// destination.
 #[test]
 fn a_name_twice_in_one_change_is_where_the_last_one_says() {
     let (platform, rest, seven) = (Platform::new(), Served::new(), Served::new());
@@ -63,6 +65,6 @@
     platform.change(&[gone, x(7), x(4001), listing("y", 4002, "plain", rest.address)]);
     wait_until(|| counters(&node)["cluster_size"] == MANY + 1);
     assert_eq!(node.hand_in("b", "order", 7, 1_000).status(), 202);
-    assert!(twice.try_next(Duration::from_secs(2)).is_none(), "it is 4001's");
+    assert!(twice.try_next(Duration::from_secs(2)).is_none(), "it belongs to destination 4001");
     served(&node, &twice, "c", "order", 4001, status(200));
 }
--- a/tests/node/estimating.rs
+++ b/tests/node/estimating.rs
@@ -1,4 +1,4 @@
-//! What queries and runs will cost, asked of real senders.
+//! Estimates of the cost of queries and of planned runs, at running senders.
 
 use std::net::UdpSocket;
 
@@ -6,7 +6,7 @@
 
 use super::world::*;
 
-/// Addresses on hosts apart that nobody had a moment ago.
+/// Free addresses on different hosts.
 fn addresses(number: u8) -> Vec<String> {
     let sockets: Vec<_> =
         (0..number).map(|n| UdpSocket::bind(format!("127.0.0.{}:0", n + 2)).unwrap()).collect();
@@ -67,8 +67,8 @@
     assert_eq!(node.call("GET", "/control/estimate").status(), 404);
 }
 
-/// Guards against a prediction that is right only where it was made up: three senders tell each other, and what a
-/// query really touches is held against what was said before.
+/// Guards against a prediction that is right only in a made-up setting: three senders exchange summaries, and
+/// what a query really touches is compared with the prediction.
 #[test]
 fn what_three_senders_predict_is_what_a_query_touches() {
     let (platform, endpoint) = (Platform::new(), Served::new());
@@ -88,7 +88,7 @@
         said["prediction"]["rows"]["most"].as_u64() >= Some(24) && said["prediction"]["doubts"] == json!([])
     };
     wait_until(|| nodes.iter().all(known));
-    // Nothing is written any more: from here on what was taken on before then is settled.
+    // No more writes follow: messages accepted before this time don't change any more.
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_micros() as u64;
     let past = json!({"tenant": "water", "limit": 1000, "to": unix});
     let settled =
@@ -111,7 +111,7 @@
     assert_eq!(report["owners"].as_array().map(Vec::len), Some(3), "{report}");
 }
 
-/// Answers each call after a while until so many messages have come; how many calls that were.
+/// Answers calls, each after a delay, until so many messages have arrived; returns the number of calls.
 fn deliver(endpoint: &Served, messages: usize) -> u64 {
     let (mut came, mut calls) = (0, 0);
     while came < messages {
@@ -145,7 +145,7 @@
             assert_eq!(node.ask(text.as_bytes()).status(), 202);
         }
     };
-    // From then on it is known how long answers take.
+    // From now on the sender knows how long answers take.
     hand_in(0, 10);
     deliver(&endpoint, 10);
     let run =
--- a/tests/node/handover.rs
+++ b/tests/node/handover.rs
@@ -1,4 +1,4 @@
-//! What crosses a handover between two processes of one sender.
+//! Handover between two processes of one sender.
 
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
@@ -11,14 +11,16 @@
     (Platform::new(), Served::new())
 }
 
-/// A connection to this process that has handed in one message, which goes nowhere yet, and is kept.
+/// A connection to this process, kept alive, over which one message was submitted that has no listed
+/// endpoint.
 fn kept(node: &Node, id: &str) -> Client {
     let mut client = Client::new(node);
     assert_eq!(client.ask(&handing_in(id, "order", 9, 20_000)).status(), 202);
     client
 }
 
-/// The new process has other settings: what the old one's clients still bring goes by those, by name.
+/// The new process has other settings: they apply to messages that clients still submit to the old one, by
+/// class name.
 #[test]
 fn what_comes_by_the_old_process_goes_by_the_new_ones_settings() {
     let (platform, endpoint) = platform_and_endpoint();
@@ -38,8 +40,8 @@
     again.reply(status(200));
 }
 
-/// SIGTERM, once and again, reaches the old process while a client's connection is open there and a call is out: what
-/// comes over the one and the end of the other count, and it goes.
+/// Two SIGTERMs reach the old process while a client's connection is open there and a call is in flight: a
+/// message over that connection and the call's outcome still count, and the process exits.
 #[test]
 fn an_old_process_that_is_asked_to_end_ends_what_it_has() {
     let (platform, endpoint) = platform_and_endpoint();
@@ -57,7 +59,7 @@
     assert_eq!(new.call("GET", "/control/counters").json()["current"], 2);
 }
 
-/// SIGHUP at the old process is no matter of its any more; the new one takes the file.
+/// After a handover SIGHUP has no effect at the old process; the new one reloads the file.
 #[test]
 fn a_reload_amid_a_handover_is_the_new_process_s() {
     let (platform, endpoint) = platform_and_endpoint();
@@ -68,18 +70,19 @@
     assert_eq!(new.hand_in("late", "order", 7, 20_000).status(), 202);
     endpoint.next().reply(status(500));
     let again = endpoint.next();
-    assert_eq!(again.http.headers["req-id"], "late", "as the new file has it");
+    assert_eq!(again.http.headers["req-id"], "late", "its class is repeatable in the new file");
     again.reply(status(200));
 }
 
-/// A new process that asks for the folder and dies costs nothing: the old one goes on, and can still be followed.
+/// A successor that asks for the state folder and dies changes nothing: the old process goes on, and can
+/// still hand over.
 #[test]
 fn a_successor_that_dies_before_it_is_told_changes_nothing() {
     let (platform, endpoint) = platform_and_endpoint();
     let old = Node::start_inheriting(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
     assert_eq!(old.hand_in("held", "order", 9, 20_000).status(), 202);
     for _ in 0..2 {
-        // Who asks next finds a listener again once the one before has been found dead.
+        // The socket listens again once the previous successor has been found dead.
         let mut asks = loop {
             if let Ok(asks) = UnixStream::connect(old.state().join("successor")) {
                 break asks;
@@ -98,19 +101,19 @@
     assert_eq!(
         old.call("GET", "/control/ready").status(),
         503,
-        "the old one is there still, and handed over"
+        "the old process still runs and has handed over"
     );
     wait_until(|| new.call("GET", "/control/counters").json()["current"] == 1);
     assert_eq!(new.hand_in("b", "order", 7, 20_000).status(), 202);
     assert_eq!(endpoint.next().http.headers["req-id"], "b");
 }
 
-/// Nor does one that reads a part of what it is told.
+/// A successor that dies after it has read a part of the state changes nothing either.
 #[test]
 fn a_successor_that_dies_amid_what_it_is_told_changes_nothing() {
     let (platform, endpoint) = platform_and_endpoint();
     let old = Node::start_inheriting(&platform, &[]);
-    // More than a socket holds, so that it can't all be written at once.
+    // More than a socket's buffer holds, so that the state can't be written at once.
     let pad = |n| listing(&format!("{n}-{}", "x".repeat(90)), 9, "plain", endpoint.address);
     platform.tell(&(0..3_000).map(pad).collect::<Vec<_>>());
     wait_until(|| old.call("GET", "/control/counters").json()["cluster_size"] == 3_000);
@@ -118,7 +121,7 @@
     asks.write_all(b"take over\n").unwrap();
     let mut part = [0; 4];
     asks.read_exact(&mut part).unwrap();
-    assert!(u32::from_le_bytes(part) > 1 << 19, "it is told more than a socket holds");
+    assert!(u32::from_le_bytes(part) > 1 << 19, "the state is larger than a socket's buffer");
     drop(asks);
     platform.tell(&[listing("e1", 7, "plain", endpoint.address)]);
     assert_eq!(old.hand_in("a", "order", 7, 20_000).status(), 202);
@@ -128,8 +131,8 @@
     assert_eq!(endpoint.next().http.headers["req-id"], "b");
 }
 
-/// A connection that the old process still waits for is given up at the handover: what the new one hears of waits could
-/// not keep it from being used. The call is made once, by the new process.
+/// A connection that the old process still waits for is abandoned at the handover, since a wait requested at
+/// the new process could not stop the old one from using it. The call is made once, by the new process.
 #[test]
 fn a_connection_that_comes_up_after_the_handover_is_not_used_by_the_old_process() {
     let (platform, crowded) = (Platform::new(), Crowded::new());
@@ -143,10 +146,10 @@
     let sends = |node: &Node| node.call("GET", "/control/counters").json()["sends"].clone();
     let new = old.succeeded();
     old.terminate();
-    assert_eq!(old.exit_code(), Some(0), "nothing is under way there");
+    assert_eq!(old.exit_code(), Some(0), "nothing is in flight there");
     let stream = crowded.let_in();
     let mut input = std::io::BufReader::new(stream.try_clone().unwrap());
-    let call = Http::read(&mut input).expect("the call comes");
+    let call = Http::read(&mut input).expect("the call arrives");
     assert_eq!(call.headers["req-id"], "a");
     (&stream).write_all(b"HTTP/1.1 200 X\r\ncontent-length: 0\r\n\r\n").unwrap();
     wait_until(|| new.call("GET", "/control/counters").json()["answered"]["order"] == 1);
--- a/tests/node/late.rs
+++ b/tests/node/late.rs
@@ -1,4 +1,5 @@
-//! Connections to endpoints that come up late: what becomes of a message meanwhile binds the call that waits.
+//! Connections to endpoints that are established late: a call that waits for one follows what happens to its
+//! messages.
 
 use std::io::{BufReader, Write};
 use std::net::TcpStream;
@@ -8,7 +9,7 @@
 
 use super::world::*;
 
-/// Nothing but time given up and the connection itself decides here.
+/// Long timeouts, so that only the messages' deadlines and the connection decide.
 fn patient(config: &mut Value) {
     config["mgmt"] = json!("127.0.0.1:0");
     config["settings"]["limits"]["connect_timeout_us"] = json!(20_000_000);
@@ -20,13 +21,14 @@
 fn delivered(stream: TcpStream) -> Http {
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     let mut input = BufReader::new(stream);
-    let http = Http::read(&mut input).expect("a call comes");
+    let http = Http::read(&mut input).expect("a call arrives");
     input.get_mut().write_all(b"HTTP/1.1 200 X\r\ncontent-length: 0\r\n\r\n").unwrap();
     http
 }
 
-/// Found on the standing test's join day: a call of several messages waited for a connection for as long as the most
-/// patient of them, and was written with one that the platform had been told the end of.
+/// Found in the standing test, on a day when endpoints join: a batch call waited for its connection until the
+/// latest of its messages' deadlines, and was then written with a message whose outcome the platform had
+/// already been notified of.
 #[test]
 fn a_message_given_up_while_its_call_waits_for_a_connection_is_left_out_of_it() {
     let (platform, crowded) = (Platform::new(), Crowded::new());
@@ -40,14 +42,14 @@
         told.extend(platform.notice(204));
     }
     let deferred = |id| json!({"id": id, "status": "deferred"});
-    assert_eq!(told, [deferred("short"), deferred("short too")], "they surely never ran");
+    assert_eq!(told, [deferred("short"), deferred("short too")], "they can't have run");
     let call = delivered(crowded.let_in());
-    assert_eq!(call.first, "POST /v1/messages HTTP/1.1", "one is left");
+    assert_eq!(call.first, "POST /v1/messages HTTP/1.1", "one message is left");
     assert_eq!(call.headers["req-id"], "long");
     wait_until(|| node.call("GET", "/control/counters").json()["answered"]["order"] == 1);
 }
 
-/// Guards drains: an endpoint that leaves gets nothing that was decided on before it was told to leave.
+/// Guards drains: an endpoint that is leaving gets no call that was planned before it was listed as leaving.
 #[test]
 fn a_call_that_waits_for_a_connection_to_an_endpoint_that_leaves_goes_elsewhere() {
     for status in ["leaving", "left"] {
@@ -66,7 +68,8 @@
     }
 }
 
-/// A process that is taken over from begins nothing: what waits for a connection is the next one's to decide on.
+/// A process that has handed over begins no call: a call that waits for a connection is the new process's to
+/// decide on.
 #[test]
 fn a_call_that_waits_for_a_connection_is_handed_over_as_one_that_never_ran() {
     let (platform, crowded, other) = (Platform::new(), Crowded::new(), Served::new());
--- a/tests/node/lists.rs
+++ b/tests/node/lists.rs
@@ -1,5 +1,5 @@
-//! Lists of endpoints that are long, cut, spoilt or without end: the real process takes what can be taken, goes on with the
-//! list that it has otherwise, and tells why.
+//! Endpoint lists that are long, truncated, corrupt or unfinished: the sender applies every valid list,
+//! otherwise keeps the list that it has, and reports why.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,15 +13,15 @@
 
 use super::world::*;
 
-/// Discovery as a test has it: each answer is written by the test's own code.
+/// A discovery service whose answers the test writes itself.
 struct Discovery {
     address: SocketAddr,
-    /// How often the list was asked for.
+    /// The number of requests for the list.
     asks: Arc<AtomicUsize>,
 }
 
 impl Discovery {
-    /// Every request for a list has `answer` write to its connection, which ends behind it.
+    /// For each request for a list `answer` writes to the connection, which is then closed.
     fn new(answer: impl Fn(&mut TcpStream) -> std::io::Result<()> + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -37,7 +37,7 @@
                         return;
                     }
                     counted.fetch_add(1, Ordering::SeqCst);
-                    // The sender may give it up.
+                    // The sender may have closed the connection.
                     let _ = answer(input.get_mut());
                 });
             }
@@ -54,7 +54,7 @@
     format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n")
 }
 
-/// A whole list with an endpoint for each of so many destinations from 0 on; all are at this address.
+/// A whole list with one endpoint for each destination from 0 on, all at this address.
 fn whole_list(index: u64, destinations: usize, address: SocketAddr) -> String {
     let entry = |group: usize| {
         format!(
@@ -66,7 +66,7 @@
     format!("{{\"index\":{index},\"snapshot\":true,\"endpoints\":[{}]}}", entries.join(","))
 }
 
-/// A sender that knows one endpoint, of destination 7, and follows this discovery.
+/// A sender configured with one endpoint, of destination 7, and with this discovery service.
 fn start(discovery: &Discovery, endpoint: &Served) -> Node {
     let known = [listing("e1", 7, "plain", endpoint.address)];
     Node::start(&Platform::new(), &known, |config| {
@@ -86,7 +86,8 @@
     call.reply(status(200));
 }
 
-/// Found with 7,000 destinations: the sender took no list of over 1 MiB, served nobody and said nothing.
+/// Found with 7,000 destinations: the sender accepted no list of over 1 MiB, delivered nothing and reported
+/// nothing.
 #[test]
 fn a_message_goes_to_the_last_of_ten_thousand_destinations() {
     let (first, last) = (Served::new(), Served::new());
@@ -94,7 +95,7 @@
     let discovery = Discovery::new(move |stream| {
         stream.write_all(head(text.len()).as_bytes())?;
         stream.write_all(text.as_bytes())?;
-        // The watch is held from now on.
+        // From now on the watch gets no answer.
         thread::sleep(PATIENCE);
         Ok(())
     });
@@ -104,7 +105,8 @@
     assert_eq!((&counters["cluster_size"], &counters["list"]), (&json!(10_000), &Value::Null));
 }
 
-/// Whatever comes that is no list, the one before stays in force, operators are told why, and discovery is spared.
+/// After an invalid list the previous one stays in force, operators are told why, and discovery is not
+/// flooded with requests.
 #[test]
 fn a_list_that_is_refused_leaves_the_one_before_and_is_told() {
     let endpoint = Served::new();
@@ -142,8 +144,8 @@
     played.into_iter().for_each(|case| case.join().unwrap());
 }
 
-/// A list that is written up to its last byte, a tenth at a time, each of which the test hears of; `last` follows once the
-/// test says.
+/// A discovery service that writes a list in tenths, up to its last byte, and signals the test after each;
+/// `last` follows once the test sets the flag.
 fn in_two_parts(destinations: usize, last: &'static str) -> (Discovery, Receiver<()>, Arc<Mutex<bool>>) {
     let (begun, came) = channel();
     let goes_on = Arc::new(Mutex::new(false));
@@ -165,7 +167,8 @@
     (discovery, came, goes_on)
 }
 
-/// Reading a list takes the loop's time from nobody: neither while it comes nor at its end, where this one is spoilt.
+/// Reading a list must not block the event loop: neither while the list arrives nor at its end, where this
+/// one is corrupt.
 #[test]
 fn clients_are_answered_in_time_while_a_long_list_is_read() {
     let endpoint = Served::new();
@@ -184,17 +187,17 @@
         came.recv_timeout(PATIENCE).unwrap();
         (0..3).for_each(|_| hand_in());
     }
-    assert_eq!(discovery.asks(), 1, "it is still the first list");
+    assert_eq!(discovery.asks(), 1, "the first list is still being read");
     *goes_on.lock().unwrap() = true;
     wait_until(|| {
         hand_in();
         counters(&node)["list"]["last_error"] == "list.malformed"
     });
     assert!(longest < Duration::from_millis(150), "a 202 took {longest:?}");
-    println!("the longest of {answered} answers took {longest:?}");
+    println!("the slowest of {answered} answers took {longest:?}");
 }
 
-/// The process ends in its time though a list is coming, and nothing of the list is used.
+/// The process ends in time although a list is being read, and nothing of the list is used.
 #[test]
 fn a_process_that_is_asked_to_end_does_not_wait_for_a_list() {
     let endpoint = Served::new();
@@ -209,7 +212,8 @@
     assert!(begun.elapsed() < Duration::from_millis(3700), "it ended after {:?}", begun.elapsed());
 }
 
-/// Where discovery moves while a list is coming, the new one's list is taken and the old one's is left.
+/// When the discovery address changes while a list is being read, the new service's list is applied and the
+/// old one's is dropped.
 #[test]
 fn a_list_that_is_coming_is_left_when_discovery_moves() {
     let (endpoint, moved_to) = (Served::new(), Served::new());
@@ -227,7 +231,7 @@
     assert_eq!((&counters["cluster_size"], &counters["list"]), (&json!(1), &Value::Null));
 }
 
-/// Found with 5,000 endpoints in the configuration: it was turned down at 262,144 bytes.
+/// Found with 5,000 endpoints in the configuration: it was rejected at 262,144 bytes.
 #[test]
 fn a_configuration_with_a_long_list_is_begun_from_and_read_again() {
     let (platform, endpoint) = (Platform::new(), Served::new());
@@ -243,7 +247,7 @@
     let checked = std::process::Command::new(program).arg("--check").arg(&file).output().unwrap();
     assert_eq!(String::from_utf8_lossy(&checked.stdout), "{\"faults\":[],\"valid\":true}\n");
     node.reload_and_wait(|config| config["settings"]["limits"]["try_limit"] = json!(5));
-    // What is spoilt in the list is told, and changes nothing.
+    // A fault in the list is reported, and changes nothing.
     node.reload(|config| config["known"]["endpoints"][4999]["group"] = json!("seven"));
     wait_until(|| counters(&node)["conf_invalid"] == 1);
     wait_until(|| node.log().contains("known.endpoints: list.malformed"));
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -1,4 +1,5 @@
-//! The real program over loopback sockets: each promise, and each failure found, in small.
+//! End-to-end tests of the sender binary over loopback sockets: one for each guarantee and for each failure
+//! found.
 
 mod charging;
 mod configuration;
@@ -21,7 +22,7 @@
 use serde_json::json;
 use world::*;
 
-/// The messages of a batch, by id.
+/// The ids of the messages in a batch request.
 fn ids(asked: &Asked) -> Vec<String> {
     let parts = asked.http.json();
     parts.as_array().unwrap().iter().map(|p| p["id"].as_str().unwrap().to_owned()).collect()
@@ -49,11 +50,12 @@
         // The answer has been read once the journal has heard of it.
         wait_until(|| node.journal_length() > before);
     }
-    // The module has the first closed: it can't tell yet that this endpoint is called often.
+    // The policy has the first connection closed: it can't tell yet that this endpoint is called often.
     assert_eq!(connections[1], connections[2]);
 }
 
-/// Guards against a restart that forgets, repeats an effect, or waits for somebody to hand in again.
+/// Guards against a restart that loses accepted messages, repeats an effect, or resumes only when a client
+/// submits again.
 #[test]
 fn what_was_taken_on_outlasts_a_kill() {
     let (platform, seven, eight) = (Platform::new(), Served::new(), Served::new());
@@ -82,7 +84,8 @@
     assert!(!seven.unseen(), "the unsafe message is not sent again");
 }
 
-/// Guards the tenants' shares: whose message it is reaches the decisions, from the journal as well.
+/// Guards the tenants' shares: a message's tenant reaches the policy, also when it is restored from the
+/// journal.
 #[test]
 fn a_tenant_within_its_share_goes_before_one_beyond_it() {
     let (platform, endpoint) = (Platform::new(), Served::new());
@@ -109,11 +112,11 @@
     drop(node);
 }
 
-/// Guards against a resend outside the time for which the destination remembers the key.
+/// Guards against a resend after the destination may have forgotten the idempotency key.
 #[test]
 fn a_keyed_message_whose_window_is_over_is_not_resent_after_a_kill() {
     let (platform, endpoint) = (Platform::new(), Served::new());
-    // The window is shorter than the margin that the module keeps for the way there.
+    // The window is shorter than the margin that the policy reserves for delivery.
     let node = Node::start(&platform, &[listing("e1", 7, "plain", endpoint.address)], |config| {
         config["settings"]["classes"][0]["dedup_window_us"] = json!(1);
     });
@@ -125,7 +128,7 @@
     assert!(!endpoint.unseen());
 }
 
-/// Guards against a notice that is lost with the platform's answer, or with the process.
+/// Guards against a notice that is lost with a failed answer of the platform, or with the process.
 #[test]
 fn a_notice_is_sent_until_the_platform_has_it() {
     let platform = Platform::new();
@@ -139,23 +142,24 @@
     drop(node);
 }
 
-/// Guards what is taken on against a stranger who names its id again and goes away unanswered.
+/// Guards an accepted message against another client that submits the same id and disconnects before its
+/// answer.
 #[test]
 fn a_message_taken_on_is_not_withdrawn_by_another_that_names_its_id() {
     let (platform, endpoint) = (Platform::new(), Served::new());
-    // The next turn comes long after the stranger has gone.
+    // The next turn begins long after the other client has disconnected.
     let node = Node::start(&platform, &[], |config| config["settings"]["period_us"] = json!(500_000));
     assert_eq!(node.hand_in("a", "order", 7, 20_000).status(), 202);
     Client::new(&node).leave(&handing_in("a", "order", 7, 20_000));
-    assert_eq!(node.hand_in("b", "order", 8, 20_000).status(), 202, "a turn later");
+    assert_eq!(node.hand_in("b", "order", 8, 20_000).status(), 202, "in a later turn");
     platform.tell(&[listing("e1", 7, "plain", endpoint.address)]);
     let call = endpoint.next();
     assert_eq!(call.http.headers["req-id"], "a");
     call.reply(status(200));
 }
 
-/// Found on the large fleet: watches that discovery answers at each change are asked for again by all senders
-/// at once, and it had room for none of them.
+/// Found on the large fleet: discovery answers watches at each change, all senders then asked again at once,
+/// and it had capacity for none of them.
 #[test]
 fn a_list_that_must_be_asked_for_is_not_watched() {
     let platform = Platform::new();
@@ -164,18 +168,21 @@
         config["settings"]["obligations"]["ask_every_us"] = json!(1_000_000);
     });
     for _ in 0..3 {
-        assert_eq!(platform.asks.recv_timeout(PATIENCE).expect("it asks again"), "/v1/endpoints");
+        assert_eq!(
+            platform.asks.recv_timeout(PATIENCE).expect("the list is requested again"),
+            "/v1/endpoints"
+        );
     }
 }
 
-/// Guards against a sender that ends on SIGHUP or goes on listening to where discovery was.
+/// Guards against a sender that exits on SIGHUP or keeps watching the previous discovery address.
 #[test]
 fn a_reload_moves_the_watch_and_the_notices_to_the_new_discovery() {
     let (old, new, endpoint) = (Platform::new(), Platform::new(), Served::new());
     let node = Node::start(&old, &[], |_| {});
     assert_eq!(node.hand_in("told to the old", "order", 8, 500).status(), 202);
     assert_eq!(old.notice(204), [json!({"id": "told to the old", "status": "deferred"})]);
-    // What can't be read changes nothing.
+    // A configuration that can't be read changes nothing.
     node.reload(|config| config["discovery"] = json!("nowhere"));
     node.reload(|config| config["discovery"] = json!(new.address.to_string()));
     new.tell(&[listing("e1", 7, "plain", endpoint.address)]);
@@ -186,7 +193,7 @@
     assert_eq!(new.notice(204), [json!({"id": "a", "status": "undeliverable"})]);
 }
 
-/// New settings hold for what comes next, and what is under way keeps its class.
+/// New settings apply to later messages; messages in progress keep their class.
 #[test]
 fn a_reload_brings_classes_and_takes_them_away() {
     let (platform, endpoint) = (Platform::new(), Served::new());
@@ -202,7 +209,7 @@
     wait_until(|| node.hand_in("b", "bill", 7, 20_000).status() == 202);
     assert_eq!(node.hand_in("c", "order", 7, 20_000).status(), 400);
     platform.tell(&[listing("e1", 7, "plain", endpoint.address)]);
-    // Each has a connection of its own: which of the two is read first is open.
+    // Each message has its own connection: either of the two may be read first.
     let mut called = BTreeSet::new();
     for _ in 0..2 {
         let call = endpoint.next();
@@ -214,7 +221,7 @@
     assert_eq!(called, BTreeSet::from(["a".to_owned(), "b".to_owned()]));
 }
 
-/// Guards against telling a call that may have run from one that can't have.
+/// Guards the distinction between a call that may have run and one that can't have.
 #[test]
 fn an_answer_that_never_came_may_have_run() {
     let (platform, endpoint) = (Platform::new(), Served::new());
@@ -230,7 +237,7 @@
     }
 }
 
-/// Guards a delivery that the first line of an answer tells, when no more of it can be read.
+/// A status line with 200 means delivered, even when the rest of the answer can't be read.
 #[test]
 fn a_first_line_with_200_delivers_whatever_follows() {
     let (platform, endpoint) = (Platform::new(), Served::new());
@@ -260,7 +267,7 @@
         let again = endpoint.next();
         assert_eq!(again.http.headers["req-id"], "a");
         again.reply(status(200));
-        // 410: over, and nothing more is owed.
+        // 410 ends the message: no notice is owed.
         assert_eq!(node.hand_in("b", "order", 7, 20_000).status(), 202);
         endpoint.next().reply(status(410));
         assert_eq!(node.hand_in("c", "order", 7, 20_000).status(), 202);
@@ -268,8 +275,8 @@
     }
 }
 
-/// Found on a zone day of the full fleet: a connection that took a second to come up carried its call into a wait
-/// that another endpoint of the destination had told meanwhile.
+/// Found in a full-fleet run with a zone outage: a connection that took a second to establish carried its
+/// call into a wait that another endpoint of the destination had requested meanwhile.
 #[test]
 fn a_call_whose_connection_comes_up_within_a_wait_is_not_written() {
     let (platform, other) = (Platform::new(), Served::new());
@@ -289,27 +296,27 @@
     let call = other.next();
     assert_eq!(call.http.headers["req-id"], "told");
     let told = std::time::Instant::now();
-    assert!(told - begun < std::time::Duration::from_millis(900), "before the connection can come up");
+    assert!(told - begun < std::time::Duration::from_millis(900), "before the connection can be established");
     call.reply(Reply::Answer(429, vec![("retry-after", "2.5".into())], "".into()));
     let mut second = crowded.let_in();
-    assert!(told.elapsed() < wait, "it came up within the wait");
+    assert!(told.elapsed() < wait, "it was established within the wait");
     second.set_read_timeout(Some(wait.saturating_sub(told.elapsed()))).unwrap();
     let read = std::io::Read::read(&mut second, &mut [0; 64]);
     assert!(read.is_err() || matches!(read, Ok(0)) || told.elapsed() >= wait, "{read:?} after {told:?}");
 }
 
-/// Guards against a second copy while the first may still be read: the connection is closed at the time-out.
+/// Guards against a second copy while the first may still be read: a timeout closes the connection.
 #[test]
 fn a_time_out_closes_the_connection() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     assert_eq!(node.hand_in("a", "order", 7, 1500).status(), 202);
     let call = endpoint.next();
-    call.closed.recv_timeout(PATIENCE).expect("the connection ends");
+    call.closed.recv_timeout(PATIENCE).expect("the connection is closed");
     assert_eq!(platform.notice(204), [json!({"id": "a", "status": "undeliverable"})]);
 }
 
-/// What waits for one endpoint goes as one call, whose messages may end apart.
+/// Messages that wait for one endpoint are sent in one call; each has its own outcome.
 #[test]
 fn a_turns_messages_to_one_endpoint_travel_together() {
     let (platform, endpoint) = (Platform::new(), Served::new());
@@ -330,7 +337,7 @@
     let ends: Vec<_> = ends.iter().map(|(id, state)| json!({"id": id, "state": state})).collect();
     batch.reply(Reply::Answer(200, vec![], json!(ends).to_string()));
     assert_eq!(platform.notice(204), [json!({"id": "c", "status": "undeliverable"})]);
-    // Turned away, and not told of: both go again, together or one by one.
+    // b was rejected and e is missing from the answer: both are sent again, together or separately.
     let mut again = BTreeSet::new();
     while again.len() < 2 {
         let call = endpoint.next();
@@ -343,7 +350,7 @@
     assert_eq!(again, BTreeSet::from(["b".to_owned(), "e".to_owned()]));
 }
 
-/// A process that is asked to end answers, delivers what it can, leaves nothing behind and goes.
+/// On SIGTERM the process answers its clients, delivers what it can, leaves nothing open and exits.
 #[test]
 fn a_terminated_process_finishes_what_it_has() {
     let (platform, endpoint) = (Platform::new(), Served::new());
@@ -355,7 +362,8 @@
     node.terminate();
     let ready = b"GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n";
     wait_until(|| node.ask(ready).status() == 503);
-    // Clients go on using what is open, be it idle or so new that it has brought nothing, and what they open still.
+    // Clients still use connections that were idle, that were new and unused, and that they open after the
+    // signal.
     let mut late = Client::new(&node);
     for (client, id) in [(&mut idle, "b"), (&mut new, "c"), (&mut late, "d")] {
         assert_eq!(client.ask(&handing_in(id, "note", 7, 20_000)).status(), 202, "{id}");
@@ -364,7 +372,7 @@
         next.reply(status(200));
     }
     call.reply(status(200));
-    // In time for none to be open at the end, whoever uses it to the last.
+    // Connections are closed early enough that none is open at the end, even one in constant use.
     let mut used = 0;
     let ended = loop {
         let answer = idle.ask(&handing_in(&format!("{used}"), "note", 7, 20_000));
@@ -379,7 +387,7 @@
     assert_eq!(node.exit_code(), Some(0));
 }
 
-/// Operators send clients elsewhere and have them back, with nothing restarted and nothing lost.
+/// Operators take the sender out of service and back, without a restart and without a lost message.
 #[test]
 fn out_of_service_sends_clients_elsewhere_until_in_service() {
     let (platform, endpoint) = (Platform::new(), Served::new());
@@ -394,7 +402,7 @@
     assert_eq!(node.call("POST", "/control/out-of-service").status(), 200);
     assert_eq!(node.ask(look).status(), 503);
     assert_eq!(node.call("GET", "/control/ready").status(), 503);
-    // Who still comes is served, once, and what was taken on goes its way.
+    // A client that still comes is served once, and accepted messages are still delivered.
     let last = client.ask(&handing_in("b", "order", 7, 20_000));
     assert_eq!(last.status(), 202);
     assert_eq!(last.headers["connection"], "close");
@@ -412,7 +420,7 @@
     ["c", "d"].map(|id| client.ask(&handing_in(id, "order", 7, 20_000)).status())
 }
 
-/// Each message counts where it ended, a send once it is written, and what stands as it stands.
+/// Messages are counted by outcome, sends when they are written; the gauges show the current state.
 #[test]
 fn the_figures_count_what_happened() {
     let (platform, endpoint) = (Platform::new(), Served::new());
@@ -488,7 +496,7 @@
     assert_eq!(endpoint.next().http.headers["req-id"], "fine");
 }
 
-/// Guards against a request that a body hides: with two lengths, what follows is nobody's request.
+/// Guards against request smuggling: with two lengths, what follows must not be read as a request.
 #[test]
 fn a_request_with_two_lengths_is_not_taken_on_nor_what_it_hides() {
     let (platform, endpoint) = (Platform::new(), Served::new());
@@ -523,7 +531,7 @@
     }
 }
 
-/// Guards the room on the disk: what can't be kept is refused, and room comes back as messages end.
+/// Guards the disk limit: messages that can't be stored are refused, and capacity returns as messages end.
 #[test]
 fn messages_beyond_the_room_on_the_disk_are_refused() {
     let platform = Platform::new();
@@ -544,12 +552,12 @@
     let endpoint = Served::new();
     platform.tell(&[listing("e1", 7, "plain", endpoint.address)]);
     endpoint.next().reply(status(200));
-    // The answer is on its way to the journal: there is room once it has got there.
+    // The answer is on its way to the journal: there is capacity once it is recorded.
     wait_until(|| node.hand_in("again", "order", 7, 20_000).status() == 202);
 }
 
-/// Guards the promise of a 202: what the journal can't hold is neither taken on nor sent, and does not spoil
-/// what it can.
+/// Guards the promise of a 202: a message that the journal can't hold is neither accepted nor sent, and does
+/// not corrupt the records that it can hold.
 #[test]
 fn a_journal_that_cannot_be_written_takes_nothing_on() {
     let (platform, endpoint) = (Platform::new(), Served::new());
@@ -569,8 +577,8 @@
     assert!(!endpoint.unseen());
 }
 
-/// A new version takes over under load: nothing is lost, repeated, refused or told twice, and what still happens
-/// at the old process counts at the new one.
+/// A new version takes over under load: nothing is lost, repeated, refused or reported twice, and events at
+/// the old process still reach the new one.
 #[test]
 fn a_new_process_takes_over_all_that_the_old_one_has() {
     let (platform, seven, eight) = (Platform::new(), Served::new(), Served::new());
@@ -579,7 +587,11 @@
     let mut client = Client::new(&old);
     assert_eq!(client.ask(&handing_in("out", "order", 7, 20_000)).status(), 202);
     let out = seven.next();
-    assert_eq!(client.ask(&handing_in("held", "order", 9, 20_000)).status(), 202, "nowhere to go yet");
+    assert_eq!(
+        client.ask(&handing_in("held", "order", 9, 20_000)).status(),
+        202,
+        "no endpoint is listed yet"
+    );
     assert_eq!(client.ask(&handing_in("waits", "order", 8, 20_000)).status(), 202);
     let wait = vec![("retry-after", "1.5".to_owned())];
     let before = old.journal_length();
@@ -593,7 +605,7 @@
     assert_eq!(old.call("GET", "/control/ready").status(), 503);
     assert_eq!(new.call("GET", "/control/counters").json()["current"], 4);
     assert_eq!(old.call("GET", "/control/counters").json()["current"], 0);
-    // Whoever has a connection to the old process is served there once more.
+    // A client with a connection to the old process gets one more answer there.
     let last = client.ask(&handing_in("by the old", "order", 9, 20_000));
     assert_eq!((last.status(), last.headers["connection"].as_str()), (202, "close"));
     assert_eq!(new.hand_in("by the new", "order", 9, 20_000).status(), 202);
@@ -619,18 +631,18 @@
     assert_eq!(called, BTreeSet::from(expected));
     wait_until(|| new.call("GET", "/control/counters").json()["answered"]["order"] == 6);
     assert!(!seven.unseen() && !eight.unseen() && !nine.unseen());
-    // It can be followed in its turn.
+    // It can be taken over from in its turn.
     let third = new.succeeded();
     assert_eq!(third.hand_in("by the third", "order", 9, 20_000).status(), 202);
     assert_eq!(nine.next().http.headers["req-id"], "by the third");
 }
 
-/// Guards the effect of a call that dies with the old process: it may have run.
+/// Guards the effect of a call that is lost with the old process: it may have run.
 #[test]
 fn what_an_old_process_had_out_when_it_was_killed_may_have_run() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let mut old = Node::start_inheriting(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
-    // Its own time is up long after the patience of this test.
+    // Its deadline is long after this test's timeout.
     assert_eq!(old.hand_in("a", "order", 7, 90_000).status(), 202);
     let call = endpoint.next();
     let new = old.succeeded();
--- a/tests/node/plans.rs
+++ b/tests/node/plans.rs
@@ -1,4 +1,5 @@
-//! Reads by plan on running senders: written at one, read at another, through kills, stops, lag and a lost folder.
+//! Reads by plan at running senders: written at one, read at another, through kills, pauses, lag and a lost
+//! state folder.
 
 use serde_json::{Value, json};
 
@@ -18,7 +19,7 @@
     nodes
 }
 
-/// The session token of the 202, if it has one.
+/// Submits a message; returns the session token of the 202, if it has one.
 fn hand_in(node: &Node, id: &str, tenant: &str) -> Option<String> {
     let text = String::from_utf8(handing_in(id, "order", 9, 60_000)).unwrap();
     let text = text.replace("Req-Kind", &format!("Req-Owner: {tenant}\r\nReq-Kind"));
@@ -33,7 +34,7 @@
     ))
 }
 
-/// The read shows the message, is worth its level, and gives a token back.
+/// Checks that a read keeps its level and shows the message; returns its token.
 fn kept(node: &Node, id: &str, token: &str) -> String {
     let told = read(node, id, "water", token);
     let body = told.json();
@@ -48,7 +49,7 @@
     let mut nodes = tier(&platform);
     assert_eq!(hand_in(&nodes[0], "dim", "light"), None);
     let token = hand_in(&nodes[0], "one", "water").unwrap();
-    // At once, wherever.
+    // Immediately, at any sender.
     let token = kept(&nodes[1], "one", &token);
     let token = kept(&nodes[2], "one", &token);
     let no = read(&nodes[1], "dim", "light", &token);
@@ -57,12 +58,12 @@
     assert!(!no.headers.contains_key("session-token"));
     let no = read(&nodes[1], "one", "water", &token[..token.len() / 8 * 4]);
     assert_eq!((no.status(), &no.json()["code"]), (400, &json!("token_cut")));
-    // A replica that was stopped while it happened has to catch up, or somebody else is asked.
+    // A replica that was paused during the write has to catch up, or another sender is asked.
     nodes[1].signal("STOP");
     let late = hand_in(&nodes[0], "late", "water").unwrap();
     nodes[1].signal("CONT");
     let token = kept(&nodes[1], "late", &late);
-    // An owner that has stopped is routed round once a replica has it.
+    // Reads are routed around a paused owner once a replica has the write.
     kept(&nodes[2], "late", &token);
     let has = |node: &Node| {
         let report = node.call("GET", "/control/status").json();
@@ -74,7 +75,7 @@
     nodes[0].signal("STOP");
     let token = kept(&nodes[1], "late", &token);
     nodes[0].signal("CONT");
-    // Killed, and back with its folder.
+    // The owner is killed, and comes back with its state folder.
     nodes[0].kill();
     let token = kept(&nodes[2], "late", &token);
     let back = nodes.remove(0).kill_and_restart();
@@ -91,12 +92,12 @@
     let platform = Platform::new();
     let mut nodes = tier(&platform);
     let kept_token = hand_in(&nodes[1], "other", "water").unwrap();
-    // Nobody else hears of it.
+    // No replica is up to receive the write.
     nodes[1].kill();
     nodes[2].kill();
     let token = hand_in(&nodes[0], "gone", "water").unwrap();
     let owner = nodes.remove(0).kill_and_restart_after(|state| std::fs::remove_dir_all(state).unwrap());
-    // As long as one who may have it is away, it is late.
+    // While a sender that may hold the write is away, the read is late, not lost.
     let no = read(&owner, "gone", "water", &token);
     assert_eq!((no.status(), &no.json()["code"]), (503, &json!("read_late")), "{}", no.json());
     let nodes: Vec<Node> = nodes.into_iter().map(Node::kill_and_restart).collect();
@@ -105,13 +106,13 @@
     assert_eq!((no.status(), &no.json()["code"]), (410, &json!("read_lost")), "{}", no.json());
     assert_eq!(no.json()["read"]["lost"].as_array().unwrap().len(), 1);
     assert_eq!(no.headers["session-token"], token);
-    // Who takes the loss goes on without it.
+    // A client that accepts the loss continues with the token without it.
     let without = no.json()["read"]["token_without_lost"].as_str().unwrap().to_owned();
     assert_eq!(read(&nodes[0], "gone", "water", &without).json()["not_known"], json!(["gone"]));
     kept(&owner, "other", &kept_token);
 }
 
-/// Guards the promise that without its section plans cost nothing, and reads under way against a reload.
+/// Guards the promise that without their section plans are off, and reads in progress during a reload.
 #[test]
 fn without_the_section_there_is_no_token_and_a_plan_can_come_and_go() {
     let platform = Platform::new();
@@ -125,10 +126,10 @@
     wait_until(|| nodes[0].call("GET", "/control/plans").status() == 200);
     let token = hand_in(&nodes[0], "b", "water").unwrap();
     kept(&nodes[0], "b", &token);
-    // A file that lacks what is in force would be taken for one that is cut off.
+    // The section can't just be left out: a file that lacks a section in force is taken for a truncated one.
     nodes[0].reload(|config| config["plans"]["water"]["level"] = json!("any"));
     wait_until(|| read(&nodes[0], "b", "water", &token).status() == 403);
-    // Old tokens stay good.
+    // Old tokens stay valid.
     nodes[0].reload(|config| config["plans"] = plans());
     wait_until(|| read(&nodes[0], "b", "water", &token).status() == 200);
 }
--- a/tests/node/residing.rs
+++ b/tests/node/residing.rs
@@ -1,5 +1,5 @@
-//! Lists of more destinations than the module is told of: which ones it knows, and that nothing that binds is lost
-//! while one is away.
+//! Lists with more destinations than the policy holds: which destinations are resident in its working set,
+//! and that no binding state is lost while one is evicted.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,9 +10,10 @@
 
 use super::world::*;
 
-/// More destinations than may all be resident.
+/// More destinations than the working set holds.
 pub const MANY: u32 = 3000;
-/// One endpoint for each destination, all at this address; those that `other` names are elsewhere.
+/// One endpoint for each destination, all at this address, except for the destinations of `other`, which are
+/// listed so.
 pub fn many(address: std::net::SocketAddr, other: &[Value]) -> Vec<Value> {
     let elsewhere: BTreeSet<u64> = other.iter().map(|entry| entry["group"].as_u64().unwrap()).collect();
     let rest = (1..=MANY).filter(|group| !elsewhere.contains(&u64::from(*group)));
@@ -32,7 +33,8 @@
     counters(node)["resident"].as_u64().unwrap()
 }
 
-/// A sender that was told this list by discovery: a configuration has no room for it.
+/// Publishes this list by discovery, since a configuration can't hold it, and waits until the sender has
+/// applied it.
 pub fn told(node: Node, platform: &Platform, list: &[Value]) -> Node {
     platform.tell(list);
     wait_until(|| counters(&node)["cluster_size"] == list.len());
@@ -43,7 +45,7 @@
     told(Node::start(platform, &[], with_operators), platform, list)
 }
 
-/// Waits until no destination is resident. Watches that end without news keep the turns going.
+/// Waits until no destination is resident. Watches that end without updates keep the event loop turning.
 pub fn all_left(node: &Node) {
     wait_until(|| {
         std::thread::sleep(Duration::from_millis(50));
@@ -51,7 +53,7 @@
     });
 }
 
-/// Hands a message in for a destination and has its call answered so; whether one came to this endpoint.
+/// Submits a message for a destination and answers its call, which must arrive at this endpoint.
 pub fn served(node: &Node, endpoint: &Served, id: &str, class: &str, group: u16, reply: Reply) {
     assert_eq!(node.hand_in(id, class, group, 20_000).status(), 202);
     let call = endpoint.next();
@@ -59,7 +61,7 @@
     call.reply(reply);
 }
 
-/// The last list's destinations come in by their messages, go by themselves, and each message goes to an endpoint of
+/// Destinations are loaded by their messages and evicted when idle, and each message goes to an endpoint of
 /// its own destination.
 #[test]
 fn a_long_list_is_resident_as_far_as_messages_come() {
@@ -78,7 +80,8 @@
     assert!(!rest.unseen() && !seven.unseen());
 }
 
-/// A message that waited for its destination to be listed is called when a list comes, however long that is.
+/// A message that waits for its destination to be listed is delivered when a list arrives, however long that
+/// list is.
 #[test]
 fn what_was_held_before_a_long_list_is_called_when_it_comes() {
     let (platform, rest) = (Platform::new(), Served::new());
@@ -93,7 +96,7 @@
     assert_eq!(rest.next().http.headers["req-id"], "unlisted");
 }
 
-/// A wait that was told holds though its destination left meanwhile and comes again within it.
+/// A requested wait still holds when its destination is evicted and loaded again within it.
 #[test]
 fn a_told_wait_outlasts_an_absence() {
     let (platform, rest, seven) = (Platform::new(), Served::new(), Served::new());
@@ -103,7 +106,7 @@
     let told = Reply::Answer(503, vec![("retry-after", "25".into())], String::new());
     assert_eq!(node.hand_in("refused", "order", 7, 5_000).status(), 202);
     seven.next().reply(told);
-    assert_eq!(platform.notice(204).len(), 1, "its time is up within the wait");
+    assert_eq!(platform.notice(204).len(), 1, "its deadline passes within the wait");
     all_left(&node);
     assert!(begun.elapsed() < Duration::from_secs(24), "the wait is not over");
     assert_eq!(node.hand_in("after", "order", 7, 20_000).status(), 202);
@@ -112,7 +115,8 @@
     call.reply(status(200));
 }
 
-/// A breaker that is open when its destination leaves has one trial when it comes again.
+/// A breaker that is open when its destination is evicted allows one trial when the destination is loaded
+/// again.
 #[test]
 fn an_open_breaker_outlasts_an_absence() {
     let (platform, rest, seven) = (Platform::new(), Served::new(), Served::new());
@@ -135,7 +139,8 @@
     }
 }
 
-/// What a snapshot takes away is not called any more, and what it moves is called where it is now.
+/// Endpoints that a snapshot removes are not called any more, and those that it moves are called at their new
+/// address.
 #[test]
 fn a_snapshot_reaches_what_is_resident_at_once() {
     let (platform, rest, old, new) = (Platform::new(), Served::new(), Served::new(), Served::new());
@@ -144,7 +149,7 @@
     let node = start(&platform, &many(rest.address, &[seven(old.address), eight(8)]));
     served(&node, &old, "a", "order", 7, status(200));
     served(&node, &old, "b", "order", 8, status(200));
-    // Destination 7 has another address, 8 has lost its endpoint to 9.
+    // The endpoint of destination 7 has another address; that of 8 now belongs to 9.
     let mut next = many(rest.address, &[seven(new.address), eight(9)]);
     next.retain(|entry| entry["group"] != 8);
     platform.tell(&next);
@@ -152,7 +157,7 @@
     assert_eq!(node.hand_in("waits", "order", 8, 20_000).status(), 202);
     served(&node, &new, "c", "order", 7, status(200));
     served(&node, &old, "d", "order", 9, status(200));
-    // It is back there, under another name.
+    // Destination 8 has an endpoint again, under another name.
     platform
         .tell(&many(rest.address, &[seven(new.address), eight(9), listing("f8", 8, "plain", new.address)]));
     let call = new.next();
@@ -161,7 +166,8 @@
     assert!(!old.unseen());
 }
 
-/// Changes reach residents and the table: what was not resident enters as it is then.
+/// Changes reach resident destinations and the table: a destination that was not resident is loaded as
+/// changed.
 #[test]
 fn changes_of_a_long_list_reach_who_is_resident_and_who_comes() {
     let (platform, rest, old, new) = (Platform::new(), Served::new(), Served::new(), Served::new());
@@ -184,12 +190,12 @@
     }
     assert_eq!(node.hand_in("nowhere", "order", 9, 1_000).status(), 202);
     assert_eq!(platform.notice(204).len(), 1);
-    // From a resident destination to one that is not, and back.
+    // An endpoint moves from a resident destination to one that is not resident, and back.
     platform.change(&[at("e7", 4001, old.address), at("i", 4003, rest.address)]);
     wait_until(|| counters(&node)["cluster_size"] == json!(MANY + 2));
     assert_eq!(node.hand_in("waits", "order", 7, 20_000).status(), 202);
     served(&node, &old, "e", "order", 4001, status(200));
-    assert!(!new.unseen(), "its endpoint is not there any more");
+    assert!(!new.unseen(), "its endpoint belongs to another destination");
     platform.change(&[at("e7", 7, new.address)]);
     let call = new.next();
     assert_eq!(call.http.headers["req-id"], "waits");
@@ -197,7 +203,7 @@
     assert!(!old.unseen() && !rest.unseen());
 }
 
-/// A list that comes to have too many destinations, and few again.
+/// A list grows beyond the working set's capacity and shrinks again.
 #[test]
 fn a_list_grows_beyond_and_shrinks() {
     let (platform, rest, seven) = (Platform::new(), Served::new(), Served::new());
@@ -218,8 +224,8 @@
     assert!(!rest.unseen());
 }
 
-/// A handover at that size: the new process has no table yet, keeps what is for others than residents, and calls once
-/// the list has come.
+/// Handover with a long list: the new process has no table yet, holds messages for destinations that are not
+/// resident, and delivers them once the list has arrived.
 #[test]
 fn a_handover_with_a_long_list_misses_nothing() {
     let (platform, rest, seven) = (Platform::new(), Served::new(), Served::new());
@@ -239,7 +245,8 @@
     served(&new, &seven, "c", "order", 7, status(200));
 }
 
-/// SIGHUP and SIGTERM at that size: settings hold for who enters later, and what is held ends.
+/// SIGHUP and SIGTERM with a long list: new settings apply to destinations loaded later, and held messages
+/// end.
 #[test]
 fn signals_with_a_long_list_do_what_they_do_with_a_short_one() {
     let (platform, rest, seven) = (Platform::new(), Served::new(), Served::new());
@@ -259,13 +266,13 @@
     assert_eq!(node.exit_code(), Some(0));
 }
 
-/// Guards the bound itself: of a stream that touches every destination once no more are resident than messages came for
-/// of late, and each call goes to the endpoint of its destination.
+/// Guards the bound: in a stream that touches each destination once, no more are resident than got a message
+/// lately, and each call goes to an endpoint of its destination.
 #[test]
 fn a_stream_to_ever_new_destinations_stays_bounded() {
     const SERVERS: u32 = 8;
     const EACH: Duration = Duration::from_millis(7);
-    /// Ten seconds, and what turns and figures may be late.
+    /// The idle time of ten seconds, and a margin for late turns and counters.
     const LATELY: Duration = Duration::from_secs(13);
     let platform = Platform::new();
     let servers: Vec<Served> = (0..SERVERS).map(|_| Served::new()).collect();
--- a/tests/node/status.rs
+++ b/tests/node/status.rs
@@ -1,4 +1,5 @@
-//! The status index on running senders: asked at one what another has, with its owner there, killed, and back.
+//! The status index at running senders: queries at one sender for messages of another, which runs, is killed
+//! or is back.
 
 use std::net::UdpSocket;
 
@@ -6,19 +7,19 @@
 
 use super::world::*;
 
-/// Addresses for notes on hosts apart, all of them free a moment ago.
+/// Free addresses for datagrams on different hosts.
 fn addresses(count: u8) -> Vec<String> {
     let sockets: Vec<UdpSocket> =
         (0..count).map(|n| UdpSocket::bind(format!("127.0.0.{}:0", n + 2)).unwrap()).collect();
     sockets.iter().map(|socket| socket.local_addr().unwrap().to_string()).collect()
 }
 
-/// Three senders with the index on.
+/// Starts three senders with the index enabled.
 fn tier(platform: &Platform, endpoints: &[Value]) -> Vec<Node> {
     tier_with(platform, endpoints, |_| {})
 }
 
-/// The same with a configuration that `change` alters.
+/// Starts three senders with the index enabled; `change` alters their configuration.
 pub fn tier_with(platform: &Platform, endpoints: &[Value], change: impl Fn(&mut Value)) -> Vec<Node> {
     let peers = addresses(3);
     let start = |own: &String| {
@@ -49,7 +50,7 @@
     told.json()
 }
 
-/// States as bits, once the answer is whole and has the message.
+/// The message's states as bits, if the answer has the message.
 fn states(node: &Node, id: &str) -> Option<u64> {
     message(node, id, "water")["rows"][0]["states"].as_u64()
 }
@@ -83,7 +84,8 @@
     }
 }
 
-/// Guards against a status that goes with its sender: replicas have it, and the folder gives it back.
+/// Guards against a status that is lost with its sender: replicas answer for it, and it is restored from the
+/// state folder.
 #[test]
 fn a_killed_senders_messages_are_told_by_replicas_and_by_itself_again() {
     let (platform, endpoint) = (Platform::new(), Served::new());
@@ -118,15 +120,19 @@
     assert!(report["index"]["last"].as_u64() >= last.as_u64());
     assert_eq!(states(&back, "done"), Some(TAKEN_AND_CALLED + DELIVERED));
     assert_eq!(states(&nodes[0], "held"), Some(1));
-    // Without its folder it is another life, and what the one before told is at its replicas.
+    // Without its folder the sender begins a new log, and the old one is still at its replicas.
     let back = back.kill_and_restart_after(|state| std::fs::remove_dir_all(state).unwrap());
     assert_ne!(back.call("GET", "/control/status").json()["index"]["log"], log);
     wait_until(|| states(&back, "done") == Some(TAKEN_AND_CALLED + DELIVERED));
     let answer = message(&back, "done", "water");
-    assert!(answer["known_since"].as_u64() > own["known_since"].as_u64(), "the lost folder is told");
+    assert!(
+        answer["known_since"].as_u64() > own["known_since"].as_u64(),
+        "the answer shows that the folder was lost"
+    );
 }
 
-/// Guards against an end that passes for none: what the journal had closed and the index had not written is unknown.
+/// Guards against a lost outcome that is shown as none: a message that the journal had closed, but whose end
+/// the index had not written, is unknown.
 #[test]
 fn an_end_that_was_not_kept_is_told_as_unknown() {
     let (platform, endpoint) = (Platform::new(), Served::new());
@@ -134,7 +140,7 @@
     hand_in(&nodes[0], "one", "water", 7);
     let call = endpoint.next();
     wait_until(|| states(&nodes[0], "one") == Some(TAKEN_AND_CALLED));
-    // The index as it was before the end, the journal as after it.
+    // Restores the index from before the outcome, with the journal from after it.
     let kept: Vec<(String, Vec<u8>)> = nodes[0]
         .files()
         .into_iter()
@@ -152,7 +158,7 @@
     wait_until(|| states(&back, "one").is_some_and(|states| states & UNKNOWN > 0));
 }
 
-/// Guards the promise that without its section the index costs nothing.
+/// Guards the promise that without its section the index is off and stores nothing.
 #[test]
 fn without_its_section_there_is_no_index() {
     let platform = Platform::new();
--- a/tests/node/world.rs
+++ b/tests/node/world.rs
@@ -1,5 +1,5 @@
-//! What a real sender meets, over loopback sockets: a platform, endpoints and clients that do as the test
-//! says. All waiting is on events; a patience bounds it so that a failure ends the test.
+//! The environment of a sender process, over loopback sockets: a platform, endpoints and clients that the
+//! test controls. Tests wait for events, bounded by a timeout so that a failure ends the test.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -15,16 +15,16 @@
 
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
-/// Looks again and again until it is so.
+/// Polls until the condition holds.
 pub fn wait_until(mut so: impl FnMut() -> bool) {
     let begun = std::time::Instant::now();
     while !so() {
-        assert!(begun.elapsed() < PATIENCE, "it comes to be so");
+        assert!(begun.elapsed() < PATIENCE, "the condition holds within the timeout");
         thread::yield_now();
     }
 }
 
-/// A request or an answer: its first line, its headers in lower case, its body.
+/// A request or an answer: its first line, its headers with names in lower case, and its body.
 #[derive(Debug, Clone)]
 pub struct Http {
     pub first: String,
@@ -74,10 +74,10 @@
     Reply::Answer(code, vec![], String::new())
 }
 
-/// A request that waits for what the test makes of it.
+/// A request that waits for the test's reply.
 pub struct Asked {
     pub http: Http,
-    /// Tells connections apart.
+    /// The number of its connection.
     pub connection: usize,
     reply: Sender<Reply>,
     pub closed: Receiver<()>,
@@ -89,7 +89,7 @@
     }
 }
 
-/// A server whose requests go to the test one by one.
+/// A server that passes its requests to the test one by one.
 pub struct Served {
     pub address: SocketAddr,
     asked: Receiver<Asked>,
@@ -111,25 +111,26 @@
 
     /// The next request.
     pub fn next(&self) -> Asked {
-        self.asked.recv_timeout(PATIENCE).expect("a request comes")
+        self.asked.recv_timeout(PATIENCE).expect("a request arrives")
     }
 
-    /// The next request, if one comes within that time.
+    /// The next request, if one arrives within that time.
     pub fn try_next(&self, within: Duration) -> Option<Asked> {
         self.asked.recv_timeout(within).ok()
     }
 
-    /// Whether a request has come that the test has not seen.
+    /// Whether a request has arrived that the test has not taken.
     pub fn unseen(&self) -> bool {
         self.asked.try_recv().is_ok()
     }
 }
 
-/// A server whose backlog is full: a connection comes up only once it is let in, when the kernel asks once more.
+/// A server whose backlog is full: a connection is established only after [`Crowded::let_in`], when the
+/// kernel retries it.
 pub struct Crowded {
     pub address: SocketAddr,
     listener: TcpListener,
-    /// What fills the backlog.
+    /// Fills the backlog.
     _first: TcpStream,
 }
 
@@ -147,7 +148,7 @@
         Self { address, listener, _first: first }
     }
 
-    /// The connection that waits.
+    /// Accepts the connection that waits.
     pub fn let_in(&self) -> TcpStream {
         drop(self.listener.accept().unwrap());
         self.listener.accept().unwrap().0
@@ -163,7 +164,8 @@
         if ask.send(Asked { http, connection, reply, closed }).is_err() {
             return;
         }
-        // Without an answer the other side sends nothing more: what can be read is its end.
+        // The other side sends nothing more before its answer: if anything can be read, it is the end of the
+        // stream.
         let watched = out.try_clone().unwrap();
         let told = loop {
             match replied.recv_timeout(Duration::from_millis(5)) {
@@ -199,12 +201,12 @@
     }
 }
 
-/// Discovery and the place for notices.
+/// Discovery, and the receiver of notices.
 pub struct Platform {
     pub address: SocketAddr,
     list: Arc<(Mutex<Value>, Condvar)>,
     pub notices: Receiver<Asked>,
-    /// Paths by which the list was asked for.
+    /// Paths of the requests for the list.
     pub asks: Receiver<String>,
 }
 
@@ -240,7 +242,7 @@
         Self { address, list, notices, asks }
     }
 
-    /// The whole list is this from now on.
+    /// Replaces the whole list.
     pub fn tell(&self, endpoints: &[Value]) {
         let (list, changed) = &*self.list;
         let mut list = list.lock().unwrap();
@@ -249,7 +251,7 @@
         changed.notify_all();
     }
 
-    /// These entries change, and nothing else; whoever asks for the whole list gets these alone.
+    /// Publishes changed entries; a request for the whole list gets only these, too.
     pub fn change(&self, endpoints: &[Value]) {
         let (list, changed) = &*self.list;
         let mut list = list.lock().unwrap();
@@ -258,9 +260,9 @@
         changed.notify_all();
     }
 
-    /// The next notice, which is answered so.
+    /// The next notice, which is answered with this status.
     pub fn notice(&self, code: u16) -> Vec<Value> {
-        let asked = self.notices.recv_timeout(PATIENCE).expect("a notice comes");
+        let asked = self.notices.recv_timeout(PATIENCE).expect("a notice arrives");
         let text = String::from_utf8(asked.http.body.clone()).unwrap();
         asked.reply(status(code));
         text.lines().map(|line| serde_json::from_str(line).unwrap()).collect()
@@ -272,13 +274,13 @@
            "status": "active", "weight": 50.0, "since_ms": 0})
 }
 
-/// One sender as a process, with the folder that outlasts it.
+/// A sender process, with its state folder, which outlives it.
 pub struct Node {
     child: Child,
     pub address: SocketAddr,
-    /// Where operators call, if the configuration says.
+    /// The management address, if the configuration has one.
     mgmt: Option<SocketAddr>,
-    /// The socket that every process of the sender inherits, if there is one.
+    /// The listening socket that all processes of the sender inherit, if there is one.
     listener: Option<TcpListener>,
     folder: Arc<tempfile::TempDir>,
     /// What it has written to its log since it was ready.
@@ -309,7 +311,7 @@
         Self::run(folder, command)
     }
 
-    /// The same with files that can't grow beyond a block: writing the journal fails.
+    /// Starts a sender whose files can't grow beyond one block, so that writes to the journal fail.
     pub fn start_short_of_disk(platform: &Platform, endpoints: &[Value]) -> Self {
         let folder = Self::configure(platform, endpoints, |_| {});
         let mut shell = Command::new("sh");
@@ -319,12 +321,13 @@
         Self::run(folder, shell)
     }
 
-    /// The same with a socket for clients that outlasts its processes, and calls of operators.
+    /// Starts a sender with an inherited client socket, which outlives its processes, and a management
+    /// address.
     pub fn start_inheriting(platform: &Platform, endpoints: &[Value]) -> Self {
         Self::start_inheriting_with(platform, endpoints, |config| config["mgmt"] = json!("127.0.0.1:0"))
     }
 
-    /// The same with a configuration that `change` alters.
+    /// Starts a sender with an inherited client socket; `change` alters its configuration.
     pub fn start_inheriting_with(
         platform: &Platform,
         endpoints: &[Value],
@@ -344,7 +347,7 @@
         node
     }
 
-    /// A new process of the same sender beside this one; comes back once it takes clients.
+    /// Starts a new process of the same sender beside this one; returns once it accepts clients.
     pub fn succeeded(&self) -> Self {
         let listener = self.listener.as_ref().unwrap().try_clone().unwrap();
         Self::inherit(self.folder.clone(), listener)
@@ -390,10 +393,10 @@
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let mut line = String::new();
-        // What it says before it is ready may be anything; after its end there is nothing.
+        // Any lines may precede the one that says it is ready; an empty read means that it has ended.
         while !line.contains("ready on ") {
             line.clear();
-            assert!(log.read_line(&mut line).unwrap() > 0, "it ends before it is ready");
+            assert!(log.read_line(&mut line).unwrap() > 0, "the process ended before it was ready");
         }
         let address = line.split("ready on ").nth(1).and_then(|rest| rest.split(' ').next());
         let address = address.unwrap_or_else(|| panic!("not ready: {line}")).parse().unwrap();
@@ -414,14 +417,14 @@
         Self::run(self.folder.clone(), command(self.folder.path()))
     }
 
-    /// The same, with something done to the folder that lasts in between.
+    /// SIGKILL, then a new process; `change` alters the state folder in between.
     pub fn kill_and_restart_after(mut self, change: impl FnOnce(&std::path::Path)) -> Self {
         self.kill();
         change(&self.state());
         Self::run(self.folder.clone(), command(self.folder.path()))
     }
 
-    /// The folder that lasts.
+    /// The state folder.
     pub fn state(&self) -> std::path::PathBuf {
         self.folder.path().join("state")
     }
@@ -431,12 +434,12 @@
         self.log.lock().unwrap().clone()
     }
 
-    /// How many file descriptors the process holds.
+    /// The number of file descriptors that the process holds.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// What is in it.
+    /// The names of the files in the state folder.
     pub fn files(&self) -> Vec<String> {
         let entries = std::fs::read_dir(self.state()).unwrap();
         let mut names: Vec<_> = entries.map(|e| e.unwrap().file_name().into_string().unwrap()).collect();
@@ -449,7 +452,7 @@
         serde_json::from_slice(&std::fs::read(self.folder.path().join("config.json")).unwrap()).unwrap()
     }
 
-    /// Where operators call.
+    /// The management address.
     pub fn mgmt(&self) -> SocketAddr {
         self.mgmt.expect("the configuration has mgmt")
     }
@@ -459,7 +462,7 @@
         self.operator(&format!("{method} {path} HTTP/1.1\r\nHost: mgmt\r\n\r\n"))
     }
 
-    /// An operator's call that says something.
+    /// An operator's call with a body.
     pub fn post(&self, path: &str, body: &str) -> Http {
         let length = body.len();
         self.operator(&format!(
@@ -467,11 +470,11 @@
         ))
     }
 
-    /// An operator's call, as it is written.
+    /// Sends the text of an operator's call.
     pub fn operator(&self, text: &str) -> Http {
         let mut client = Client::to(self.mgmt());
         let told = client.ask(text.as_bytes());
-        assert!(client.ended(), "one call a connection");
+        assert!(client.ended(), "one call per connection");
         told
     }
 
@@ -479,19 +482,19 @@
         self.signal("TERM");
     }
 
-    /// Sends it a signal, by its name.
+    /// Sends a signal, by its name.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
         assert!(sent.unwrap().success());
     }
 
-    /// Writes the configuration anew and has the sender read it.
+    /// Rewrites the configuration and has the sender reload it.
     pub fn reload(&self, change: impl FnOnce(&mut Value)) {
         self.rewrite(change);
         self.signal("HUP");
     }
 
-    /// Writes the configuration anew, for whoever reads it next.
+    /// Rewrites the configuration, without a reload.
     pub fn rewrite(&self, change: impl FnOnce(&mut Value)) {
         let path = self.folder.path().join("config.json");
         let mut config = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
@@ -499,7 +502,7 @@
         std::fs::write(path, config.to_string()).unwrap();
     }
 
-    /// The same, and waits until it is in force. The configuration has `mgmt`.
+    /// Reloads a changed configuration and waits until it is in force. The configuration must have `mgmt`.
     pub fn reload_and_wait(&self, change: impl FnOnce(&mut Value)) {
         let taken = || self.call("GET", "/control/counters").json()["conf_loaded"].as_u64().unwrap();
         let before = taken();
@@ -515,12 +518,12 @@
         std::fs::metadata(self.folder.path().join("state/journal")).unwrap().len()
     }
 
-    /// One request on a connection of its own.
+    /// Sends one request on its own connection.
     pub fn ask(&self, text: &[u8]) -> Http {
         Client::new(self).ask(text)
     }
 
-    /// Hands a message in.
+    /// Submits a message.
     pub fn hand_in(&self, id: &str, class: &str, dest: u16, within_ms: u32) -> Http {
         self.ask(&handing_in(id, class, dest, within_ms))
     }
@@ -549,10 +552,10 @@
 
     pub fn ask(&mut self, text: &[u8]) -> Http {
         self.0.get_mut().write_all(text).unwrap();
-        Http::read(&mut self.0).expect("an answer")
+        Http::read(&mut self.0).expect("an answer arrives")
     }
 
-    /// Hands the same in, but keeps the body back once the sender has read the head and asks for the body.
+    /// Sends the head of a request and returns the body, to be sent after the sender's `100 Continue`.
     pub fn begin(&mut self, text: &[u8]) -> Vec<u8> {
         let split = text.windows(4).position(|end| end == b"\r\n\r\n").unwrap() + 2;
         let head = [&text[..split], b"Expect: 100-continue\r\n\r\n"].concat();
@@ -560,12 +563,12 @@
         text[split + 2..].to_vec()
     }
 
-    /// Writes this and closes without waiting for an answer.
+    /// Sends the text and closes the connection without waiting for an answer.
     pub fn leave(mut self, text: &[u8]) {
         self.0.get_mut().write_all(text).unwrap();
     }
 
-    /// Whether the other side has ended the connection, which it does at last.
+    /// Whether the server has closed the connection; waits until it does or the timeout is over.
     pub fn ended(&mut self) -> bool {
         matches!(self.0.read(&mut [0]), Ok(0))
     }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,5 +1,5 @@
-//! The module after a restart: what an earlier process took on is still tried, keyed messages within their
-//! idempotency window and not after it.
+//! The policy after a restart: messages accepted by an earlier process are still tried, keyed ones within
+//! their idempotency window and not after it.
 
 mod common;
 
@@ -23,7 +23,8 @@
     settings
 }
 
-/// Guards a keyed message that was out at the end of a process: the next one may hear of its endpoint only later.
+/// Guards a keyed message whose call was in flight when its process ended: the next process may learn of its
+/// endpoint only later.
 #[test]
 fn a_keyed_message_whose_endpoint_is_not_listed_yet_is_repeated_within_its_window() {
     for group in [DedupScope::All, DedupScope::Zone, DedupScope::Endpoint] {
@@ -44,7 +45,8 @@
     }
 }
 
-/// Guards what a restart finds untried against a full buffer: it was taken on, what comes in the same turn was not.
+/// Guards restored, untried messages against a full buffer: they were accepted, messages that arrive in the
+/// same turn were not.
 #[test]
 fn a_full_buffer_turns_away_what_comes_before_it_hands_back_what_a_restart_found() {
     let mut s = Sender::new(settings(), &[]);
@@ -62,8 +64,8 @@
     assert_eq!(refused, expected);
 }
 
-/// Guards the short windows on days of restarts: a call that the next process could not repeat does not begin, and
-/// one that may have run is repeated while there is time.
+/// Guards messages with short idempotency windows around restarts: a call that the next process could not
+/// repeat does not begin, and one that may have run is repeated while there is time.
 #[test]
 fn at_the_end_of_a_process_a_short_window_holds_back_first_calls_and_no_repeats() {
     let mut s = Sender::new(keyed(DedupScope::All, SECOND), &[entry(1, 0)]);
@@ -72,20 +74,24 @@
     s.handle(vec![Event::Stopping(end)]);
     let before = s.sent.len();
     s.accept(KEYED);
-    assert_eq!(s.sent.len(), before, "it would be out at the end, and its window over at the next start");
+    assert_eq!(
+        s.sent.len(),
+        before,
+        "it would be in flight at the end, and its window over at the next start"
+    );
     let (id, event) = resumed(&mut s, KEYED, 20 * SECOND, &[(SECOND / 2, endpoint(1))]);
     s.handle(vec![event]);
     assert_eq!(s.sent.len(), before + 1, "nothing is lost by its repeat");
     assert_eq!(s.sent[before].message, id);
 }
 
-/// Guards what a restart finds untried where its destination is down: the breaker's trial may come after its end, and
-/// it is kept for most of its time all the same.
+/// Guards restored, untried messages whose destination is down: the breaker's trial may come after their
+/// deadline, and they are still held for most of their time.
 #[test]
 fn what_was_never_called_is_not_handed_back_early_because_a_breaker_is_open() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     s.serve(20);
-    // Held while the destination still looked well.
+    // Opens the destination's breaker.
     s.fail_calls(5, Outcome::Error);
     let (id, event) = resumed(&mut s, ONCE, SECOND * 3 / 2, &[]);
     s.handle(vec![event]);
