--- a/tests/node/charging.rs
+++ b/tests/node/charging.rs
@@ -40,7 +40,7 @@
 /// Guards against a budget that is reported but not enforced: all senders together answer no more queries
 /// than were granted, and no other tenant waits.
 #[test]
-fn a_tenant_over_its_queries_a_minute_is_told_later_at_every_sender_and_nobody_else_is() {
+fn a_tenant_over_its_query_budget_is_deferred_at_every_sender_and_no_other_tenant_is() {
     let platform = Platform::new();
     let nodes = tier(&platform, &json!({"queries_per_min": QUERIES, "wait_ms": 300}));
     let water = json!({"tenant": "water"});
@@ -73,7 +73,7 @@
 /// Guards against a read that is limited only by its size after the fact, against charges that stay as
 /// predicted, and against a narrowed answer that looks complete.
 #[test]
-fn a_read_over_its_shards_is_refused_or_narrowed_and_a_charge_is_corrected_to_what_was_read() {
+fn a_read_over_its_shard_limit_is_refused_or_narrowed_and_its_charge_is_corrected() {
     let platform = Platform::new();
     let nodes = tier(&platform, &json!({"shards": 2, "wait_ms": 800}));
     let ids: Vec<String> = (0..9).map(|n| format!("m{n}")).collect();
--- a/tests/node/configuration.rs
+++ b/tests/node/configuration.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_candidate_is_checked_against_what_is_in_force_and_not_taken() {
+fn a_candidate_is_compared_with_the_configuration_in_force_and_not_applied() {
     let platform = Platform::new();
     let node = Node::start(&platform, &[], |config| config["mgmt"] = json!("127.0.0.1:0"));
     let in_force = node.configuration();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn what_is_no_candidate_gets_a_line_and_does_no_harm() {
+fn a_body_that_is_no_configuration_gets_one_fault_and_changes_nothing() {
     let platform = Platform::new();
     let node = Node::start(&platform, &[], |config| config["mgmt"] = json!("127.0.0.1:0"));
     for (body, code) in
@@ -94,7 +94,7 @@
 /// The settings change between a request's head and its body: those in force when the message is accepted
 /// apply.
 #[test]
-fn a_message_that_crosses_a_reload_goes_by_the_settings_that_take_it_on() {
+fn a_message_submitted_across_a_reload_follows_the_settings_at_its_acceptance() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&platform, &[listing("e1", 7, "plain", endpoint.address)], operated);
     let (mut gone, mut stays) = (Client::new(&node), Client::new(&node));
@@ -115,7 +115,7 @@
 
 /// A kind's batch size applies from the next call on, without a list update.
 #[test]
-fn a_changed_kind_holds_for_what_is_listed_already() {
+fn a_changed_kind_applies_to_endpoints_already_listed() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&platform, &[listing("e1", 7, "bulk", endpoint.address)], |config| {
         operated(config);
@@ -137,7 +137,7 @@
 
 /// Zones change their order in the settings: each endpoint keeps its zone by name, and with it the toll.
 #[test]
-fn a_zones_toll_goes_with_its_name() {
+fn a_toll_follows_its_zone_by_name() {
     let (platform, one, two) = (Platform::new(), Served::new(), Served::new());
     let mut second = listing("e2", 7, "plain", two.address);
     second["zone"] = json!("b");
@@ -160,7 +160,7 @@
 /// The settings decide whether the list is watched or polled; a sender that did not follow a reload would in
 /// the end miss all updates.
 #[test]
-fn a_reload_changes_how_the_list_is_followed() {
+fn a_reload_switches_between_watching_and_polling_the_list() {
     let platform = Platform::new();
     let node = Node::start(&platform, &[], operated);
     let asked = || platform.asks.recv_timeout(PATIENCE).expect("the list is requested");
@@ -183,7 +183,7 @@
 /// as `once` is not repeated although its class is repeatable now, and one that was never tried is still
 /// tried.
 #[test]
-fn a_restart_with_looser_settings_repeats_nothing_that_was_taken_on_as_once() {
+fn a_restart_with_looser_settings_repeats_nothing_accepted_as_once() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     assert_eq!(node.hand_in("out", "order", 7, 20_000).status(), 202);
--- a/tests/node/door.rs
+++ b/tests/node/door.rs
@@ -10,7 +10,7 @@
 /// connection is still served, and calls, operators' calls and the journal go on within the allowed
 /// descriptors.
 #[test]
-fn idle_clients_that_fill_all_places_leave_descriptors_for_all_else() {
+fn idle_clients_that_use_all_client_connections_leave_descriptors_for_everything_else() {
     let (platform, endpoint, nowhere) = (Platform::new(), Served::new(), Crowded::new());
     let sockets = 128;
     let node = Node::start(&platform, &[listing("e1", 7, "plain", endpoint.address)], |config| {
--- a/tests/node/draining.rs
+++ b/tests/node/draining.rs
@@ -44,7 +44,7 @@
 
 /// Calls in flight at an endpoint when it is drained end there; no new call goes there until it is restored.
 #[test]
-fn a_drained_endpoint_finishes_its_calls_and_gets_no_more() {
+fn a_drained_endpoint_completes_its_calls_and_gets_no_new_ones() {
     let (platform, one, other) = (Platform::new(), Served::new(), Served::new());
     let node = Node::start(&platform, &two(&one, &other), on);
     assert_eq!(drain(&node, &["e2"], false).status(), 200);
@@ -75,7 +75,7 @@
 
 /// A disbursement in flight at an endpoint when its drain begins, which gets no answer, may have run.
 #[test]
-fn a_disbursement_out_at_a_drained_endpoint_never_goes_to_another() {
+fn a_disbursement_in_flight_at_a_drained_endpoint_never_goes_to_another() {
     for killed in [false, true] {
         let (platform, one, other) = (Platform::new(), Served::new(), Served::new());
         let node = Node::start(&platform, &two(&one, &other), on);
@@ -94,7 +94,7 @@
 
 /// A drain mark survives list changes and a kill, and ends when the endpoint leaves the list.
 #[test]
-fn a_mark_outlives_all_but_its_endpoint() {
+fn a_drain_mark_survives_list_changes_and_kills_until_its_endpoint_leaves() {
     let (platform, one, other, moved) = (Platform::new(), Served::new(), Served::new(), Served::new());
     let known = two(&one, &other);
     let mut node = Node::start(&platform, &known, on);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn the_last_endpoint_of_a_destination_is_drained_only_by_force() {
+fn the_last_endpoint_of_a_destination_is_drained_only_with_force() {
     let (platform, one, other) = (Platform::new(), Served::new(), Served::new());
     let node = Node::start(&platform, &two(&one, &other), on);
     assert_eq!(drain(&node, &["e1"], false).status(), 200);
@@ -159,7 +159,7 @@
 
 /// Two operators drain the two endpoints of a destination at once, each relying on the other endpoint.
 #[test]
-fn of_two_operators_at_once_one_is_refused() {
+fn of_two_concurrent_drains_of_a_destination_one_is_refused() {
     let (platform, one, other) = (Platform::new(), Served::new(), Served::new());
     let node = Node::start(&platform, &two(&one, &other), on);
     for _ in 0..10 {
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn drained_put_back_and_drained_again_within_a_second_is_drained() {
+fn an_endpoint_drained_again_right_after_a_restore_stays_drained() {
     let (platform, one, other) = (Platform::new(), Served::new(), Served::new());
     let node = Node::start(&platform, &two(&one, &other), on);
     let begun = Instant::now();
@@ -196,7 +196,7 @@
 /// A batch in flight at a drained endpoint: its messages end one by one, and a rejected one goes to another
 /// endpoint.
 #[test]
-fn a_batch_out_at_a_drained_endpoint_ends_message_by_message() {
+fn a_batch_in_flight_at_a_drained_endpoint_ends_message_by_message() {
     let (platform, one, other) = (Platform::new(), Served::new(), Served::new());
     let node = Node::start(&platform, &[], on);
     for id in ["a", "b", "c"] {
@@ -224,7 +224,7 @@
 /// The drain's time runs out with messages of both classes held and in flight: each ends as its class allows,
 /// and the report says at each point what may be done to the machine.
 #[test]
-fn a_process_is_drained_within_its_time() {
+fn a_process_drains_within_the_requested_time() {
     let (platform, one) = (Platform::new(), Served::new());
     let node = Node::start(&platform, &[listing("e1", 7, "plain", one.address)], on);
     assert_eq!(report(&node)["state"], "serving");
@@ -346,7 +346,7 @@
 }
 
 #[test]
-fn bad_calls_say_why_in_one_line_and_change_nothing() {
+fn invalid_drain_calls_get_a_one_line_error_and_change_nothing() {
     let (platform, one, other) = (Platform::new(), Served::new(), Served::new());
     let node = Node::start(&platform, &two(&one, &other), on);
     let long = json!({"names": ["x".repeat(17_000)]}).to_string();
@@ -387,7 +387,7 @@
 
 /// A mark that can't be stored must not be acknowledged.
 #[test]
-fn a_mark_that_cannot_be_kept_is_refused() {
+fn a_drain_mark_that_cannot_be_stored_is_refused() {
     let (platform, one, other) = (Platform::new(), Served::new(), Served::new());
     let node = Node::start(&platform, &two(&one, &other), on);
     std::fs::create_dir(node.state().join("drained.new")).unwrap();
--- a/tests/node/entering.rs
+++ b/tests/node/entering.rs
@@ -17,7 +17,7 @@
 
 /// Guards the start: a configuration lists few endpoints, so that messages wait for the first list.
 #[test]
-fn a_message_that_came_before_the_long_list_goes_when_that_comes() {
+fn a_message_accepted_before_the_long_list_is_delivered_when_it_arrives() {
     let (platform, rest, seven) = (Platform::new(), Served::new(), Served::new());
     let node = Node::start(&platform, &[], with_operators);
     assert_eq!(node.hand_in("early", "order", 7, 20_000).status(), 202);
@@ -27,7 +27,7 @@
 
 /// Guards accepted messages through a restart, where the journal is read before the list arrives.
 #[test]
-fn a_message_of_the_process_before_goes_when_the_long_list_comes() {
+fn a_message_of_the_previous_process_is_delivered_when_the_long_list_arrives() {
     let (platform, rest, seven) = (Platform::new(), Served::new(), Served::new());
     let node = start(&platform, &many(rest.address, &[listing("e7", 7, "plain", seven.address)]));
     assert_eq!(node.hand_in("held", "order", 7, 25_000).status(), 202);
@@ -41,7 +41,7 @@
 /// Guards growth: the list outgrows the working set without the message's destination, whose endpoint is
 /// added later.
 #[test]
-fn a_message_held_while_the_list_grows_goes_when_its_endpoint_comes() {
+fn a_message_held_while_the_list_grows_is_delivered_when_its_endpoint_is_added() {
     let (platform, rest, late) = (Platform::new(), Served::new(), Served::new());
     let node = Node::start(&platform, &[listing("e8", 8, "plain", rest.address)], with_operators);
     assert_eq!(node.hand_in("later", "order", 4001, 25_000).status(), 202);
@@ -54,7 +54,7 @@
 /// Guards against misdirection: if changes name an endpoint twice, the last entry counts, whatever its
 /// destination.
 #[test]
-fn a_name_twice_in_one_change_is_where_the_last_one_says() {
+fn an_endpoint_named_twice_in_one_change_follows_the_last_entry() {
     let (platform, rest, seven) = (Platform::new(), Served::new(), Served::new());
     let node = start(&platform, &many(rest.address, &[listing("e7", 7, "plain", seven.address)]));
     served(&node, &seven, "a", "order", 7, status(200));
--- a/tests/node/estimating.rs
+++ b/tests/node/estimating.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_run_is_estimated_and_what_is_wrong_is_told_with_a_code_and_a_remedy() {
+fn a_run_is_estimated_and_invalid_requests_get_a_code_and_a_remedy() {
     let (platform, one) = (Platform::new(), Served::new());
     let peers = addresses(1);
     let endpoints = [listing("e1", 7, "plain", one.address)];
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn without_the_status_index_nothing_is_estimated() {
+fn without_the_status_index_estimates_are_off() {
     let platform = Platform::new();
     let node = Node::start(&platform, &[], |config| config["mgmt"] = json!("127.0.0.1:0"));
     let (status, said) = estimate(&node, &json!({"query": {"tenant": "water"}}));
@@ -70,7 +70,7 @@
 /// Guards against a prediction that is right only in a made-up setting: three senders exchange summaries, and
 /// what a query really touches is compared with the prediction.
 #[test]
-fn what_three_senders_predict_is_what_a_query_touches() {
+fn the_predictions_of_three_senders_cover_what_a_query_touches() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let peers = addresses(3);
     let endpoints = [listing("e1", 7, "plain", endpoint.address)];
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_run_that_is_played_takes_as_many_calls_and_as_long_as_was_said() {
+fn a_run_takes_calls_and_time_within_its_estimate() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let peers = addresses(1);
     let endpoints = [listing("e1", 7, "bulk", endpoint.address)];
--- a/tests/node/handover.rs
+++ b/tests/node/handover.rs
@@ -22,7 +22,7 @@
 /// The new process has other settings: they apply to messages that clients still submit to the old one, by
 /// class name.
 #[test]
-fn what_comes_by_the_old_process_goes_by_the_new_ones_settings() {
+fn messages_submitted_to_the_old_process_follow_the_new_ones_settings() {
     let (platform, endpoint) = platform_and_endpoint();
     let old = Node::start_inheriting(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
     let (mut gone, mut stays) = (kept(&old, "before a"), kept(&old, "before b"));
@@ -43,7 +43,7 @@
 /// Two SIGTERMs reach the old process while a client's connection is open there and a call is in flight: a
 /// message over that connection and the call's outcome still count, and the process exits.
 #[test]
-fn an_old_process_that_is_asked_to_end_ends_what_it_has() {
+fn a_terminated_old_process_completes_its_connections_and_calls() {
     let (platform, endpoint) = platform_and_endpoint();
     let mut old = Node::start_inheriting(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
     assert_eq!(old.hand_in("out", "order", 7, 20_000).status(), 202);
@@ -61,7 +61,7 @@
 
 /// After a handover SIGHUP has no effect at the old process; the new one reloads the file.
 #[test]
-fn a_reload_amid_a_handover_is_the_new_process_s() {
+fn a_reload_after_a_handover_is_up_to_the_new_process() {
     let (platform, endpoint) = platform_and_endpoint();
     let old = Node::start_inheriting(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
     let new = old.succeeded();
@@ -77,7 +77,7 @@
 /// A successor that asks for the state folder and dies changes nothing: the old process goes on, and can
 /// still hand over.
 #[test]
-fn a_successor_that_dies_before_it_is_told_changes_nothing() {
+fn a_successor_that_dies_before_it_reads_the_state_changes_nothing() {
     let (platform, endpoint) = platform_and_endpoint();
     let old = Node::start_inheriting(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
     assert_eq!(old.hand_in("held", "order", 9, 20_000).status(), 202);
@@ -110,7 +110,7 @@
 
 /// A successor that dies after it has read a part of the state changes nothing either.
 #[test]
-fn a_successor_that_dies_amid_what_it_is_told_changes_nothing() {
+fn a_successor_that_dies_while_reading_the_state_changes_nothing() {
     let (platform, endpoint) = platform_and_endpoint();
     let old = Node::start_inheriting(&platform, &[]);
     // More than a socket's buffer holds, so that the state can't be written at once.
@@ -134,7 +134,7 @@
 /// A connection that the old process still waits for is abandoned at the handover, since a wait requested at
 /// the new process could not stop the old one from using it. The call is made once, by the new process.
 #[test]
-fn a_connection_that_comes_up_after_the_handover_is_not_used_by_the_old_process() {
+fn a_connection_established_after_the_handover_is_not_used_by_the_old_process() {
     let (platform, crowded) = (Platform::new(), Crowded::new());
     let known = [listing("e1", 7, "plain", crowded.address)];
     let mut old = Node::start_inheriting_with(&platform, &known, |config| {
--- a/tests/node/late.rs
+++ b/tests/node/late.rs
@@ -30,7 +30,7 @@
 /// latest of its messages' deadlines, and was then written with a message whose outcome the platform had
 /// already been notified of.
 #[test]
-fn a_message_given_up_while_its_call_waits_for_a_connection_is_left_out_of_it() {
+fn a_message_that_ends_while_its_call_waits_for_a_connection_is_left_out_of_the_call() {
     let (platform, crowded) = (Platform::new(), Crowded::new());
     let node = Node::start(&platform, &[], patient);
     for (id, within_ms) in [("short", 900), ("long", 20_000), ("short too", 900)] {
@@ -51,7 +51,7 @@
 
 /// Guards drains: an endpoint that is leaving gets no call that was planned before it was listed as leaving.
 #[test]
-fn a_call_that_waits_for_a_connection_to_an_endpoint_that_leaves_goes_elsewhere() {
+fn a_call_that_waits_for_a_connection_to_a_leaving_endpoint_goes_to_another() {
     for status in ["leaving", "left"] {
         let (platform, crowded, other) = (Platform::new(), Crowded::new(), Served::new());
         let mut known =
@@ -71,7 +71,7 @@
 /// A process that has handed over begins no call: a call that waits for a connection is the new process's to
 /// decide on.
 #[test]
-fn a_call_that_waits_for_a_connection_is_handed_over_as_one_that_never_ran() {
+fn a_call_that_waits_for_a_connection_is_handed_over_as_never_run() {
     let (platform, crowded, other) = (Platform::new(), Crowded::new(), Served::new());
     let mut old =
         Node::start_inheriting_with(&platform, &[listing("e1", 7, "plain", crowded.address)], patient);
--- a/tests/node/lists.rs
+++ b/tests/node/lists.rs
@@ -89,7 +89,7 @@
 /// Found with 7,000 destinations: the sender accepted no list of over 1 MiB, delivered nothing and reported
 /// nothing.
 #[test]
-fn a_message_goes_to_the_last_of_ten_thousand_destinations() {
+fn a_message_is_delivered_to_the_last_of_ten_thousand_destinations() {
     let (first, last) = (Served::new(), Served::new());
     let text = whole_list(5, 10_000, last.address);
     let discovery = Discovery::new(move |stream| {
@@ -108,7 +108,7 @@
 /// After an invalid list the previous one stays in force, operators are told why, and discovery is not
 /// flooded with requests.
 #[test]
-fn a_list_that_is_refused_leaves_the_one_before_and_is_told() {
+fn an_invalid_list_leaves_the_previous_one_in_force_and_is_reported() {
     let endpoint = Served::new();
     let (short, long) = (whole_list(5, 50, endpoint.address), whole_list(5, 10_000, endpoint.address));
     let cut = |text: &str, at: usize| (format!("{}{}", head(text.len()), &text[..at]), "list.cut");
@@ -199,7 +199,7 @@
 
 /// The process ends in time although a list is being read, and nothing of the list is used.
 #[test]
-fn a_process_that_is_asked_to_end_does_not_wait_for_a_list() {
+fn a_terminated_process_does_not_wait_for_a_list() {
     let endpoint = Served::new();
     let (discovery, came, _) = in_two_parts(100_000, "}");
     let mut node = start(&discovery, &endpoint);
@@ -215,7 +215,7 @@
 /// When the discovery address changes while a list is being read, the new service's list is applied and the
 /// old one's is dropped.
 #[test]
-fn a_list_that_is_coming_is_left_when_discovery_moves() {
+fn a_list_being_read_is_dropped_when_the_discovery_address_changes() {
     let (endpoint, moved_to) = (Served::new(), Served::new());
     let (discovery, came, goes_on) = in_two_parts(100_000, "}");
     let node = start(&discovery, &endpoint);
@@ -233,7 +233,7 @@
 
 /// Found with 5,000 endpoints in the configuration: it was rejected at 262,144 bytes.
 #[test]
-fn a_configuration_with_a_long_list_is_begun_from_and_read_again() {
+fn a_configuration_with_a_long_list_is_accepted_at_start_and_at_reload() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let known: Vec<_> =
         (0..5000).map(|n| listing(&format!("s-{n:08x}"), n, "plain", endpoint.address)).collect();
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_message_goes_on_unchanged_and_connections_are_reused() {
+fn messages_are_forwarded_unchanged_over_reused_connections() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let ready = node.ask(b"GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n");
@@ -57,7 +57,7 @@
 /// Guards against a restart that loses accepted messages, repeats an effect, or resumes only when a client
 /// submits again.
 #[test]
-fn what_was_taken_on_outlasts_a_kill() {
+fn accepted_messages_survive_a_kill() {
     let (platform, seven, eight) = (Platform::new(), Served::new(), Served::new());
     let known = [listing("e1", 7, "plain", seven.address), listing("e2", 8, "plain", eight.address)];
     let node = Node::start(&platform, &known, |_| {});
@@ -87,7 +87,7 @@
 /// Guards the tenants' shares: a message's tenant reaches the policy, also when it is restored from the
 /// journal.
 #[test]
-fn a_tenant_within_its_share_goes_before_one_beyond_it() {
+fn a_tenant_within_its_share_is_served_before_one_over_it() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&platform, &[], |config| {
         let realm = |name, quota| json!({"name": name, "quota_per_s": quota, "fraction": 0.5});
@@ -130,7 +130,7 @@
 
 /// Guards against a notice that is lost with a failed answer of the platform, or with the process.
 #[test]
-fn a_notice_is_sent_until_the_platform_has_it() {
+fn a_notice_is_retried_until_the_platform_accepts_it() {
     let platform = Platform::new();
     let node = Node::start(&platform, &[], |_| {});
     assert_eq!(node.hand_in("a", "order", 7, 1000).status(), 202);
@@ -145,7 +145,7 @@
 /// Guards an accepted message against another client that submits the same id and disconnects before its
 /// answer.
 #[test]
-fn a_message_taken_on_is_not_withdrawn_by_another_that_names_its_id() {
+fn an_accepted_message_is_not_withdrawn_when_another_client_with_its_id_disconnects() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     // The next turn begins long after the other client has disconnected.
     let node = Node::start(&platform, &[], |config| config["settings"]["period_us"] = json!(500_000));
@@ -161,7 +161,7 @@
 /// Found on the large fleet: discovery answers watches at each change, all senders then asked again at once,
 /// and it had capacity for none of them.
 #[test]
-fn a_list_that_must_be_asked_for_is_not_watched() {
+fn a_list_served_only_on_request_is_polled_and_not_watched() {
     let platform = Platform::new();
     let _node = Node::start(&platform, &[], |config| {
         config["settings"]["discovery"] = json!("ask");
@@ -195,7 +195,7 @@
 
 /// New settings apply to later messages; messages in progress keep their class.
 #[test]
-fn a_reload_brings_classes_and_takes_them_away() {
+fn a_reload_adds_and_removes_classes() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&platform, &[], |_| {});
     assert_eq!(node.hand_in("a", "order", 7, 20_000).status(), 202);
@@ -223,7 +223,7 @@
 
 /// Guards the distinction between a call that may have run and one that can't have.
 #[test]
-fn an_answer_that_never_came_may_have_run() {
+fn a_call_without_a_valid_answer_counts_as_possibly_run() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let replies = [Reply::Close, Reply::Bytes(b"\x00\xff what?\r\n\r\n"), status(500), status(299)];
@@ -239,7 +239,7 @@
 
 /// A status line with 200 means delivered, even when the rest of the answer can't be read.
 #[test]
-fn a_first_line_with_200_delivers_whatever_follows() {
+fn a_200_status_line_counts_as_delivered_whatever_follows() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let broken: [&[u8]; 3] =
@@ -256,7 +256,7 @@
 
 /// An unsafe message is sent again after each answer that proves that it never ran.
 #[test]
-fn a_call_that_was_turned_away_is_made_again() {
+fn a_rejected_call_is_repeated() {
     for reply in
         [status(503), status(504), Reply::Answer(429, vec![("retry-after", "0.05".into())], "".into())]
     {
@@ -278,7 +278,7 @@
 /// Found in a full-fleet run with a zone outage: a connection that took a second to establish carried its
 /// call into a wait that another endpoint of the destination had requested meanwhile.
 #[test]
-fn a_call_whose_connection_comes_up_within_a_wait_is_not_written() {
+fn a_call_whose_connection_completes_within_a_requested_wait_is_not_written() {
     let (platform, other) = (Platform::new(), Served::new());
     let crowded = Crowded::new();
     let known = [listing("e1", 7, "plain", crowded.address), listing("e2", 7, "plain", other.address)];
@@ -307,7 +307,7 @@
 
 /// Guards against a second copy while the first may still be read: a timeout closes the connection.
 #[test]
-fn a_time_out_closes_the_connection() {
+fn a_timeout_closes_the_connection() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     assert_eq!(node.hand_in("a", "order", 7, 1500).status(), 202);
@@ -318,7 +318,7 @@
 
 /// Messages that wait for one endpoint are sent in one call; each has its own outcome.
 #[test]
-fn a_turns_messages_to_one_endpoint_travel_together() {
+fn messages_waiting_for_one_endpoint_are_sent_as_a_batch() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&platform, &[], |_| {});
     for id in ["a", "b", "c", "d", "e"] {
@@ -352,7 +352,7 @@
 
 /// On SIGTERM the process answers its clients, delivers what it can, leaves nothing open and exits.
 #[test]
-fn a_terminated_process_finishes_what_it_has() {
+fn a_terminated_process_answers_its_clients_and_completes_its_messages() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let mut node = Node::start(&platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let mut idle = Client::new(&node);
@@ -422,7 +422,7 @@
 
 /// Messages are counted by outcome, sends when they are written; the gauges show the current state.
 #[test]
-fn the_figures_count_what_happened() {
+fn the_counters_show_outcomes_sends_and_gauges() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let known = [listing("e1", 7, "plain", endpoint.address), listing("e2", 8, "plain", endpoint.address)];
     let node = Node::start(&platform, &known, |config| config["mgmt"] = json!("127.0.0.1:0"));
@@ -460,7 +460,7 @@
 }
 
 #[test]
-fn operators_calls_that_are_not_meant_are_told_off() {
+fn unknown_operator_calls_are_rejected() {
     let platform = Platform::new();
     let node = Node::start(&platform, &[], |config| config["mgmt"] = json!("127.0.0.1:0"));
     assert_eq!(node.call("GET", "/control/nothing").status(), 404);
@@ -470,7 +470,7 @@
 }
 
 #[test]
-fn strange_requests_are_told_off_and_do_no_harm() {
+fn malformed_requests_are_rejected_and_change_nothing() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let good = String::from_utf8(handing_in("a", "order", 7, 1000)).unwrap();
@@ -498,7 +498,7 @@
 
 /// Guards against request smuggling: with two lengths, what follows must not be read as a request.
 #[test]
-fn a_request_with_two_lengths_is_not_taken_on_nor_what_it_hides() {
+fn a_request_with_two_lengths_is_rejected_with_the_request_in_its_body() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let hidden = String::from_utf8(handing_in("hidden", "order", 7, 20_000)).unwrap();
@@ -517,7 +517,7 @@
 }
 
 #[test]
-fn a_bad_configuration_ends_in_one_line() {
+fn an_invalid_configuration_ends_the_process_with_one_line() {
     let folder = tempfile::tempdir().unwrap();
     for text in [None, Some("{"), Some("{\"name\": 3}"), Some("[]")] {
         if let Some(text) = text {
@@ -533,7 +533,7 @@
 
 /// Guards the disk limit: messages that can't be stored are refused, and capacity returns as messages end.
 #[test]
-fn messages_beyond_the_room_on_the_disk_are_refused() {
+fn messages_beyond_the_disk_limit_are_refused() {
     let platform = Platform::new();
     let node = Node::start(&platform, &[], |config| config["limits"]["disk_mb"] = json!(0.02));
     let mut taken = 0;
@@ -559,7 +559,7 @@
 /// Guards the promise of a 202: a message that the journal can't hold is neither accepted nor sent, and does
 /// not corrupt the records that it can hold.
 #[test]
-fn a_journal_that_cannot_be_written_takes_nothing_on() {
+fn a_message_that_the_journal_cannot_store_is_refused() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start_short_of_disk(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
     let small = String::from_utf8(handing_in("big", "order", 7, 20_000)).unwrap();
@@ -580,7 +580,7 @@
 /// A new version takes over under load: nothing is lost, repeated, refused or reported twice, and events at
 /// the old process still reach the new one.
 #[test]
-fn a_new_process_takes_over_all_that_the_old_one_has() {
+fn a_successor_takes_over_all_messages_of_the_old_process() {
     let (platform, seven, eight) = (Platform::new(), Served::new(), Served::new());
     let known = [listing("e1", 7, "plain", seven.address), listing("e2", 8, "plain", eight.address)];
     let mut old = Node::start_inheriting(&platform, &known);
@@ -639,7 +639,7 @@
 
 /// Guards the effect of a call that is lost with the old process: it may have run.
 #[test]
-fn what_an_old_process_had_out_when_it_was_killed_may_have_run() {
+fn calls_in_flight_at_a_killed_old_process_count_as_possibly_run() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let mut old = Node::start_inheriting(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
     // Its deadline is long after this test's timeout.
--- a/tests/node/plans.rs
+++ b/tests/node/plans.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_tenant_reads_its_own_writes_at_any_sender_if_its_plan_says_so() {
+fn a_tenant_with_a_session_plan_reads_its_own_writes_at_any_sender() {
     let platform = Platform::new();
     let mut nodes = tier(&platform);
     assert_eq!(hand_in(&nodes[0], "dim", "light"), None);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn what_was_lost_with_a_folder_is_told_as_lost_and_not_as_absent() {
+fn a_write_lost_with_a_state_folder_is_reported_as_lost_and_not_as_absent() {
     let platform = Platform::new();
     let mut nodes = tier(&platform);
     let kept_token = hand_in(&nodes[1], "other", "water").unwrap();
@@ -114,7 +114,7 @@
 
 /// Guards the promise that without their section plans are off, and reads in progress during a reload.
 #[test]
-fn without_the_section_there_is_no_token_and_a_plan_can_come_and_go() {
+fn without_the_section_there_is_no_token_and_plans_change_by_reload() {
     let platform = Platform::new();
     let nodes = tier_with(&platform, &[], |_| {});
     assert_eq!(hand_in(&nodes[0], "a", "water"), None);
--- a/tests/node/residing.rs
+++ b/tests/node/residing.rs
@@ -64,7 +64,7 @@
 /// Destinations are loaded by their messages and evicted when idle, and each message goes to an endpoint of
 /// its own destination.
 #[test]
-fn a_long_list_is_resident_as_far_as_messages_come() {
+fn destinations_of_a_long_list_are_loaded_by_messages_and_evicted_when_idle() {
     let (platform, rest, seven) = (Platform::new(), Served::new(), Served::new());
     let known = many(rest.address, &[listing("e7", 7, "plain", seven.address)]);
     let node = start(&platform, &known);
@@ -83,7 +83,7 @@
 /// A message that waits for its destination to be listed is delivered when a list arrives, however long that
 /// list is.
 #[test]
-fn what_was_held_before_a_long_list_is_called_when_it_comes() {
+fn a_message_held_before_a_long_list_is_delivered_when_it_arrives() {
     let (platform, rest) = (Platform::new(), Served::new());
     let node = Node::start(&platform, &[], with_operators);
     assert_eq!(node.hand_in("early", "order", 2500, 20_000).status(), 202);
@@ -98,7 +98,7 @@
 
 /// A requested wait still holds when its destination is evicted and loaded again within it.
 #[test]
-fn a_told_wait_outlasts_an_absence() {
+fn a_requested_wait_survives_eviction() {
     let (platform, rest, seven) = (Platform::new(), Served::new(), Served::new());
     let known = many(rest.address, &[listing("e7", 7, "plain", seven.address)]);
     let node = start(&platform, &known);
@@ -118,7 +118,7 @@
 /// A breaker that is open when its destination is evicted allows one trial when the destination is loaded
 /// again.
 #[test]
-fn an_open_breaker_outlasts_an_absence() {
+fn an_open_breaker_survives_eviction() {
     let (platform, rest, seven) = (Platform::new(), Served::new(), Served::new());
     let known = many(rest.address, &[listing("e7", 7, "plain", seven.address)]);
     let node = start(&platform, &known);
@@ -142,7 +142,7 @@
 /// Endpoints that a snapshot removes are not called any more, and those that it moves are called at their new
 /// address.
 #[test]
-fn a_snapshot_reaches_what_is_resident_at_once() {
+fn a_snapshot_applies_to_resident_destinations_at_once() {
     let (platform, rest, old, new) = (Platform::new(), Served::new(), Served::new(), Served::new());
     let seven = |address| listing("e7", 7, "plain", address);
     let eight = |group| listing("e8", group, "plain", old.address);
@@ -169,7 +169,7 @@
 /// Changes reach resident destinations and the table: a destination that was not resident is loaded as
 /// changed.
 #[test]
-fn changes_of_a_long_list_reach_who_is_resident_and_who_comes() {
+fn changes_of_a_long_list_apply_to_resident_and_later_loaded_destinations() {
     let (platform, rest, old, new) = (Platform::new(), Served::new(), Served::new(), Served::new());
     let at = |name: &str, group, address| listing(name, group, "plain", address);
     let known = many(rest.address, &[at("e7", 7, old.address), at("e8", 8, old.address)]);
@@ -205,7 +205,7 @@
 
 /// A list grows beyond the working set's capacity and shrinks again.
 #[test]
-fn a_list_grows_beyond_and_shrinks() {
+fn a_list_grows_beyond_the_working_set_and_shrinks() {
     let (platform, rest, seven) = (Platform::new(), Served::new(), Served::new());
     let few = [listing("e7", 7, "plain", seven.address)];
     let node = Node::start(&platform, &few, with_operators);
@@ -227,7 +227,7 @@
 /// Handover with a long list: the new process has no table yet, holds messages for destinations that are not
 /// resident, and delivers them once the list has arrived.
 #[test]
-fn a_handover_with_a_long_list_misses_nothing() {
+fn a_handover_with_a_long_list_loses_no_message() {
     let (platform, rest, seven) = (Platform::new(), Served::new(), Served::new());
     let known = many(rest.address, &[listing("e7", 7, "plain", seven.address)]);
     let old = told(Node::start_inheriting(&platform, &[]), &platform, &known);
@@ -248,7 +248,7 @@
 /// SIGHUP and SIGTERM with a long list: new settings apply to destinations loaded later, and held messages
 /// end.
 #[test]
-fn signals_with_a_long_list_do_what_they_do_with_a_short_one() {
+fn reload_and_termination_work_with_a_long_list() {
     let (platform, rest, seven) = (Platform::new(), Served::new(), Served::new());
     let known = many(rest.address, &[listing("e7", 7, "plain", seven.address)]);
     let mut node = start(&platform, &known);
@@ -269,7 +269,7 @@
 /// Guards the bound: in a stream that touches each destination once, no more are resident than got a message
 /// lately, and each call goes to an endpoint of its destination.
 #[test]
-fn a_stream_to_ever_new_destinations_stays_bounded() {
+fn a_stream_to_ever_new_destinations_keeps_the_working_set_bounded() {
     const SERVERS: u32 = 8;
     const EACH: Duration = Duration::from_millis(7);
     /// The idle time of ten seconds, and a margin for late turns and counters.
--- a/tests/node/status.rs
+++ b/tests/node/status.rs
@@ -60,7 +60,7 @@
 const UNKNOWN: u64 = 16;
 
 #[test]
-fn any_sender_tells_what_became_of_a_message_and_only_to_its_tenant() {
+fn any_sender_reports_a_messages_status_to_its_tenant_only() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let nodes = tier(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
     hand_in(&nodes[0], "one", "water", 7);
@@ -87,7 +87,7 @@
 /// Guards against a status that is lost with its sender: replicas answer for it, and it is restored from the
 /// state folder.
 #[test]
-fn a_killed_senders_messages_are_told_by_replicas_and_by_itself_again() {
+fn a_killed_senders_messages_are_reported_by_replicas_and_after_its_restart() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let mut nodes = tier(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
     wait_until(|| {
@@ -134,7 +134,7 @@
 /// Guards against a lost outcome that is shown as none: a message that the journal had closed, but whose end
 /// the index had not written, is unknown.
 #[test]
-fn an_end_that_was_not_kept_is_told_as_unknown() {
+fn an_outcome_that_was_not_stored_is_reported_as_unknown() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let mut nodes = tier(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
     hand_in(&nodes[0], "one", "water", 7);
@@ -160,7 +160,7 @@
 
 /// Guards the promise that without its section the index is off and stores nothing.
 #[test]
-fn without_its_section_there_is_no_index() {
+fn without_its_section_the_index_is_off() {
     let platform = Platform::new();
     let node = Node::start(&platform, &[], |config| config["mgmt"] = json!("127.0.0.1:0"));
     let no = node.call("GET", "/control/status/message/a?tenant=t");
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -26,7 +26,7 @@
 /// Guards a keyed message whose call was in flight when its process ended: the next process may learn of its
 /// endpoint only later.
 #[test]
-fn a_keyed_message_whose_endpoint_is_not_listed_yet_is_repeated_within_its_window() {
+fn a_keyed_message_whose_endpoint_is_listed_later_is_repeated_only_within_its_window() {
     for group in [DedupScope::All, DedupScope::Zone, DedupScope::Endpoint] {
         let mut s = Sender::new(keyed(group, 6 * SECOND), &[]);
         let (_, event) = resumed(&mut s, KEYED, 20 * SECOND, &[(SECOND, endpoint(1))]);
@@ -48,7 +48,7 @@
 /// Guards restored, untried messages against a full buffer: they were accepted, messages that arrive in the
 /// same turn were not.
 #[test]
-fn a_full_buffer_turns_away_what_comes_before_it_hands_back_what_a_restart_found() {
+fn a_full_buffer_refuses_new_messages_before_it_defers_restored_ones() {
     let mut s = Sender::new(settings(), &[]);
     for _ in 0..52 {
         s.accept(ONCE);
@@ -67,7 +67,7 @@
 /// Guards messages with short idempotency windows around restarts: a call that the next process could not
 /// repeat does not begin, and one that may have run is repeated while there is time.
 #[test]
-fn at_the_end_of_a_process_a_short_window_holds_back_first_calls_and_no_repeats() {
+fn at_the_end_of_a_process_a_short_window_delays_first_calls_but_not_repeats() {
     let mut s = Sender::new(keyed(DedupScope::All, SECOND), &[entry(1, 0)]);
     s.serve(20);
     let end = s.now + SECOND / 10;
@@ -88,7 +88,7 @@
 /// Guards restored, untried messages whose destination is down: the breaker's trial may come after their
 /// deadline, and they are still held for most of their time.
 #[test]
-fn what_was_never_called_is_not_handed_back_early_because_a_breaker_is_open() {
+fn a_restored_untried_message_is_not_deferred_early_because_a_breaker_is_open() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     s.serve(20);
     // Opens the destination's breaker.
