--- a/tests/node/handover.rs
+++ b/tests/node/handover.rs
@@ -7,15 +7,15 @@
 
 use super::world::*;
 
-fn platform_and_endpoint() -> (Platform, Served) {
-    (Platform::new(), Served::new())
+fn platform_and_endpoint() -> (Platform, TestServer) {
+    (Platform::new(), TestServer::new())
 }
 
 /// A connection to this process, kept alive, over which one message was submitted that has no listed
 /// endpoint.
-fn kept(node: &Node, id: &str) -> Client {
+fn client_with_held_message(node: &Node, id: &str) -> Client {
     let mut client = Client::new(node);
-    assert_eq!(client.ask(&handing_in(id, "order", 9, 20_000)).status(), 202);
+    assert_eq!(client.request(&submission(id, "order", 9, 20_000)).status(), 202);
     client
 }
 
@@ -25,15 +25,16 @@
 fn messages_submitted_to_the_old_process_follow_the_new_ones_settings() {
     let (platform, endpoint) = platform_and_endpoint();
     let old = Node::start_inheriting(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
-    let (mut gone, mut stays) = (kept(&old, "before a"), kept(&old, "before b"));
-    old.rewrite(|config| {
+    let (mut removed, mut remaining) =
+        (client_with_held_message(&old, "before a"), client_with_held_message(&old, "before b"));
+    old.rewrite_config(|config| {
         let classes = config["settings"]["classes"].as_array_mut().unwrap();
         classes.remove(0);
         classes[0]["effect"] = json!("repeatable");
     });
-    let _new = old.succeeded();
-    assert_eq!(gone.ask(&handing_in("a", "note", 7, 20_000)).status(), 503);
-    assert_eq!(stays.ask(&handing_in("b", "order", 7, 20_000)).status(), 202);
+    let _new = old.start_successor();
+    assert_eq!(removed.request(&submission("a", "note", 7, 20_000)).status(), 503);
+    assert_eq!(remaining.request(&submission("b", "order", 7, 20_000)).status(), 202);
     endpoint.next().reply(status(500));
     let again = endpoint.next();
     assert_eq!(again.http.headers["req-id"], "b");
@@ -46,13 +47,13 @@
 fn a_terminated_old_process_completes_its_connections_and_calls() {
     let (platform, endpoint) = platform_and_endpoint();
     let mut old = Node::start_inheriting(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
-    assert_eq!(old.hand_in("out", "order", 7, 20_000).status(), 202);
+    assert_eq!(old.submit("out", "order", 7, 20_000).status(), 202);
     let out = endpoint.next();
-    let mut client = kept(&old, "before");
-    let new = old.succeeded();
+    let mut client = client_with_held_message(&old, "before");
+    let new = old.start_successor();
     old.terminate();
     old.terminate();
-    assert_eq!(client.ask(&handing_in("late", "order", 9, 20_000)).status(), 202);
+    assert_eq!(client.request(&submission("late", "order", 9, 20_000)).status(), 202);
     out.reply(status(200));
     wait_until(|| new.call("GET", "/control/counters").json()["answered"]["order"] == 1);
     assert_eq!(old.exit_code(), Some(0));
@@ -64,10 +65,10 @@
 fn a_reload_after_a_handover_is_up_to_the_new_process() {
     let (platform, endpoint) = platform_and_endpoint();
     let old = Node::start_inheriting(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
-    let new = old.succeeded();
+    let new = old.start_successor();
     old.reload(|config| config["settings"]["classes"][1]["effect"] = json!("repeatable"));
     new.reload_and_wait(|_| {});
-    assert_eq!(new.hand_in("late", "order", 7, 20_000).status(), 202);
+    assert_eq!(new.submit("late", "order", 7, 20_000).status(), 202);
     endpoint.next().reply(status(500));
     let again = endpoint.next();
     assert_eq!(again.http.headers["req-id"], "late", "its class is repeatable in the new file");
@@ -80,31 +81,31 @@
 fn a_successor_that_dies_before_it_reads_the_state_changes_nothing() {
     let (platform, endpoint) = platform_and_endpoint();
     let old = Node::start_inheriting(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
-    assert_eq!(old.hand_in("held", "order", 9, 20_000).status(), 202);
+    assert_eq!(old.submit("held", "order", 9, 20_000).status(), 202);
     for _ in 0..2 {
         // The socket listens again once the previous successor has been found dead.
-        let mut asks = loop {
-            if let Ok(asks) = UnixStream::connect(old.state().join("successor")) {
-                break asks;
+        let mut successor = loop {
+            if let Ok(stream) = UnixStream::connect(old.state_folder().join("successor")) {
+                break stream;
             }
             std::thread::yield_now();
         };
-        if asks.write_all(b"take over\n").is_err() {
+        if successor.write_all(b"take over\n").is_err() {
             continue;
         }
-        let _ = asks.shutdown(std::net::Shutdown::Both);
-        drop(asks);
+        let _ = successor.shutdown(std::net::Shutdown::Both);
+        drop(successor);
     }
-    assert_eq!(old.hand_in("a", "order", 7, 20_000).status(), 202);
+    assert_eq!(old.submit("a", "order", 7, 20_000).status(), 202);
     endpoint.next().reply(status(200));
-    let new = old.succeeded();
+    let new = old.start_successor();
     assert_eq!(
         old.call("GET", "/control/ready").status(),
         503,
         "the old process still runs and has handed over"
     );
     wait_until(|| new.call("GET", "/control/counters").json()["current"] == 1);
-    assert_eq!(new.hand_in("b", "order", 7, 20_000).status(), 202);
+    assert_eq!(new.submit("b", "order", 7, 20_000).status(), 202);
     assert_eq!(endpoint.next().http.headers["req-id"], "b");
 }
 
@@ -115,19 +116,19 @@
     let old = Node::start_inheriting(&platform, &[]);
     // More than a socket's buffer holds, so that the state can't be written at once.
     let pad = |n| listing(&format!("{n}-{}", "x".repeat(90)), 9, "plain", endpoint.address);
-    platform.tell(&(0..3_000).map(pad).collect::<Vec<_>>());
+    platform.publish(&(0..3_000).map(pad).collect::<Vec<_>>());
     wait_until(|| old.call("GET", "/control/counters").json()["cluster_size"] == 3_000);
-    let mut asks = UnixStream::connect(old.state().join("successor")).unwrap();
-    asks.write_all(b"take over\n").unwrap();
+    let mut successor = UnixStream::connect(old.state_folder().join("successor")).unwrap();
+    successor.write_all(b"take over\n").unwrap();
     let mut part = [0; 4];
-    asks.read_exact(&mut part).unwrap();
+    successor.read_exact(&mut part).unwrap();
     assert!(u32::from_le_bytes(part) > 1 << 19, "the state is larger than a socket's buffer");
-    drop(asks);
-    platform.tell(&[listing("e1", 7, "plain", endpoint.address)]);
-    assert_eq!(old.hand_in("a", "order", 7, 20_000).status(), 202);
+    drop(successor);
+    platform.publish(&[listing("e1", 7, "plain", endpoint.address)]);
+    assert_eq!(old.submit("a", "order", 7, 20_000).status(), 202);
     endpoint.next().reply(status(200));
-    let new = old.succeeded();
-    assert_eq!(new.hand_in("b", "order", 7, 20_000).status(), 202);
+    let new = old.start_successor();
+    assert_eq!(new.submit("b", "order", 7, 20_000).status(), 202);
     assert_eq!(endpoint.next().http.headers["req-id"], "b");
 }
 
@@ -135,19 +136,19 @@
 /// the new process could not stop the old one from using it. The call is made once, by the new process.
 #[test]
 fn a_connection_established_after_the_handover_is_not_used_by_the_old_process() {
-    let (platform, crowded) = (Platform::new(), Crowded::new());
+    let (platform, crowded) = (Platform::new(), FullBacklogServer::new());
     let known = [listing("e1", 7, "plain", crowded.address)];
     let mut old = Node::start_inheriting_with(&platform, &known, |config| {
         config["mgmt"] = json!("127.0.0.1:0");
         config["settings"]["limits"]["connect_timeout_us"] = json!(20_000_000);
         config["settings"]["classes"][1]["on_time_us"] = json!(24_000_000);
     });
-    assert_eq!(old.hand_in("a", "order", 7, 24_000).status(), 202);
+    assert_eq!(old.submit("a", "order", 7, 24_000).status(), 202);
     let sends = |node: &Node| node.call("GET", "/control/counters").json()["sends"].clone();
-    let new = old.succeeded();
+    let new = old.start_successor();
     old.terminate();
     assert_eq!(old.exit_code(), Some(0), "nothing is in flight there");
-    let stream = crowded.let_in();
+    let stream = crowded.accept_pending();
     let mut input = std::io::BufReader::new(stream.try_clone().unwrap());
     let call = Http::read(&mut input).expect("the call arrives");
     assert_eq!(call.headers["req-id"], "a");
--- a/tests/node/late.rs
+++ b/tests/node/late.rs
@@ -10,7 +10,7 @@
 use super::world::*;
 
 /// Long timeouts, so that only the messages' deadlines and the connection decide.
-fn patient(config: &mut Value) {
+fn with_long_timeouts(config: &mut Value) {
     config["mgmt"] = json!("127.0.0.1:0");
     config["settings"]["limits"]["connect_timeout_us"] = json!(20_000_000);
     for class in [0, 1] {
@@ -18,33 +18,33 @@
     }
 }
 
-fn delivered(stream: TcpStream) -> Http {
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+fn answer_ok(stream: TcpStream) -> Http {
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let mut input = BufReader::new(stream);
     let http = Http::read(&mut input).expect("a call arrives");
     input.get_mut().write_all(b"HTTP/1.1 200 X\r\ncontent-length: 0\r\n\r\n").unwrap();
     http
 }
 
-/// Found in the standing test, on a day when endpoints join: a batch call waited for its connection until the
-/// latest of its messages' deadlines, and was then written with a message whose outcome the platform had
+/// Found in the standing test, on its "join" day: a batch call waited for its connection until the latest of
+/// its messages' deadlines, and was then written with a message whose outcome the platform had
 /// already been notified of.
 #[test]
 fn a_message_that_ends_while_its_call_waits_for_a_connection_is_left_out_of_the_call() {
-    let (platform, crowded) = (Platform::new(), Crowded::new());
-    let node = Node::start(&platform, &[], patient);
+    let (platform, crowded) = (Platform::new(), FullBacklogServer::new());
+    let node = Node::start(&platform, &[], with_long_timeouts);
     for (id, within_ms) in [("short", 900), ("long", 20_000), ("short too", 900)] {
-        assert_eq!(node.hand_in(id, "order", 7, within_ms).status(), 202);
+        assert_eq!(node.submit(id, "order", 7, within_ms).status(), 202);
     }
-    platform.tell(&[listing("e1", 7, "bulk", crowded.address)]);
-    let mut told = platform.notice(204);
-    while told.len() < 2 {
-        told.extend(platform.notice(204));
+    platform.publish(&[listing("e1", 7, "bulk", crowded.address)]);
+    let mut notices = platform.notice(204);
+    while notices.len() < 2 {
+        notices.extend(platform.notice(204));
     }
     let deferred = |id| json!({"id": id, "status": "deferred"});
-    assert_eq!(told, [deferred("short"), deferred("short too")], "they can't have run");
-    let call = delivered(crowded.let_in());
-    assert_eq!(call.first, "POST /v1/messages HTTP/1.1", "one message is left");
+    assert_eq!(notices, [deferred("short"), deferred("short too")], "they can't have run");
+    let call = answer_ok(crowded.accept_pending());
+    assert_eq!(call.first_line, "POST /v1/messages HTTP/1.1", "one message is left");
     assert_eq!(call.headers["req-id"], "long");
     wait_until(|| node.call("GET", "/control/counters").json()["answered"]["order"] == 1);
 }
@@ -53,14 +53,14 @@
 #[test]
 fn a_call_that_waits_for_a_connection_to_a_leaving_endpoint_goes_to_another() {
     for status in ["leaving", "left"] {
-        let (platform, crowded, other) = (Platform::new(), Crowded::new(), Served::new());
+        let (platform, crowded, other) = (Platform::new(), FullBacklogServer::new(), TestServer::new());
         let mut known =
             [listing("e1", 7, "plain", crowded.address), listing("e2", 7, "plain", other.address)];
-        let node = Node::start(&platform, &known[..1], patient);
-        assert_eq!(node.hand_in("a", "order", 7, 20_000).status(), 202);
+        let node = Node::start(&platform, &known[..1], with_long_timeouts);
+        assert_eq!(node.submit("a", "order", 7, 20_000).status(), 202);
         known[0]["status"] = json!(status);
         let begun = std::time::Instant::now();
-        platform.tell(&known[usize::from(status == "left")..]);
+        platform.publish(&known[usize::from(status == "left")..]);
         let call = other.next();
         assert_eq!(call.http.headers["req-id"], "a");
         assert!(begun.elapsed() < Duration::from_secs(2), "{status}: after {:?}", begun.elapsed());
@@ -72,12 +72,15 @@
 /// decide on.
 #[test]
 fn a_call_that_waits_for_a_connection_is_handed_over_as_never_run() {
-    let (platform, crowded, other) = (Platform::new(), Crowded::new(), Served::new());
-    let mut old =
-        Node::start_inheriting_with(&platform, &[listing("e1", 7, "plain", crowded.address)], patient);
-    assert_eq!(old.hand_in("a", "order", 7, 20_000).status(), 202);
-    let new = old.succeeded();
-    platform.tell(&[listing("e2", 7, "plain", other.address)]);
+    let (platform, crowded, other) = (Platform::new(), FullBacklogServer::new(), TestServer::new());
+    let mut old = Node::start_inheriting_with(
+        &platform,
+        &[listing("e1", 7, "plain", crowded.address)],
+        with_long_timeouts,
+    );
+    assert_eq!(old.submit("a", "order", 7, 20_000).status(), 202);
+    let new = old.start_successor();
+    platform.publish(&[listing("e2", 7, "plain", other.address)]);
     let call = other.next();
     assert_eq!(call.http.headers["req-id"], "a");
     call.reply(status(200));
--- a/tests/node/lists.rs
+++ b/tests/node/lists.rs
@@ -17,7 +17,7 @@
 struct Discovery {
     address: SocketAddr,
     /// The number of requests for the list.
-    asks: Arc<AtomicUsize>,
+    list_requests: Arc<AtomicUsize>,
 }
 
 impl Discovery {
@@ -25,15 +25,15 @@
     fn new(answer: impl Fn(&mut TcpStream) -> std::io::Result<()> + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let asks = Arc::new(AtomicUsize::new(0));
-        let (counted, answer) = (asks.clone(), Arc::new(answer));
+        let list_requests = Arc::new(AtomicUsize::new(0));
+        let (counted, answer) = (list_requests.clone(), Arc::new(answer));
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let (counted, answer) = (counted.clone(), answer.clone());
                 let mut input = BufReader::new(stream.unwrap());
                 thread::spawn(move || {
                     let Some(http) = Http::read(&mut input) else { return };
-                    if !http.first.starts_with("GET /v1/endpoints") {
+                    if !http.first_line.starts_with("GET /v1/endpoints") {
                         return;
                     }
                     counted.fetch_add(1, Ordering::SeqCst);
@@ -42,11 +42,11 @@
                 });
             }
         });
-        Self { address, asks }
+        Self { address, list_requests }
     }
 
-    fn asks(&self) -> usize {
-        self.asks.load(Ordering::SeqCst)
+    fn list_requests(&self) -> usize {
+        self.list_requests.load(Ordering::SeqCst)
     }
 }
 
@@ -67,7 +67,7 @@
 }
 
 /// A sender configured with one endpoint, of destination 7, and with this discovery service.
-fn start(discovery: &Discovery, endpoint: &Served) -> Node {
+fn start(discovery: &Discovery, endpoint: &TestServer) -> Node {
     let known = [listing("e1", 7, "plain", endpoint.address)];
     Node::start(&Platform::new(), &known, |config| {
         config["mgmt"] = json!("127.0.0.1:0");
@@ -79,8 +79,8 @@
     node.call("GET", "/control/counters").json()
 }
 
-fn delivered(node: &Node, endpoint: &Served, id: &str, destination: u16) {
-    assert_eq!(node.hand_in(id, "order", destination, 20_000).status(), 202);
+fn submit_and_deliver(node: &Node, endpoint: &TestServer, id: &str, destination: u16) {
+    assert_eq!(node.submit(id, "order", destination, 20_000).status(), 202);
     let call = endpoint.next();
     assert_eq!(call.http.headers["req-id"], id);
     call.reply(status(200));
@@ -90,17 +90,17 @@
 /// nothing.
 #[test]
 fn a_message_is_delivered_to_the_last_of_ten_thousand_destinations() {
-    let (first, last) = (Served::new(), Served::new());
+    let (first, last) = (TestServer::new(), TestServer::new());
     let text = whole_list(5, 10_000, last.address);
     let discovery = Discovery::new(move |stream| {
         stream.write_all(head(text.len()).as_bytes())?;
         stream.write_all(text.as_bytes())?;
         // From now on the watch gets no answer.
-        thread::sleep(PATIENCE);
+        thread::sleep(TIMEOUT);
         Ok(())
     });
     let node = start(&discovery, &first);
-    delivered(&node, &last, "a", 9999);
+    submit_and_deliver(&node, &last, "a", 9999);
     let counters = counters(&node);
     assert_eq!((&counters["cluster_size"], &counters["list"]), (&json!(10_000), &Value::Null));
 }
@@ -109,54 +109,58 @@
 /// flooded with requests.
 #[test]
 fn an_invalid_list_leaves_the_previous_one_in_force_and_is_reported() {
-    let endpoint = Served::new();
+    let endpoint = TestServer::new();
     let (short, long) = (whole_list(5, 50, endpoint.address), whole_list(5, 10_000, endpoint.address));
-    let cut = |text: &str, at: usize| (format!("{}{}", head(text.len()), &text[..at]), "list.cut");
-    let spoilt = |text: &str| (format!("{}{}!", head(text.len()), &text[..text.len() - 1]), "list.malformed");
+    let truncated = |text: &str, at: usize| (format!("{}{}", head(text.len()), &text[..at]), "list.cut");
+    let corrupt =
+        |text: &str| (format!("{}{}!", head(text.len()), &text[..text.len() - 1]), "list.malformed");
     let cases = [
-        cut(&short, 1),
-        cut(&short, short.len() - 1),
-        cut(&long, 200_000),
-        cut(&long, long.len() / 2),
-        cut(&long, long.len() - 1),
-        spoilt(&short),
-        spoilt(&long),
+        truncated(&short, 1),
+        truncated(&short, short.len() - 1),
+        truncated(&long, 200_000),
+        truncated(&long, long.len() / 2),
+        truncated(&long, long.len() - 1),
+        corrupt(&short),
+        corrupt(&long),
     ];
-    let played = cases.map(|(text, code)| {
+    let checks = cases.map(|(text, code)| {
         thread::spawn(move || {
-            let endpoint = Served::new();
+            let endpoint = TestServer::new();
             let discovery = Discovery::new(move |stream| stream.write_all(text.as_bytes()));
             let node = start(&discovery, &endpoint);
-            let before = discovery.asks();
+            let before = discovery.list_requests();
             thread::sleep(Duration::from_secs(5));
-            let asks = discovery.asks() - before;
-            assert!((1..=12).contains(&asks), "{code}: asked {asks} times in 5 s");
-            delivered(&node, &endpoint, "a", 7);
+            let list_requests = discovery.list_requests() - before;
+            assert!((1..=12).contains(&list_requests), "{code}: {list_requests} requests in 5 s");
+            submit_and_deliver(&node, &endpoint, "a", 7);
             let counters = counters(&node);
             assert_eq!(counters["list"]["last_error"], code);
             assert!(counters["list"]["refused"].as_u64().unwrap() >= 4, "{counters}");
             assert_eq!((&counters["cluster_size"], &counters["list"]["index"]), (&json!(1), &json!(0)));
             let log = node.log();
-            let told = log.lines().filter(|line| line.contains(code) && line.contains("remedy")).count();
-            assert!((4..=20).contains(&told), "{code}: {told} lines of {log}");
+            let lines = log.lines().filter(|line| line.contains(code) && line.contains("remedy")).count();
+            assert!((4..=20).contains(&lines), "{code}: {lines} lines of {log}");
         })
     });
-    played.into_iter().for_each(|case| case.join().unwrap());
+    checks.into_iter().for_each(|case| case.join().unwrap());
 }
 
 /// A discovery service that writes a list in tenths, up to its last byte, and signals the test after each;
 /// `last` follows once the test sets the flag.
-fn in_two_parts(destinations: usize, last: &'static str) -> (Discovery, Receiver<()>, Arc<Mutex<bool>>) {
-    let (begun, came) = channel();
-    let goes_on = Arc::new(Mutex::new(false));
+fn discovery_with_paused_list(
+    destinations: usize,
+    last: &'static str,
+) -> (Discovery, Receiver<()>, Arc<Mutex<bool>>) {
+    let (written, progress) = channel();
+    let finish = Arc::new(Mutex::new(false));
     let text = whole_list(5, destinations, "127.0.0.1:9".parse().unwrap());
-    let (go, begun) = (goes_on.clone(), Mutex::new(begun));
+    let (go, written) = (finish.clone(), Mutex::new(written));
     let discovery = Discovery::new(move |stream| {
         stream.write_all(head(text.len()).as_bytes())?;
         let most = &text.as_bytes()[..text.len() - 1];
         for piece in most.chunks(most.len() / 10 + 1) {
             stream.write_all(piece)?;
-            let _ = begun.lock().unwrap().send(());
+            let _ = written.lock().unwrap().send(());
             thread::sleep(Duration::from_millis(100));
         }
         while !*go.lock().unwrap() {
@@ -164,33 +168,33 @@
         }
         stream.write_all(last.as_bytes())
     });
-    (discovery, came, goes_on)
+    (discovery, progress, finish)
 }
 
 /// Reading a list must not block the event loop: neither while the list arrives nor at its end, where this
 /// one is corrupt.
 #[test]
 fn clients_are_answered_in_time_while_a_long_list_is_read() {
-    let endpoint = Served::new();
-    let (discovery, came, goes_on) = in_two_parts(200_000, "!");
+    let endpoint = TestServer::new();
+    let (discovery, progress, finish) = discovery_with_paused_list(200_000, "!");
     let node = start(&discovery, &endpoint);
     let mut client = Client::new(&node);
     let (mut longest, mut answered) = (Duration::ZERO, 0);
-    let mut hand_in = || {
+    let mut submit = || {
         let begun = Instant::now();
-        assert_eq!(client.ask(&handing_in(&format!("m{answered}"), "order", 7, 20_000)).status(), 202);
+        assert_eq!(client.request(&submission(&format!("m{answered}"), "order", 7, 20_000)).status(), 202);
         longest = longest.max(begun.elapsed());
         answered += 1;
         endpoint.next().reply(status(200));
     };
     for _ in 0..10 {
-        came.recv_timeout(PATIENCE).unwrap();
-        (0..3).for_each(|_| hand_in());
+        progress.recv_timeout(TIMEOUT).unwrap();
+        (0..3).for_each(|_| submit());
     }
-    assert_eq!(discovery.asks(), 1, "the first list is still being read");
-    *goes_on.lock().unwrap() = true;
+    assert_eq!(discovery.list_requests(), 1, "the first list is still being read");
+    *finish.lock().unwrap() = true;
     wait_until(|| {
-        hand_in();
+        submit();
         counters(&node)["list"]["last_error"] == "list.malformed"
     });
     assert!(longest < Duration::from_millis(150), "a 202 took {longest:?}");
@@ -200,11 +204,11 @@
 /// The process ends in time although a list is being read, and nothing of the list is used.
 #[test]
 fn a_terminated_process_does_not_wait_for_a_list() {
-    let endpoint = Served::new();
-    let (discovery, came, _) = in_two_parts(100_000, "}");
+    let endpoint = TestServer::new();
+    let (discovery, progress, _) = discovery_with_paused_list(100_000, "}");
     let mut node = start(&discovery, &endpoint);
     for _ in 0..3 {
-        came.recv_timeout(PATIENCE).unwrap();
+        progress.recv_timeout(TIMEOUT).unwrap();
     }
     let begun = Instant::now();
     node.terminate();
@@ -216,17 +220,17 @@
 /// old one's is dropped.
 #[test]
 fn a_list_being_read_is_dropped_when_the_discovery_address_changes() {
-    let (endpoint, moved_to) = (Served::new(), Served::new());
-    let (discovery, came, goes_on) = in_two_parts(100_000, "}");
+    let (endpoint, moved_to) = (TestServer::new(), TestServer::new());
+    let (discovery, progress, finish) = discovery_with_paused_list(100_000, "}");
     let node = start(&discovery, &endpoint);
     for _ in 0..3 {
-        came.recv_timeout(PATIENCE).unwrap();
+        progress.recv_timeout(TIMEOUT).unwrap();
     }
     let other = Platform::new();
-    other.tell(&[listing("e2", 8, "plain", moved_to.address)]);
+    other.publish(&[listing("e2", 8, "plain", moved_to.address)]);
     node.reload(|config| config["discovery"] = json!(other.address.to_string()));
-    delivered(&node, &moved_to, "a", 8);
-    *goes_on.lock().unwrap() = true;
+    submit_and_deliver(&node, &moved_to, "a", 8);
+    *finish.lock().unwrap() = true;
     let counters = counters(&node);
     assert_eq!((&counters["cluster_size"], &counters["list"]), (&json!(1), &Value::Null));
 }
@@ -234,11 +238,11 @@
 /// Found with 5,000 endpoints in the configuration: it was rejected at 262,144 bytes.
 #[test]
 fn a_configuration_with_a_long_list_is_accepted_at_start_and_at_reload() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), TestServer::new());
     let known: Vec<_> =
         (0..5000).map(|n| listing(&format!("s-{n:08x}"), n, "plain", endpoint.address)).collect();
     let node = Node::start(&platform, &known, |config| config["mgmt"] = json!("127.0.0.1:0"));
-    delivered(&node, &endpoint, "a", 4999);
+    submit_and_deliver(&node, &endpoint, "a", 4999);
     assert_eq!(counters(&node)["cluster_size"], 5000);
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("candidate.json");
@@ -251,5 +255,5 @@
     node.reload(|config| config["known"]["endpoints"][4999]["group"] = json!("seven"));
     wait_until(|| counters(&node)["conf_invalid"] == 1);
     wait_until(|| node.log().contains("known.endpoints: list.malformed"));
-    delivered(&node, &endpoint, "b", 4998);
+    submit_and_deliver(&node, &endpoint, "b", 4998);
 }
--- a/tests/node/status.rs
+++ b/tests/node/status.rs
@@ -7,8 +7,8 @@
 
 use super::world::*;
 
-/// Free addresses for datagrams on different hosts.
-fn addresses(count: u8) -> Vec<String> {
+/// Addresses for datagrams on different hosts, each free when it was chosen.
+fn free_addresses(count: u8) -> Vec<String> {
     let sockets: Vec<UdpSocket> =
         (0..count).map(|n| UdpSocket::bind(format!("127.0.0.{}:0", n + 2)).unwrap()).collect();
     sockets.iter().map(|socket| socket.local_addr().unwrap().to_string()).collect()
@@ -21,7 +21,7 @@
 
 /// Starts three senders with the index enabled; `change` alters their configuration.
 pub fn tier_with(platform: &Platform, endpoints: &[Value], change: impl Fn(&mut Value)) -> Vec<Node> {
-    let peers = addresses(3);
+    let peers = free_addresses(3);
     let start = |own: &String| {
         Node::start(platform, endpoints, |config| {
             config["mgmt"] = json!("127.0.0.1:0");
@@ -38,16 +38,16 @@
     peers.iter().map(start).collect()
 }
 
-fn hand_in(node: &Node, id: &str, tenant: &str, dest: u16) {
-    let text = String::from_utf8(handing_in(id, "order", dest, 20_000)).unwrap();
+fn submit(node: &Node, id: &str, tenant: &str, dest: u16) {
+    let text = String::from_utf8(submission(id, "order", dest, 20_000)).unwrap();
     let text = text.replace("Req-Kind", &format!("Req-Owner: {tenant}\r\nReq-Kind"));
-    assert_eq!(node.ask(text.as_bytes()).status(), 202);
+    assert_eq!(node.request(text.as_bytes()).status(), 202);
 }
 
 fn message(node: &Node, id: &str, tenant: &str) -> Value {
-    let told = node.call("GET", &format!("/control/status/message/{id}?tenant={tenant}"));
-    assert_eq!(told.status(), 200);
-    told.json()
+    let answer = node.call("GET", &format!("/control/status/message/{id}?tenant={tenant}"));
+    assert_eq!(answer.status(), 200);
+    answer.json()
 }
 
 /// The message's states as bits, if the answer has the message.
@@ -61,9 +61,9 @@
 
 #[test]
 fn any_sender_reports_a_messages_status_to_its_tenant_only() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), TestServer::new());
     let nodes = tier(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
-    hand_in(&nodes[0], "one", "water", 7);
+    submit(&nodes[0], "one", "water", 7);
     wait_until(|| states(&nodes[1], "one") == Some(TAKEN_AND_CALLED));
     endpoint.next().reply(status(200));
     for node in &nodes {
@@ -78,9 +78,13 @@
     let listed = nodes[1].post("/control/status/query", r#"{"tenant": "water", "states": ["delivered"]}"#);
     assert_eq!(listed.json()["rows"][0]["id"], "one");
     for wrong in [r#"{"tenant": "water", "limit": 0}"#, r#"{"ids": ["one"]}"#] {
-        let no = nodes[1].post("/control/status/query", wrong);
-        assert_eq!(no.status(), 400);
-        assert!(["code", "error", "remedy"].iter().all(|key| no.json()[key].is_string()), "{:?}", no.json());
+        let error = nodes[1].post("/control/status/query", wrong);
+        assert_eq!(error.status(), 400);
+        assert!(
+            ["code", "error", "remedy"].iter().all(|key| error.json()[key].is_string()),
+            "{:?}",
+            error.json()
+        );
     }
 }
 
@@ -88,14 +92,14 @@
 /// state folder.
 #[test]
 fn a_killed_senders_messages_are_reported_by_replicas_and_after_its_restart() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), TestServer::new());
     let mut nodes = tier(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
     wait_until(|| {
         nodes[0].call("GET", "/control/status").json()["index"]["replicas"].as_array().unwrap().len() == 2
     });
-    hand_in(&nodes[0], "done", "water", 7);
+    submit(&nodes[0], "done", "water", 7);
     endpoint.next().reply(status(200));
-    hand_in(&nodes[0], "held", "water", 9);
+    submit(&nodes[0], "held", "water", 9);
     let log = nodes[0].call("GET", "/control/status").json()["index"]["log"].clone();
     let last = || nodes[0].call("GET", "/control/status").json()["index"]["last"].clone();
     let there = |node: &Node, last: &Value| {
@@ -112,7 +116,7 @@
     assert!(begun.elapsed().as_millis() < 1_000);
     assert_eq!(answer["rows"][0]["states"], TAKEN_AND_CALLED + DELIVERED);
     assert_eq!(states(&nodes[2], "held"), Some(1));
-    let own = answer["logs"].as_array().unwrap().iter().find(|told| told["log"] == log).unwrap().clone();
+    let own = answer["logs"].as_array().unwrap().iter().find(|read| read["log"] == log).unwrap().clone();
     assert!(own["server"] != 0 && own["reached"]["upto"] == last, "{own}");
     let back = nodes.remove(0).kill_and_restart();
     let report = back.call("GET", "/control/status").json();
@@ -135,23 +139,23 @@
 /// the index had not written, is unknown.
 #[test]
 fn an_outcome_that_was_not_stored_is_reported_as_unknown() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), TestServer::new());
     let mut nodes = tier(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
-    hand_in(&nodes[0], "one", "water", 7);
+    submit(&nodes[0], "one", "water", 7);
     let call = endpoint.next();
     wait_until(|| states(&nodes[0], "one") == Some(TAKEN_AND_CALLED));
     // Restores the index from before the outcome, with the journal from after it.
-    let kept: Vec<(String, Vec<u8>)> = nodes[0]
+    let saved: Vec<(String, Vec<u8>)> = nodes[0]
         .files()
         .into_iter()
         .filter(|name| name.starts_with("status."))
-        .map(|name| (name.clone(), std::fs::read(nodes[0].state().join(name)).unwrap()))
+        .map(|name| (name.clone(), std::fs::read(nodes[0].state_folder().join(name)).unwrap()))
         .collect();
-    assert!(!kept.is_empty());
+    assert!(!saved.is_empty());
     call.reply(status(200));
     wait_until(|| states(&nodes[0], "one") == Some(TAKEN_AND_CALLED + DELIVERED));
     let back = nodes.remove(0).kill_and_restart_after(|state| {
-        for (name, bytes) in &kept {
+        for (name, bytes) in &saved {
             std::fs::write(state.join(name), bytes).unwrap();
         }
     });
@@ -163,7 +167,7 @@
 fn without_its_section_the_index_is_off() {
     let platform = Platform::new();
     let node = Node::start(&platform, &[], |config| config["mgmt"] = json!("127.0.0.1:0"));
-    let no = node.call("GET", "/control/status/message/a?tenant=t");
-    assert_eq!((no.status(), &no.json()["code"]), (404, &json!("status-off")));
+    let error = node.call("GET", "/control/status/message/a?tenant=t");
+    assert_eq!((error.status(), &error.json()["code"]), (404, &json!("status-off")));
     assert!(!node.files().iter().any(|name| name.starts_with("status")));
 }
--- a/tests/node/world.rs
+++ b/tests/node/world.rs
@@ -13,13 +13,13 @@
 
 use serde_json::{Value, json};
 
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Polls until the condition holds.
 pub fn wait_until(mut so: impl FnMut() -> bool) {
     let begun = std::time::Instant::now();
     while !so() {
-        assert!(begun.elapsed() < PATIENCE, "the condition holds within the timeout");
+        assert!(begun.elapsed() < TIMEOUT, "the condition holds within the timeout");
         thread::yield_now();
     }
 }
@@ -27,7 +27,7 @@
 /// A request or an answer: its first line, its headers with names in lower case, and its body.
 #[derive(Debug, Clone)]
 pub struct Http {
-    pub first: String,
+    pub first_line: String,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
 }
@@ -40,7 +40,7 @@
             let size = stream.read_line(&mut line).ok()?;
             (size > 0).then(|| line.trim_end().to_owned())
         };
-        let first = next(stream)?;
+        let first_line = next(stream)?;
         let mut headers = HashMap::new();
         loop {
             let line = next(stream)?;
@@ -50,11 +50,11 @@
         let length = headers.get("content-length").map_or(0, |n| n.parse().unwrap());
         let mut body = vec![0; length];
         stream.read_exact(&mut body).ok()?;
-        Some(Self { first, headers, body })
+        Some(Self { first_line, headers, body })
     }
 
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).unwrap().parse().unwrap()
+        self.first_line.split(' ').nth(1).unwrap().parse().unwrap()
     }
 
     pub fn json(&self) -> Value {
@@ -75,7 +75,7 @@
 }
 
 /// A request that waits for the test's reply.
-pub struct Asked {
+pub struct PendingRequest {
     pub http: Http,
     /// The number of its connection.
     pub connection: usize,
@@ -83,58 +83,58 @@
     pub closed: Receiver<()>,
 }
 
-impl Asked {
+impl PendingRequest {
     pub fn reply(self, reply: Reply) {
         let _ = self.reply.send(reply);
     }
 }
 
 /// A server that passes its requests to the test one by one.
-pub struct Served {
+pub struct TestServer {
     pub address: SocketAddr,
-    asked: Receiver<Asked>,
+    requests: Receiver<PendingRequest>,
 }
 
-impl Served {
+impl TestServer {
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (ask, asked) = channel();
+        let (sender, requests) = channel();
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().enumerate() {
-                let (ask, stream) = (ask.clone(), stream.unwrap());
-                thread::spawn(move || converse(stream, connection, &ask));
+                let (sender, stream) = (sender.clone(), stream.unwrap());
+                thread::spawn(move || serve_connection(stream, connection, &sender));
             }
         });
-        Self { address, asked }
+        Self { address, requests }
     }
 
     /// The next request.
-    pub fn next(&self) -> Asked {
-        self.asked.recv_timeout(PATIENCE).expect("a request arrives")
+    pub fn next(&self) -> PendingRequest {
+        self.requests.recv_timeout(TIMEOUT).expect("a request arrives")
     }
 
     /// The next request, if one arrives within that time.
-    pub fn try_next(&self, within: Duration) -> Option<Asked> {
-        self.asked.recv_timeout(within).ok()
+    pub fn try_next(&self, within: Duration) -> Option<PendingRequest> {
+        self.requests.recv_timeout(within).ok()
     }
 
     /// Whether a request has arrived that the test has not taken.
-    pub fn unseen(&self) -> bool {
-        self.asked.try_recv().is_ok()
+    pub fn has_unread_request(&self) -> bool {
+        self.requests.try_recv().is_ok()
     }
 }
 
-/// A server whose backlog is full: a connection is established only after [`Crowded::let_in`], when the
-/// kernel retries it.
-pub struct Crowded {
+/// A server whose backlog is full: a connection is established only after
+/// [`FullBacklogServer::accept_pending`], when the kernel retries it.
+pub struct FullBacklogServer {
     pub address: SocketAddr,
     listener: TcpListener,
     /// Fills the backlog.
     _first: TcpStream,
 }
 
-impl Crowded {
+impl FullBacklogServer {
     pub fn new() -> Self {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build().unwrap();
         let listener = runtime.block_on(async {
@@ -149,27 +149,27 @@
     }
 
     /// Accepts the connection that waits.
-    pub fn let_in(&self) -> TcpStream {
+    pub fn accept_pending(&self) -> TcpStream {
         drop(self.listener.accept().unwrap());
         self.listener.accept().unwrap().0
     }
 }
 
-fn converse(stream: TcpStream, connection: usize, ask: &Sender<Asked>) {
+fn serve_connection(stream: TcpStream, connection: usize, requests: &Sender<PendingRequest>) {
     let mut out = stream.try_clone().unwrap();
     let mut input = BufReader::new(stream);
     while let Some(http) = Http::read(&mut input) {
         let (reply, replied) = channel();
         let (close, closed) = channel();
-        if ask.send(Asked { http, connection, reply, closed }).is_err() {
+        if requests.send(PendingRequest { http, connection, reply, closed }).is_err() {
             return;
         }
         // The other side sends nothing more before its answer: if anything can be read, it is the end of the
         // stream.
         let watched = out.try_clone().unwrap();
-        let told = loop {
+        let reply = loop {
             match replied.recv_timeout(Duration::from_millis(5)) {
-                Ok(told) => break told,
+                Ok(reply) => break reply,
                 Err(std::sync::mpsc::RecvTimeoutError::Disconnected) => return,
                 Err(_) => {
                     watched.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
@@ -182,7 +182,7 @@
             }
         };
         watched.set_read_timeout(None).unwrap();
-        match told {
+        match reply {
             Reply::Answer(code, headers, body) => {
                 let mut text = format!("HTTP/1.1 {code} X\r\ncontent-length: {}\r\n", body.len());
                 for (name, value) in headers {
@@ -205,45 +205,45 @@
 pub struct Platform {
     pub address: SocketAddr,
     list: Arc<(Mutex<Value>, Condvar)>,
-    pub notices: Receiver<Asked>,
+    pub notices: Receiver<PendingRequest>,
     /// Paths of the requests for the list.
-    pub asks: Receiver<String>,
+    pub list_requests: Receiver<String>,
 }
 
 impl Platform {
     pub fn new() -> Self {
-        let served = Served::new();
+        let server = TestServer::new();
         let list = Arc::new((Mutex::new(json!({"index": 1})), Condvar::new()));
         let (notice, notices) = channel();
-        let (ask, asks) = channel();
-        let told = list.clone();
-        let address = served.address;
+        let (list_request, list_requests) = channel();
+        let published = list.clone();
+        let address = server.address;
         thread::spawn(move || {
-            while let Ok(asked) = served.asked.recv() {
-                if asked.http.first.starts_with("POST /reports ") {
-                    let _ = notice.send(asked);
+            while let Ok(request) = server.requests.recv() {
+                if request.http.first_line.starts_with("POST /reports ") {
+                    let _ = notice.send(request);
                     continue;
                 }
-                let path = asked.http.first.split(' ').nth(1).unwrap().to_owned();
-                let _ = ask.send(path.clone());
+                let path = request.http.first_line.split(' ').nth(1).unwrap().to_owned();
+                let _ = list_request.send(path.clone());
                 let from = path.split("from=").nth(1).and_then(|f| f.split('&').next());
                 let from: u64 = from.map_or(0, |from| from.parse().unwrap());
-                let told = told.clone();
+                let published = published.clone();
                 thread::spawn(move || {
-                    let (list, changed) = &*told;
+                    let (list, changed) = &*published;
                     let mut list = list.lock().unwrap();
                     while list["index"].as_u64().unwrap() <= from {
                         list = changed.wait(list).unwrap();
                     }
-                    asked.reply(Reply::Answer(200, vec![], list.to_string()));
+                    request.reply(Reply::Answer(200, vec![], list.to_string()));
                 });
             }
         });
-        Self { address, list, notices, asks }
+        Self { address, list, notices, list_requests }
     }
 
     /// Replaces the whole list.
-    pub fn tell(&self, endpoints: &[Value]) {
+    pub fn publish(&self, endpoints: &[Value]) {
         let (list, changed) = &*self.list;
         let mut list = list.lock().unwrap();
         let index = list["index"].as_u64().unwrap() + 1;
@@ -252,7 +252,7 @@
     }
 
     /// Publishes changed entries; a request for the whole list gets only these, too.
-    pub fn change(&self, endpoints: &[Value]) {
+    pub fn publish_changes(&self, endpoints: &[Value]) {
         let (list, changed) = &*self.list;
         let mut list = list.lock().unwrap();
         let index = list["index"].as_u64().unwrap() + 1;
@@ -262,9 +262,9 @@
 
     /// The next notice, which is answered with this status.
     pub fn notice(&self, code: u16) -> Vec<Value> {
-        let asked = self.notices.recv_timeout(PATIENCE).expect("a notice arrives");
-        let text = String::from_utf8(asked.http.body.clone()).unwrap();
-        asked.reply(status(code));
+        let request = self.notices.recv_timeout(TIMEOUT).expect("a notice arrives");
+        let text = String::from_utf8(request.http.body.clone()).unwrap();
+        request.reply(status(code));
         text.lines().map(|line| serde_json::from_str(line).unwrap()).collect()
     }
 }
@@ -283,17 +283,17 @@
     /// The listening socket that all processes of the sender inherit, if there is one.
     listener: Option<TcpListener>,
     folder: Arc<tempfile::TempDir>,
-    /// What it has written to its log since it was ready.
+    /// Its log since it was ready.
     log: Arc<Mutex<String>>,
 }
 
 pub fn command(folder: &std::path::Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_myrtleyard"));
-    surround(&mut command, folder);
+    set_environment(&mut command, folder);
     command
 }
 
-fn surround(command: &mut Command, folder: &std::path::Path) {
+fn set_environment(command: &mut Command, folder: &std::path::Path) {
     command
         .env_remove("NODE_LISTEN")
         .env_remove("NODE_MGMT")
@@ -308,7 +308,7 @@
     pub fn start(platform: &Platform, endpoints: &[Value], change: impl FnOnce(&mut Value)) -> Self {
         let folder = Self::configure(platform, endpoints, change);
         let command = command(folder.path());
-        Self::run(folder, command)
+        Self::spawn(folder, command)
     }
 
     /// Starts a sender whose files can't grow beyond one block, so that writes to the journal fail.
@@ -317,8 +317,8 @@
         let mut shell = Command::new("sh");
         let program = env!("CARGO_BIN_EXE_myrtleyard");
         shell.args(["-c", "trap '' XFSZ; ulimit -f 1; exec \"$0\"", program]);
-        surround(&mut shell, folder.path());
-        Self::run(folder, shell)
+        set_environment(&mut shell, folder.path());
+        Self::spawn(folder, shell)
     }
 
     /// Starts a sender with an inherited client socket, which outlives its processes, and a management
@@ -340,15 +340,15 @@
     fn inherit(folder: Arc<tempfile::TempDir>, listener: TcpListener) -> Self {
         let mut shell = Command::new("sh");
         shell.args(["-c", "exec \"$0\" 3<&0 </dev/null", env!("CARGO_BIN_EXE_myrtleyard")]);
-        surround(&mut shell, folder.path());
+        set_environment(&mut shell, folder.path());
         shell.env("NODE_LISTEN_FD", "3").stdin(OwnedFd::from(listener.try_clone().unwrap()));
-        let mut node = Self::run(folder, shell);
+        let mut node = Self::spawn(folder, shell);
         node.listener = Some(listener);
         node
     }
 
     /// Starts a new process of the same sender beside this one; returns once it accepts clients.
-    pub fn succeeded(&self) -> Self {
+    pub fn start_successor(&self) -> Self {
         let listener = self.listener.as_ref().unwrap().try_clone().unwrap();
         Self::inherit(self.folder.clone(), listener)
     }
@@ -389,7 +389,7 @@
         Arc::new(folder)
     }
 
-    fn run(folder: Arc<tempfile::TempDir>, mut command: Command) -> Self {
+    fn spawn(folder: Arc<tempfile::TempDir>, mut command: Command) -> Self {
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let mut line = String::new();
@@ -400,36 +400,36 @@
         }
         let address = line.split("ready on ").nth(1).and_then(|rest| rest.split(' ').next());
         let address = address.unwrap_or_else(|| panic!("not ready: {line}")).parse().unwrap();
-        let kept = Arc::<Mutex<String>>::default();
-        let keep = kept.clone();
+        let log_text = Arc::<Mutex<String>>::default();
+        let written = log_text.clone();
         thread::spawn(move || {
             for line in log.split(b'\n').map_while(Result::ok) {
-                *keep.lock().unwrap() += &(String::from_utf8_lossy(&line) + "\n");
+                *written.lock().unwrap() += &(String::from_utf8_lossy(&line) + "\n");
             }
         });
         let mgmt = line.split("operators call at ").nth(1).map(|at| at.trim().parse().unwrap());
-        Self { child, address, mgmt, listener: None, folder, log: kept }
+        Self { child, address, mgmt, listener: None, folder, log: log_text }
     }
 
     /// SIGKILL, then a new process on the same folder.
     pub fn kill_and_restart(mut self) -> Self {
         self.kill();
-        Self::run(self.folder.clone(), command(self.folder.path()))
+        Self::spawn(self.folder.clone(), command(self.folder.path()))
     }
 
     /// SIGKILL, then a new process; `change` alters the state folder in between.
     pub fn kill_and_restart_after(mut self, change: impl FnOnce(&std::path::Path)) -> Self {
         self.kill();
-        change(&self.state());
-        Self::run(self.folder.clone(), command(self.folder.path()))
+        change(&self.state_folder());
+        Self::spawn(self.folder.clone(), command(self.folder.path()))
     }
 
     /// The state folder.
-    pub fn state(&self) -> std::path::PathBuf {
+    pub fn state_folder(&self) -> std::path::PathBuf {
         self.folder.path().join("state")
     }
 
-    /// What it has written to its log since it was ready.
+    /// Its log since it was ready.
     pub fn log(&self) -> String {
         self.log.lock().unwrap().clone()
     }
@@ -441,7 +441,7 @@
 
     /// The names of the files in the state folder.
     pub fn files(&self) -> Vec<String> {
-        let entries = std::fs::read_dir(self.state()).unwrap();
+        let entries = std::fs::read_dir(self.state_folder()).unwrap();
         let mut names: Vec<_> = entries.map(|e| e.unwrap().file_name().into_string().unwrap()).collect();
         names.sort();
         names
@@ -459,23 +459,23 @@
 
     /// An operator's call.
     pub fn call(&self, method: &str, path: &str) -> Http {
-        self.operator(&format!("{method} {path} HTTP/1.1\r\nHost: mgmt\r\n\r\n"))
+        self.raw_call(&format!("{method} {path} HTTP/1.1\r\nHost: mgmt\r\n\r\n"))
     }
 
     /// An operator's call with a body.
     pub fn post(&self, path: &str, body: &str) -> Http {
         let length = body.len();
-        self.operator(&format!(
+        self.raw_call(&format!(
             "POST {path} HTTP/1.1\r\nHost: mgmt\r\nContent-Length: {length}\r\n\r\n{body}"
         ))
     }
 
     /// Sends the text of an operator's call.
-    pub fn operator(&self, text: &str) -> Http {
+    pub fn raw_call(&self, text: &str) -> Http {
         let mut client = Client::to(self.mgmt());
-        let told = client.ask(text.as_bytes());
-        assert!(client.ended(), "one call per connection");
-        told
+        let answer = client.request(text.as_bytes());
+        assert!(client.is_closed(), "one call per connection");
+        answer
     }
 
     pub fn terminate(&self) {
@@ -490,12 +490,12 @@
 
     /// Rewrites the configuration and has the sender reload it.
     pub fn reload(&self, change: impl FnOnce(&mut Value)) {
-        self.rewrite(change);
+        self.rewrite_config(change);
         self.signal("HUP");
     }
 
     /// Rewrites the configuration, without a reload.
-    pub fn rewrite(&self, change: impl FnOnce(&mut Value)) {
+    pub fn rewrite_config(&self, change: impl FnOnce(&mut Value)) {
         let path = self.folder.path().join("config.json");
         let mut config = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
         change(&mut config);
@@ -504,10 +504,10 @@
 
     /// Reloads a changed configuration and waits until it is in force. The configuration must have `mgmt`.
     pub fn reload_and_wait(&self, change: impl FnOnce(&mut Value)) {
-        let taken = || self.call("GET", "/control/counters").json()["conf_loaded"].as_u64().unwrap();
-        let before = taken();
+        let loaded = || self.call("GET", "/control/counters").json()["conf_loaded"].as_u64().unwrap();
+        let before = loaded();
         self.reload(change);
-        wait_until(|| taken() > before);
+        wait_until(|| loaded() > before);
     }
 
     pub fn exit_code(&mut self) -> Option<i32> {
@@ -519,13 +519,13 @@
     }
 
     /// Sends one request on its own connection.
-    pub fn ask(&self, text: &[u8]) -> Http {
-        Client::new(self).ask(text)
+    pub fn request(&self, text: &[u8]) -> Http {
+        Client::new(self).request(text)
     }
 
     /// Submits a message.
-    pub fn hand_in(&self, id: &str, class: &str, dest: u16, within_ms: u32) -> Http {
-        self.ask(&handing_in(id, class, dest, within_ms))
+    pub fn submit(&self, id: &str, class: &str, dest: u16, within_ms: u32) -> Http {
+        self.request(&submission(id, class, dest, within_ms))
     }
 }
 
@@ -546,35 +546,35 @@
 
     fn to(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Self(BufReader::new(stream))
     }
 
-    pub fn ask(&mut self, text: &[u8]) -> Http {
+    pub fn request(&mut self, text: &[u8]) -> Http {
         self.0.get_mut().write_all(text).unwrap();
         Http::read(&mut self.0).expect("an answer arrives")
     }
 
     /// Sends the head of a request and returns the body, to be sent after the sender's `100 Continue`.
-    pub fn begin(&mut self, text: &[u8]) -> Vec<u8> {
+    pub fn send_head(&mut self, text: &[u8]) -> Vec<u8> {
         let split = text.windows(4).position(|end| end == b"\r\n\r\n").unwrap() + 2;
         let head = [&text[..split], b"Expect: 100-continue\r\n\r\n"].concat();
-        assert_eq!(self.ask(&head).status(), 100);
+        assert_eq!(self.request(&head).status(), 100);
         text[split + 2..].to_vec()
     }
 
     /// Sends the text and closes the connection without waiting for an answer.
-    pub fn leave(mut self, text: &[u8]) {
+    pub fn send_and_close(mut self, text: &[u8]) {
         self.0.get_mut().write_all(text).unwrap();
     }
 
     /// Whether the server has closed the connection; waits until it does or the timeout is over.
-    pub fn ended(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         matches!(self.0.read(&mut [0]), Ok(0))
     }
 }
 
-pub fn handing_in(id: &str, class: &str, dest: u16, within_ms: u32) -> Vec<u8> {
+pub fn submission(id: &str, class: &str, dest: u16, within_ms: u32) -> Vec<u8> {
     let key = if class == "note" { format!("Idempotency-Key: key-{id}\r\n") } else { String::new() };
     let body = format!("body\0of {id}");
     format!(
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -91,7 +91,7 @@
 fn a_restored_untried_message_is_not_deferred_early_because_a_breaker_is_open() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     s.serve(20);
-    // Opens the destination's breaker.
+    // Calls begun while the destination still looked healthy fail and open its breaker.
     s.fail_calls(5, Outcome::Error);
     let (id, event) = resumed(&mut s, ONCE, SECOND * 3 / 2, &[]);
     s.handle(vec![event]);
