--- a/tests/node/status.rs
+++ b/tests/node/status.rs
@@ -1,4 +1,5 @@
-//! The status index on running senders: asked at one what another has, with its owner there, killed, and back.
+//! The status index at running senders: queries at one sender for messages of another, which runs, is killed
+//! or is back.
 
 use std::net::UdpSocket;
 
@@ -6,21 +7,21 @@
 
 use super::world::*;
 
-/// Addresses for notes on hosts apart, all of them free a moment ago.
-fn addresses(count: u8) -> Vec<String> {
+/// Addresses for datagrams on different hosts, each free when it was chosen.
+fn free_addresses(count: u8) -> Vec<String> {
     let sockets: Vec<UdpSocket> =
         (0..count).map(|n| UdpSocket::bind(format!("127.0.0.{}:0", n + 2)).unwrap()).collect();
     sockets.iter().map(|socket| socket.local_addr().unwrap().to_string()).collect()
 }
 
-/// Three senders with the index on.
+/// Starts three senders with the index enabled.
 fn tier(platform: &Platform, endpoints: &[Value]) -> Vec<Node> {
     tier_with(platform, endpoints, |_| {})
 }
 
-/// The same with a configuration that `change` alters.
+/// Starts three senders with the index enabled; `change` alters their configuration.
 pub fn tier_with(platform: &Platform, endpoints: &[Value], change: impl Fn(&mut Value)) -> Vec<Node> {
-    let peers = addresses(3);
+    let peers = free_addresses(3);
     let start = |own: &String| {
         Node::start(platform, endpoints, |config| {
             config["mgmt"] = json!("127.0.0.1:0");
@@ -37,19 +38,19 @@
     peers.iter().map(start).collect()
 }
 
-fn hand_in(node: &Node, id: &str, tenant: &str, dest: u16) {
-    let text = String::from_utf8(handing_in(id, "order", dest, 20_000)).unwrap();
+fn submit(node: &Node, id: &str, tenant: &str, dest: u16) {
+    let text = String::from_utf8(submission(id, "order", dest, 20_000)).unwrap();
     let text = text.replace("Req-Kind", &format!("Req-Owner: {tenant}\r\nReq-Kind"));
-    assert_eq!(node.ask(text.as_bytes()).status(), 202);
+    assert_eq!(node.request(text.as_bytes()).status(), 202);
 }
 
 fn message(node: &Node, id: &str, tenant: &str) -> Value {
-    let told = node.call("GET", &format!("/control/status/message/{id}?tenant={tenant}"));
-    assert_eq!(told.status(), 200);
-    told.json()
+    let answer = node.call("GET", &format!("/control/status/message/{id}?tenant={tenant}"));
+    assert_eq!(answer.status(), 200);
+    answer.json()
 }
 
-/// States as bits, once the answer is whole and has the message.
+/// The message's states as bits, if the answer has the message.
 fn states(node: &Node, id: &str) -> Option<u64> {
     message(node, id, "water")["rows"][0]["states"].as_u64()
 }
@@ -59,10 +60,10 @@
 const UNKNOWN: u64 = 16;
 
 #[test]
-fn any_sender_tells_what_became_of_a_message_and_only_to_its_tenant() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+fn any_sender_reports_a_messages_status_to_its_tenant_only() {
+    let (platform, endpoint) = (Platform::new(), TestServer::new());
     let nodes = tier(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
-    hand_in(&nodes[0], "one", "water", 7);
+    submit(&nodes[0], "one", "water", 7);
     wait_until(|| states(&nodes[1], "one") == Some(TAKEN_AND_CALLED));
     endpoint.next().reply(status(200));
     for node in &nodes {
@@ -77,23 +78,28 @@
     let listed = nodes[1].post("/control/status/query", r#"{"tenant": "water", "states": ["delivered"]}"#);
     assert_eq!(listed.json()["rows"][0]["id"], "one");
     for wrong in [r#"{"tenant": "water", "limit": 0}"#, r#"{"ids": ["one"]}"#] {
-        let no = nodes[1].post("/control/status/query", wrong);
-        assert_eq!(no.status(), 400);
-        assert!(["code", "error", "remedy"].iter().all(|key| no.json()[key].is_string()), "{:?}", no.json());
+        let error = nodes[1].post("/control/status/query", wrong);
+        assert_eq!(error.status(), 400);
+        assert!(
+            ["code", "error", "remedy"].iter().all(|key| error.json()[key].is_string()),
+            "{:?}",
+            error.json()
+        );
     }
 }
 
-/// Guards against a status that goes with its sender: replicas have it, and the folder gives it back.
+/// Guards against a status that is lost with its sender: replicas answer for it, and it is restored from the
+/// state folder.
 #[test]
-fn a_killed_senders_messages_are_told_by_replicas_and_by_itself_again() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+fn a_killed_senders_messages_are_reported_by_replicas_and_after_its_restart() {
+    let (platform, endpoint) = (Platform::new(), TestServer::new());
     let mut nodes = tier(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
     wait_until(|| {
         nodes[0].call("GET", "/control/status").json()["index"]["replicas"].as_array().unwrap().len() == 2
     });
-    hand_in(&nodes[0], "done", "water", 7);
+    submit(&nodes[0], "done", "water", 7);
     endpoint.next().reply(status(200));
-    hand_in(&nodes[0], "held", "water", 9);
+    submit(&nodes[0], "held", "water", 9);
     let log = nodes[0].call("GET", "/control/status").json()["index"]["log"].clone();
     let last = || nodes[0].call("GET", "/control/status").json()["index"]["last"].clone();
     let there = |node: &Node, last: &Value| {
@@ -110,7 +116,7 @@
     assert!(begun.elapsed().as_millis() < 1_000);
     assert_eq!(answer["rows"][0]["states"], TAKEN_AND_CALLED + DELIVERED);
     assert_eq!(states(&nodes[2], "held"), Some(1));
-    let own = answer["logs"].as_array().unwrap().iter().find(|told| told["log"] == log).unwrap().clone();
+    let own = answer["logs"].as_array().unwrap().iter().find(|read| read["log"] == log).unwrap().clone();
     assert!(own["server"] != 0 && own["reached"]["upto"] == last, "{own}");
     let back = nodes.remove(0).kill_and_restart();
     let report = back.call("GET", "/control/status").json();
@@ -118,46 +124,50 @@
     assert!(report["index"]["last"].as_u64() >= last.as_u64());
     assert_eq!(states(&back, "done"), Some(TAKEN_AND_CALLED + DELIVERED));
     assert_eq!(states(&nodes[0], "held"), Some(1));
-    // Without its folder it is another life, and what the one before told is at its replicas.
+    // Without its folder the sender begins a new log, and the old one is still at its replicas.
     let back = back.kill_and_restart_after(|state| std::fs::remove_dir_all(state).unwrap());
     assert_ne!(back.call("GET", "/control/status").json()["index"]["log"], log);
     wait_until(|| states(&back, "done") == Some(TAKEN_AND_CALLED + DELIVERED));
     let answer = message(&back, "done", "water");
-    assert!(answer["known_since"].as_u64() > own["known_since"].as_u64(), "the lost folder is told");
+    assert!(
+        answer["known_since"].as_u64() > own["known_since"].as_u64(),
+        "the answer shows that the folder was lost"
+    );
 }
 
-/// Guards against an end that passes for none: what the journal had closed and the index had not written is unknown.
+/// Guards against a lost outcome that is shown as none: a message that the journal had closed, but whose end
+/// the index had not written, is unknown.
 #[test]
-fn an_end_that_was_not_kept_is_told_as_unknown() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+fn an_outcome_that_was_not_stored_is_reported_as_unknown() {
+    let (platform, endpoint) = (Platform::new(), TestServer::new());
     let mut nodes = tier(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
-    hand_in(&nodes[0], "one", "water", 7);
+    submit(&nodes[0], "one", "water", 7);
     let call = endpoint.next();
     wait_until(|| states(&nodes[0], "one") == Some(TAKEN_AND_CALLED));
-    // The index as it was before the end, the journal as after it.
-    let kept: Vec<(String, Vec<u8>)> = nodes[0]
+    // Restores the index from before the outcome, with the journal from after it.
+    let saved: Vec<(String, Vec<u8>)> = nodes[0]
         .files()
         .into_iter()
         .filter(|name| name.starts_with("status."))
-        .map(|name| (name.clone(), std::fs::read(nodes[0].state().join(name)).unwrap()))
+        .map(|name| (name.clone(), std::fs::read(nodes[0].state_folder().join(name)).unwrap()))
         .collect();
-    assert!(!kept.is_empty());
+    assert!(!saved.is_empty());
     call.reply(status(200));
     wait_until(|| states(&nodes[0], "one") == Some(TAKEN_AND_CALLED + DELIVERED));
     let back = nodes.remove(0).kill_and_restart_after(|state| {
-        for (name, bytes) in &kept {
+        for (name, bytes) in &saved {
             std::fs::write(state.join(name), bytes).unwrap();
         }
     });
     wait_until(|| states(&back, "one").is_some_and(|states| states & UNKNOWN > 0));
 }
 
-/// Guards the promise that without its section the index costs nothing.
+/// Guards the promise that without its section the index is off and stores nothing.
 #[test]
-fn without_its_section_there_is_no_index() {
+fn without_its_section_the_index_is_off() {
     let platform = Platform::new();
     let node = Node::start(&platform, &[], |config| config["mgmt"] = json!("127.0.0.1:0"));
-    let no = node.call("GET", "/control/status/message/a?tenant=t");
-    assert_eq!((no.status(), &no.json()["code"]), (404, &json!("status-off")));
+    let error = node.call("GET", "/control/status/message/a?tenant=t");
+    assert_eq!((error.status(), &error.json()["code"]), (404, &json!("status-off")));
     assert!(!node.files().iter().any(|name| name.starts_with("status")));
 }
--- a/tests/node/world.rs
+++ b/tests/node/world.rs
@@ -1,5 +1,5 @@
-//! What a real sender meets, over loopback sockets: a platform, endpoints and clients that do as the test
-//! says. All waiting is on events; a patience bounds it so that a failure ends the test.
+//! The environment of a sender process, over loopback sockets: a platform, endpoints and clients that the
+//! test controls. Tests wait for events, bounded by a timeout so that a failure ends the test.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -13,21 +13,21 @@
 
 use serde_json::{Value, json};
 
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Looks again and again until it is so.
+/// Polls until the condition holds.
 pub fn wait_until(mut so: impl FnMut() -> bool) {
     let begun = std::time::Instant::now();
     while !so() {
-        assert!(begun.elapsed() < PATIENCE, "it comes to be so");
+        assert!(begun.elapsed() < TIMEOUT, "the condition holds within the timeout");
         thread::yield_now();
     }
 }
 
-/// A request or an answer: its first line, its headers in lower case, its body.
+/// A request or an answer: its first line, its headers with names in lower case, and its body.
 #[derive(Debug, Clone)]
 pub struct Http {
-    pub first: String,
+    pub first_line: String,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
 }
@@ -40,7 +40,7 @@
             let size = stream.read_line(&mut line).ok()?;
             (size > 0).then(|| line.trim_end().to_owned())
         };
-        let first = next(stream)?;
+        let first_line = next(stream)?;
         let mut headers = HashMap::new();
         loop {
             let line = next(stream)?;
@@ -50,11 +50,11 @@
         let length = headers.get("content-length").map_or(0, |n| n.parse().unwrap());
         let mut body = vec![0; length];
         stream.read_exact(&mut body).ok()?;
-        Some(Self { first, headers, body })
+        Some(Self { first_line, headers, body })
     }
 
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).unwrap().parse().unwrap()
+        self.first_line.split(' ').nth(1).unwrap().parse().unwrap()
     }
 
     pub fn json(&self) -> Value {
@@ -74,66 +74,67 @@
     Reply::Answer(code, vec![], String::new())
 }
 
-/// A request that waits for what the test makes of it.
-pub struct Asked {
+/// A request that waits for the test's reply.
+pub struct PendingRequest {
     pub http: Http,
-    /// Tells connections apart.
+    /// The number of its connection.
     pub connection: usize,
     reply: Sender<Reply>,
     pub closed: Receiver<()>,
 }
 
-impl Asked {
+impl PendingRequest {
     pub fn reply(self, reply: Reply) {
         let _ = self.reply.send(reply);
     }
 }
 
-/// A server whose requests go to the test one by one.
-pub struct Served {
+/// A server that passes its requests to the test one by one.
+pub struct TestServer {
     pub address: SocketAddr,
-    asked: Receiver<Asked>,
+    requests: Receiver<PendingRequest>,
 }
 
-impl Served {
+impl TestServer {
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (ask, asked) = channel();
+        let (sender, requests) = channel();
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().enumerate() {
-                let (ask, stream) = (ask.clone(), stream.unwrap());
-                thread::spawn(move || converse(stream, connection, &ask));
+                let (sender, stream) = (sender.clone(), stream.unwrap());
+                thread::spawn(move || serve_connection(stream, connection, &sender));
             }
         });
-        Self { address, asked }
+        Self { address, requests }
     }
 
     /// The next request.
-    pub fn next(&self) -> Asked {
-        self.asked.recv_timeout(PATIENCE).expect("a request comes")
+    pub fn next(&self) -> PendingRequest {
+        self.requests.recv_timeout(TIMEOUT).expect("a request arrives")
     }
 
-    /// The next request, if one comes within that time.
-    pub fn try_next(&self, within: Duration) -> Option<Asked> {
-        self.asked.recv_timeout(within).ok()
+    /// The next request, if one arrives within that time.
+    pub fn try_next(&self, within: Duration) -> Option<PendingRequest> {
+        self.requests.recv_timeout(within).ok()
     }
 
-    /// Whether a request has come that the test has not seen.
-    pub fn unseen(&self) -> bool {
-        self.asked.try_recv().is_ok()
+    /// Whether a request has arrived that the test has not taken.
+    pub fn has_unread_request(&self) -> bool {
+        self.requests.try_recv().is_ok()
     }
 }
 
-/// A server whose backlog is full: a connection comes up only once it is let in, when the kernel asks once more.
-pub struct Crowded {
+/// A server whose backlog is full: a connection is established only after
+/// [`FullBacklogServer::accept_pending`], when the kernel retries it.
+pub struct FullBacklogServer {
     pub address: SocketAddr,
     listener: TcpListener,
-    /// What fills the backlog.
+    /// Fills the backlog.
     _first: TcpStream,
 }
 
-impl Crowded {
+impl FullBacklogServer {
     pub fn new() -> Self {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build().unwrap();
         let listener = runtime.block_on(async {
@@ -147,27 +148,28 @@
         Self { address, listener, _first: first }
     }
 
-    /// The connection that waits.
-    pub fn let_in(&self) -> TcpStream {
+    /// Accepts the connection that waits.
+    pub fn accept_pending(&self) -> TcpStream {
         drop(self.listener.accept().unwrap());
         self.listener.accept().unwrap().0
     }
 }
 
-fn converse(stream: TcpStream, connection: usize, ask: &Sender<Asked>) {
+fn serve_connection(stream: TcpStream, connection: usize, requests: &Sender<PendingRequest>) {
     let mut out = stream.try_clone().unwrap();
     let mut input = BufReader::new(stream);
     while let Some(http) = Http::read(&mut input) {
         let (reply, replied) = channel();
         let (close, closed) = channel();
-        if ask.send(Asked { http, connection, reply, closed }).is_err() {
+        if requests.send(PendingRequest { http, connection, reply, closed }).is_err() {
             return;
         }
-        // Without an answer the other side sends nothing more: what can be read is its end.
+        // The other side sends nothing more before its answer: if anything can be read, it is the end of the
+        // stream.
         let watched = out.try_clone().unwrap();
-        let told = loop {
+        let reply = loop {
             match replied.recv_timeout(Duration::from_millis(5)) {
-                Ok(told) => break told,
+                Ok(reply) => break reply,
                 Err(std::sync::mpsc::RecvTimeoutError::Disconnected) => return,
                 Err(_) => {
                     watched.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
@@ -180,7 +182,7 @@
             }
         };
         watched.set_read_timeout(None).unwrap();
-        match told {
+        match reply {
             Reply::Answer(code, headers, body) => {
                 let mut text = format!("HTTP/1.1 {code} X\r\ncontent-length: {}\r\n", body.len());
                 for (name, value) in headers {
@@ -199,49 +201,49 @@
     }
 }
 
-/// Discovery and the place for notices.
+/// Discovery, and the receiver of notices.
 pub struct Platform {
     pub address: SocketAddr,
     list: Arc<(Mutex<Value>, Condvar)>,
-    pub notices: Receiver<Asked>,
-    /// Paths by which the list was asked for.
-    pub asks: Receiver<String>,
+    pub notices: Receiver<PendingRequest>,
+    /// Paths of the requests for the list.
+    pub list_requests: Receiver<String>,
 }
 
 impl Platform {
     pub fn new() -> Self {
-        let served = Served::new();
+        let server = TestServer::new();
         let list = Arc::new((Mutex::new(json!({"index": 1})), Condvar::new()));
         let (notice, notices) = channel();
-        let (ask, asks) = channel();
-        let told = list.clone();
-        let address = served.address;
+        let (list_request, list_requests) = channel();
+        let published = list.clone();
+        let address = server.address;
         thread::spawn(move || {
-            while let Ok(asked) = served.asked.recv() {
-                if asked.http.first.starts_with("POST /reports ") {
-                    let _ = notice.send(asked);
+            while let Ok(request) = server.requests.recv() {
+                if request.http.first_line.starts_with("POST /reports ") {
+                    let _ = notice.send(request);
                     continue;
                 }
-                let path = asked.http.first.split(' ').nth(1).unwrap().to_owned();
-                let _ = ask.send(path.clone());
+                let path = request.http.first_line.split(' ').nth(1).unwrap().to_owned();
+                let _ = list_request.send(path.clone());
                 let from = path.split("from=").nth(1).and_then(|f| f.split('&').next());
                 let from: u64 = from.map_or(0, |from| from.parse().unwrap());
-                let told = told.clone();
+                let published = published.clone();
                 thread::spawn(move || {
-                    let (list, changed) = &*told;
+                    let (list, changed) = &*published;
                     let mut list = list.lock().unwrap();
                     while list["index"].as_u64().unwrap() <= from {
                         list = changed.wait(list).unwrap();
                     }
-                    asked.reply(Reply::Answer(200, vec![], list.to_string()));
+                    request.reply(Reply::Answer(200, vec![], list.to_string()));
                 });
             }
         });
-        Self { address, list, notices, asks }
+        Self { address, list, notices, list_requests }
     }
 
-    /// The whole list is this from now on.
-    pub fn tell(&self, endpoints: &[Value]) {
+    /// Replaces the whole list.
+    pub fn publish(&self, endpoints: &[Value]) {
         let (list, changed) = &*self.list;
         let mut list = list.lock().unwrap();
         let index = list["index"].as_u64().unwrap() + 1;
@@ -249,8 +251,8 @@
         changed.notify_all();
     }
 
-    /// These entries change, and nothing else; whoever asks for the whole list gets these alone.
-    pub fn change(&self, endpoints: &[Value]) {
+    /// Publishes changed entries; a request for the whole list gets only these, too.
+    pub fn publish_changes(&self, endpoints: &[Value]) {
         let (list, changed) = &*self.list;
         let mut list = list.lock().unwrap();
         let index = list["index"].as_u64().unwrap() + 1;
@@ -258,11 +260,11 @@
         changed.notify_all();
     }
 
-    /// The next notice, which is answered so.
+    /// The next notice, which is answered with this status.
     pub fn notice(&self, code: u16) -> Vec<Value> {
-        let asked = self.notices.recv_timeout(PATIENCE).expect("a notice comes");
-        let text = String::from_utf8(asked.http.body.clone()).unwrap();
-        asked.reply(status(code));
+        let request = self.notices.recv_timeout(TIMEOUT).expect("a notice arrives");
+        let text = String::from_utf8(request.http.body.clone()).unwrap();
+        request.reply(status(code));
         text.lines().map(|line| serde_json::from_str(line).unwrap()).collect()
     }
 }
@@ -272,26 +274,26 @@
            "status": "active", "weight": 50.0, "since_ms": 0})
 }
 
-/// One sender as a process, with the folder that outlasts it.
+/// A sender process, with its state folder, which outlives it.
 pub struct Node {
     child: Child,
     pub address: SocketAddr,
-    /// Where operators call, if the configuration says.
+    /// The management address, if the configuration has one.
     mgmt: Option<SocketAddr>,
-    /// The socket that every process of the sender inherits, if there is one.
+    /// The listening socket that all processes of the sender inherit, if there is one.
     listener: Option<TcpListener>,
     folder: Arc<tempfile::TempDir>,
-    /// What it has written to its log since it was ready.
+    /// Its log since it was ready.
     log: Arc<Mutex<String>>,
 }
 
 pub fn command(folder: &std::path::Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_myrtleyard"));
-    surround(&mut command, folder);
+    set_environment(&mut command, folder);
     command
 }
 
-fn surround(command: &mut Command, folder: &std::path::Path) {
+fn set_environment(command: &mut Command, folder: &std::path::Path) {
     command
         .env_remove("NODE_LISTEN")
         .env_remove("NODE_MGMT")
@@ -306,25 +308,26 @@
     pub fn start(platform: &Platform, endpoints: &[Value], change: impl FnOnce(&mut Value)) -> Self {
         let folder = Self::configure(platform, endpoints, change);
         let command = command(folder.path());
-        Self::run(folder, command)
+        Self::spawn(folder, command)
     }
 
-    /// The same with files that can't grow beyond a block: writing the journal fails.
+    /// Starts a sender whose files can't grow beyond one block, so that writes to the journal fail.
     pub fn start_short_of_disk(platform: &Platform, endpoints: &[Value]) -> Self {
         let folder = Self::configure(platform, endpoints, |_| {});
         let mut shell = Command::new("sh");
         let program = env!("CARGO_BIN_EXE_myrtleyard");
         shell.args(["-c", "trap '' XFSZ; ulimit -f 1; exec \"$0\"", program]);
-        surround(&mut shell, folder.path());
-        Self::run(folder, shell)
+        set_environment(&mut shell, folder.path());
+        Self::spawn(folder, shell)
     }
 
-    /// The same with a socket for clients that outlasts its processes, and calls of operators.
+    /// Starts a sender with an inherited client socket, which outlives its processes, and a management
+    /// address.
     pub fn start_inheriting(platform: &Platform, endpoints: &[Value]) -> Self {
         Self::start_inheriting_with(platform, endpoints, |config| config["mgmt"] = json!("127.0.0.1:0"))
     }
 
-    /// The same with a configuration that `change` alters.
+    /// Starts a sender with an inherited client socket; `change` alters its configuration.
     pub fn start_inheriting_with(
         platform: &Platform,
         endpoints: &[Value],
@@ -337,15 +340,15 @@
     fn inherit(folder: Arc<tempfile::TempDir>, listener: TcpListener) -> Self {
         let mut shell = Command::new("sh");
         shell.args(["-c", "exec \"$0\" 3<&0 </dev/null", env!("CARGO_BIN_EXE_myrtleyard")]);
-        surround(&mut shell, folder.path());
+        set_environment(&mut shell, folder.path());
         shell.env("NODE_LISTEN_FD", "3").stdin(OwnedFd::from(listener.try_clone().unwrap()));
-        let mut node = Self::run(folder, shell);
+        let mut node = Self::spawn(folder, shell);
         node.listener = Some(listener);
         node
     }
 
-    /// A new process of the same sender beside this one; comes back once it takes clients.
-    pub fn succeeded(&self) -> Self {
+    /// Starts a new process of the same sender beside this one; returns once it accepts clients.
+    pub fn start_successor(&self) -> Self {
         let listener = self.listener.as_ref().unwrap().try_clone().unwrap();
         Self::inherit(self.folder.clone(), listener)
     }
@@ -386,59 +389,59 @@
         Arc::new(folder)
     }
 
-    fn run(folder: Arc<tempfile::TempDir>, mut command: Command) -> Self {
+    fn spawn(folder: Arc<tempfile::TempDir>, mut command: Command) -> Self {
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let mut line = String::new();
-        // What it says before it is ready may be anything; after its end there is nothing.
+        // Any lines may precede the one that says it is ready; an empty read means that it has ended.
         while !line.contains("ready on ") {
             line.clear();
-            assert!(log.read_line(&mut line).unwrap() > 0, "it ends before it is ready");
+            assert!(log.read_line(&mut line).unwrap() > 0, "the process ended before it was ready");
         }
         let address = line.split("ready on ").nth(1).and_then(|rest| rest.split(' ').next());
         let address = address.unwrap_or_else(|| panic!("not ready: {line}")).parse().unwrap();
-        let kept = Arc::<Mutex<String>>::default();
-        let keep = kept.clone();
+        let log_text = Arc::<Mutex<String>>::default();
+        let written = log_text.clone();
         thread::spawn(move || {
             for line in log.split(b'\n').map_while(Result::ok) {
-                *keep.lock().unwrap() += &(String::from_utf8_lossy(&line) + "\n");
+                *written.lock().unwrap() += &(String::from_utf8_lossy(&line) + "\n");
             }
         });
         let mgmt = line.split("operators call at ").nth(1).map(|at| at.trim().parse().unwrap());
-        Self { child, address, mgmt, listener: None, folder, log: kept }
+        Self { child, address, mgmt, listener: None, folder, log: log_text }
     }
 
     /// SIGKILL, then a new process on the same folder.
     pub fn kill_and_restart(mut self) -> Self {
         self.kill();
-        Self::run(self.folder.clone(), command(self.folder.path()))
+        Self::spawn(self.folder.clone(), command(self.folder.path()))
     }
 
-    /// The same, with something done to the folder that lasts in between.
+    /// SIGKILL, then a new process; `change` alters the state folder in between.
     pub fn kill_and_restart_after(mut self, change: impl FnOnce(&std::path::Path)) -> Self {
         self.kill();
-        change(&self.state());
-        Self::run(self.folder.clone(), command(self.folder.path()))
+        change(&self.state_folder());
+        Self::spawn(self.folder.clone(), command(self.folder.path()))
     }
 
-    /// The folder that lasts.
-    pub fn state(&self) -> std::path::PathBuf {
+    /// The state folder.
+    pub fn state_folder(&self) -> std::path::PathBuf {
         self.folder.path().join("state")
     }
 
-    /// What it has written to its log since it was ready.
+    /// Its log since it was ready.
     pub fn log(&self) -> String {
         self.log.lock().unwrap().clone()
     }
 
-    /// How many file descriptors the process holds.
+    /// The number of file descriptors that the process holds.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// What is in it.
+    /// The names of the files in the state folder.
     pub fn files(&self) -> Vec<String> {
-        let entries = std::fs::read_dir(self.state()).unwrap();
+        let entries = std::fs::read_dir(self.state_folder()).unwrap();
         let mut names: Vec<_> = entries.map(|e| e.unwrap().file_name().into_string().unwrap()).collect();
         names.sort();
         names
@@ -449,62 +452,62 @@
         serde_json::from_slice(&std::fs::read(self.folder.path().join("config.json")).unwrap()).unwrap()
     }
 
-    /// Where operators call.
+    /// The management address.
     pub fn mgmt(&self) -> SocketAddr {
         self.mgmt.expect("the configuration has mgmt")
     }
 
     /// An operator's call.
     pub fn call(&self, method: &str, path: &str) -> Http {
-        self.operator(&format!("{method} {path} HTTP/1.1\r\nHost: mgmt\r\n\r\n"))
+        self.raw_call(&format!("{method} {path} HTTP/1.1\r\nHost: mgmt\r\n\r\n"))
     }
 
-    /// An operator's call that says something.
+    /// An operator's call with a body.
     pub fn post(&self, path: &str, body: &str) -> Http {
         let length = body.len();
-        self.operator(&format!(
+        self.raw_call(&format!(
             "POST {path} HTTP/1.1\r\nHost: mgmt\r\nContent-Length: {length}\r\n\r\n{body}"
         ))
     }
 
-    /// An operator's call, as it is written.
-    pub fn operator(&self, text: &str) -> Http {
+    /// Sends the text of an operator's call.
+    pub fn raw_call(&self, text: &str) -> Http {
         let mut client = Client::to(self.mgmt());
-        let told = client.ask(text.as_bytes());
-        assert!(client.ended(), "one call a connection");
-        told
+        let answer = client.request(text.as_bytes());
+        assert!(client.is_closed(), "one call per connection");
+        answer
     }
 
     pub fn terminate(&self) {
         self.signal("TERM");
     }
 
-    /// Sends it a signal, by its name.
+    /// Sends a signal, by its name.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
         assert!(sent.unwrap().success());
     }
 
-    /// Writes the configuration anew and has the sender read it.
+    /// Rewrites the configuration and has the sender reload it.
     pub fn reload(&self, change: impl FnOnce(&mut Value)) {
-        self.rewrite(change);
+        self.rewrite_config(change);
         self.signal("HUP");
     }
 
-    /// Writes the configuration anew, for whoever reads it next.
-    pub fn rewrite(&self, change: impl FnOnce(&mut Value)) {
+    /// Rewrites the configuration, without a reload.
+    pub fn rewrite_config(&self, change: impl FnOnce(&mut Value)) {
         let path = self.folder.path().join("config.json");
         let mut config = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
         change(&mut config);
         std::fs::write(path, config.to_string()).unwrap();
     }
 
-    /// The same, and waits until it is in force. The configuration has `mgmt`.
+    /// Reloads a changed configuration and waits until it is in force. The configuration must have `mgmt`.
     pub fn reload_and_wait(&self, change: impl FnOnce(&mut Value)) {
-        let taken = || self.call("GET", "/control/counters").json()["conf_loaded"].as_u64().unwrap();
-        let before = taken();
+        let loaded = || self.call("GET", "/control/counters").json()["conf_loaded"].as_u64().unwrap();
+        let before = loaded();
         self.reload(change);
-        wait_until(|| taken() > before);
+        wait_until(|| loaded() > before);
     }
 
     pub fn exit_code(&mut self) -> Option<i32> {
@@ -515,14 +518,14 @@
         std::fs::metadata(self.folder.path().join("state/journal")).unwrap().len()
     }
 
-    /// One request on a connection of its own.
-    pub fn ask(&self, text: &[u8]) -> Http {
-        Client::new(self).ask(text)
+    /// Sends one request on its own connection.
+    pub fn request(&self, text: &[u8]) -> Http {
+        Client::new(self).request(text)
     }
 
-    /// Hands a message in.
-    pub fn hand_in(&self, id: &str, class: &str, dest: u16, within_ms: u32) -> Http {
-        self.ask(&handing_in(id, class, dest, within_ms))
+    /// Submits a message.
+    pub fn submit(&self, id: &str, class: &str, dest: u16, within_ms: u32) -> Http {
+        self.request(&submission(id, class, dest, within_ms))
     }
 }
 
@@ -543,35 +546,35 @@
 
     fn to(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Self(BufReader::new(stream))
     }
 
-    pub fn ask(&mut self, text: &[u8]) -> Http {
+    pub fn request(&mut self, text: &[u8]) -> Http {
         self.0.get_mut().write_all(text).unwrap();
-        Http::read(&mut self.0).expect("an answer")
+        Http::read(&mut self.0).expect("an answer arrives")
     }
 
-    /// Hands the same in, but keeps the body back once the sender has read the head and asks for the body.
-    pub fn begin(&mut self, text: &[u8]) -> Vec<u8> {
+    /// Sends the head of a request and returns the body, to be sent after the sender's `100 Continue`.
+    pub fn send_head(&mut self, text: &[u8]) -> Vec<u8> {
         let split = text.windows(4).position(|end| end == b"\r\n\r\n").unwrap() + 2;
         let head = [&text[..split], b"Expect: 100-continue\r\n\r\n"].concat();
-        assert_eq!(self.ask(&head).status(), 100);
+        assert_eq!(self.request(&head).status(), 100);
         text[split + 2..].to_vec()
     }
 
-    /// Writes this and closes without waiting for an answer.
-    pub fn leave(mut self, text: &[u8]) {
+    /// Sends the text and closes the connection without waiting for an answer.
+    pub fn send_and_close(mut self, text: &[u8]) {
         self.0.get_mut().write_all(text).unwrap();
     }
 
-    /// Whether the other side has ended the connection, which it does at last.
-    pub fn ended(&mut self) -> bool {
+    /// Whether the server has closed the connection; waits until it does or the timeout is over.
+    pub fn is_closed(&mut self) -> bool {
         matches!(self.0.read(&mut [0]), Ok(0))
     }
 }
 
-pub fn handing_in(id: &str, class: &str, dest: u16, within_ms: u32) -> Vec<u8> {
+pub fn submission(id: &str, class: &str, dest: u16, within_ms: u32) -> Vec<u8> {
     let key = if class == "note" { format!("Idempotency-Key: key-{id}\r\n") } else { String::new() };
     let body = format!("body\0of {id}");
     format!(
