--- a/src/bin/myrtleyard-adapter.rs
+++ b/src/bin/myrtleyard-adapter.rs
@@ -26,8 +26,8 @@
     let mut instances: BTreeMap<u16, Policy> = BTreeMap::new();
     while let Some(frame) = read_frame(&mut input)? {
         let mut events: BTreeMap<u16, Vec<Event>> = BTreeMap::new();
-        for (instance, said) in decoder.decode(&frame)? {
-            match said {
+        for (instance, content) in decoder.decode(&frame)? {
+            match content {
                 Input::Boot { seed, settings } => {
                     instances.insert(instance, Policy::new(*settings, seed, frame.now));
                     events.insert(instance, Vec::new());
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -229,7 +229,7 @@
 
     /// Position in these settings of each tenant of earlier ones, by its name; `usize::MAX` if it is not in
     /// them or has no name.
-    pub fn tenants_after(&self, before: &Self) -> Vec<usize> {
+    pub fn tenant_positions(&self, before: &Self) -> Vec<usize> {
         let same = |old: &Tenant, new: &Tenant| !old.name.is_empty() && new.name == old.name;
         let place = |old: &Tenant| self.tenants.iter().position(|new| same(old, new));
         before.tenants.iter().map(|old| place(old).unwrap_or(usize::MAX)).collect()
--- a/src/note/tests.rs
+++ b/src/note/tests.rs
@@ -6,20 +6,20 @@
 
 #[test]
 fn numbers_of_two_bytes_are_written_as_ever() {
-    assert_eq!(note(Topic::Turn, 0x0201, 0.0).encode(), [0x11, 1, 2]);
-    assert_eq!(note(Topic::Full, 0xffff, 0.0).encode(), [0x12, 0xff, 0xff]);
-    assert_eq!(note(Topic::Limit, 7, 2.5).encode(), [0x13, 7, 0, 20, 0]);
+    assert_eq!(note(Topic::PlannedCall, 0x0201, 0.0).encode(), [0x11, 1, 2]);
+    assert_eq!(note(Topic::LimitReached, 0xffff, 0.0).encode(), [0x12, 0xff, 0xff]);
+    assert_eq!(note(Topic::LimitChanged, 7, 2.5).encode(), [0x13, 7, 0, 20, 0]);
 }
 
 #[test]
 fn what_is_written_is_read() {
     for destination in [0, 7, 0xffff, 0x1_0000, 310_000, u32::MAX] {
-        for told in [
-            note(Topic::Turn, destination, 0.0),
-            note(Topic::Full, destination, 0.0),
-            note(Topic::Limit, destination, 12.125),
+        for note in [
+            note(Topic::PlannedCall, destination, 0.0),
+            note(Topic::LimitReached, destination, 0.0),
+            note(Topic::LimitChanged, destination, 12.125),
         ] {
-            assert_eq!(Note::decode(&told.encode()), Some(told));
+            assert_eq!(Note::decode(&note.encode()), Some(note));
         }
     }
 }
@@ -27,12 +27,12 @@
 #[test]
 fn what_is_cut_or_longer_is_no_note() {
     for destination in [7, 310_000] {
-        for topic in [Topic::Turn, Topic::Full, Topic::Limit] {
-            let whole = note(topic, destination, 1.0).encode();
-            for end in 0..whole.len() {
-                assert_eq!(Note::decode(&whole[..end]), None, "{topic:?} truncated at {end} bytes");
+        for topic in [Topic::PlannedCall, Topic::LimitReached, Topic::LimitChanged] {
+            let bytes = note(topic, destination, 1.0).encode();
+            for end in 0..bytes.len() {
+                assert_eq!(Note::decode(&bytes[..end]), None, "{topic:?} truncated at {end} bytes");
             }
-            assert_eq!(Note::decode(&[&whole[..], &[0]].concat()), None);
+            assert_eq!(Note::decode(&[&bytes[..], &[0]].concat()), None);
         }
     }
     assert_eq!(Note::decode(&[0x14, 1, 2]), None);
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -11,7 +11,7 @@
 const EVENT_SIZE: usize = 48;
 const ACTION_SIZE: usize = 24;
 const ENTRY_SIZE: usize = 24;
-const LISTS: usize = 16;
+const MAX_LISTS: usize = 16;
 const ALL_PEERS: u16 = u16::MAX;
 
 /// Describes an error in the input in one line.
@@ -26,7 +26,7 @@
 
 impl std::error::Error for WireError {}
 
-fn fault<T>(text: impl Into<String>) -> Result<T, WireError> {
+fn error<T>(text: impl Into<String>) -> Result<T, WireError> {
     Err(WireError(text.into().replace(['\n', '\r'], " ")))
 }
 
@@ -69,17 +69,17 @@
         return Ok(None);
     }
     if head.len() < 16 {
-        return fault(format!("truncated frame header: {} of 16 bytes", head.len()));
+        return error(format!("truncated frame header: {} of 16 bytes", head.len()));
     }
     let head = Bytes(&head);
     let (length, count, now) = (head.u32(0) as usize, head.u32(4) as usize, head.u64(8));
     if count.checked_mul(EVENT_SIZE).is_none_or(|n| n > length) {
-        return fault(format!("frame of {length} bytes cannot hold {count} records"));
+        return error(format!("frame of {length} bytes cannot hold {count} records"));
     }
     let mut body = Vec::new();
     input.take(length as u64).read_to_end(&mut body).map_err(read)?;
     if body.len() < length {
-        return fault(format!("truncated frame: {} of {length} bytes", body.len()));
+        return error(format!("truncated frame: {} of {length} bytes", body.len()));
     }
     Ok(Some(Frame { now, count, body }))
 }
@@ -114,29 +114,29 @@
     fn report(&self, at: usize) -> Result<Vec<f32>, WireError> {
         match self.0[at] {
             n @ 0..=4 => Ok((0..n as usize).map(|k| self.f32(at + 1 + 4 * k)).collect()),
-            n => fault(format!("load report with {n} values instead of at most 4")),
+            n => error(format!("load report with {n} values instead of at most 4")),
         }
     }
 }
 
-fn outcome(how: u16, note: u32) -> Result<Outcome, WireError> {
-    Ok(match how {
+fn outcome(code: u16, detail: u32) -> Result<Outcome, WireError> {
+    Ok(match code {
         0 => Outcome::Delivered,
         1 => Outcome::Error,
-        2 => Outcome::Full((note > 0).then_some(Micros::from(note) * 1000)),
+        2 => Outcome::Full((detail > 0).then_some(Micros::from(detail) * 1000)),
         3 => Outcome::TimedOut,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        7 => Outcome::Moot { no_slot: note == 1 },
-        n => return fault(format!("unknown outcome {n}")),
+        7 => Outcome::Moot { no_slot: detail == 1 },
+        n => return error(format!("unknown outcome {n}")),
     })
 }
 
 /// Decodes frames. Stores the numbered lists of endpoints that earlier records have defined.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    lists: [Option<Vec<Entry>>; LISTS],
+    lists: [Option<Vec<Entry>>; MAX_LISTS],
     /// Number of classes of each instance that was ever started.
     classes: BTreeMap<u16, usize>,
 }
@@ -148,7 +148,7 @@
     /// Fails on anything malformed.
     pub fn decode(&mut self, frame: &Frame) -> Result<Vec<(u16, Input)>, WireError> {
         if frame.count.checked_mul(EVENT_SIZE).is_none_or(|n| n > frame.body.len()) {
-            return fault(format!(
+            return error(format!(
                 "frame of {} bytes is shorter than its {} records",
                 frame.body.len(),
                 frame.count
@@ -167,7 +167,7 @@
                         used = used.max(start + bytes.len());
                         Ok(bytes)
                     }
-                    None => fault(format!("{n} items at {start} are outside the tail")),
+                    None => error(format!("{n} items at {start} are outside the tail")),
                 }
             };
             let event = match record[0] {
@@ -179,8 +179,8 @@
                         .map(|e| entry(&Bytes(e)))
                         .collect::<Result<_, _>>()?;
                     match self.lists.get_mut(id) {
-                        Some(place) => *place = Some(list),
-                        None => return fault(format!("list number {id} out of range")),
+                        Some(stored) => *stored = Some(list),
+                        None => return error(format!("list number {id} out of range")),
                     }
                     continue;
                 }
@@ -201,14 +201,14 @@
                     match r.u16(7) {
                         class if usize::from(class) < known => accepted(&r)?,
                         class => {
-                            return fault(format!(
+                            return error(format!(
                                 "message of class {class}; its instance has {known} classes"
                             ));
                         }
                     }
                 }
                 5 => Event::Withdrawn(r.message(3)),
-                6 => self.news(&r)?,
+                6 => self.list_update(&r)?,
                 7 => Event::Ended {
                     message: r.message(3),
                     attempt: r.u16(13),
@@ -224,32 +224,32 @@
                     outcome: outcome(r.u16(13), 0)?,
                     report: r.report(15)?,
                 },
-                code => return fault(format!("unknown event code {code}")),
+                code => return error(format!("unknown event code {code}")),
             };
             if !self.classes.contains_key(&r.u16(1)) {
-                return fault(format!("event for instance {}, which was never started", r.u16(1)));
+                return error(format!("event for instance {}, which was never started", r.u16(1)));
             }
             inputs.push((r.u16(1), Input::Event(event)));
         }
         if used < tail.len() {
-            return fault(format!("over-long frame: {} bytes belong to no record", tail.len() - used));
+            return error(format!("over-long frame: {} bytes belong to no record", tail.len() - used));
         }
         Ok(inputs)
     }
 
-    fn news(&self, r: &Bytes) -> Result<Event, WireError> {
+    fn list_update(&self, r: &Bytes) -> Result<Event, WireError> {
         let kind = r.0[3];
         if kind == 1 {
             return Ok(Event::ListFailed);
         }
         let id = r.u32(4) as usize;
         let Some(Some(list)) = self.lists.get(id) else {
-            return fault(format!("list update refers to list {id}, which was never defined"));
+            return error(format!("list update refers to list {id}, which was never defined"));
         };
         match kind {
             0 => Ok(Event::Changes(list.clone())),
             2 | 3 => Ok(Event::List(list.clone())),
-            n => fault(format!("unknown kind of list update {n}")),
+            n => error(format!("unknown kind of list update {n}")),
         }
     }
 }
@@ -257,7 +257,7 @@
 fn accepted(r: &Bytes) -> Result<Event, WireError> {
     let destination = r.f32(29);
     if destination.fract() != 0.0 || !(0.0..=f32::from(u16::MAX)).contains(&destination) {
-        return fault(format!("destination {destination} is not a whole number from 0 to 65535"));
+        return error(format!("destination {destination} is not a whole number from 0 to 65535"));
     }
     let (key, options) = (r.u64(13), r.u16(33));
     Ok(Event::Accepted(Message {
@@ -282,7 +282,7 @@
             0 => Listing::Gone,
             1 => Listing::Ready,
             2 => Listing::Draining,
-            n => return fault(format!("unknown status {n} in a list")),
+            n => return error(format!("unknown status {n} in a list")),
         },
     })
 }
@@ -301,12 +301,12 @@
                 begin(65);
                 r.extend(message.0.to_le_bytes());
                 r.extend(endpoint.0);
-                r.extend(short(*timeout).to_le_bytes());
+                r.extend(saturating_u32(*timeout).to_le_bytes());
             }
             Action::Refuse { message, retry_after } => {
                 begin(66);
                 r.extend(message.0.to_le_bytes());
-                r.extend(short(*retry_after).to_le_bytes());
+                r.extend(saturating_u32(*retry_after).to_le_bytes());
             }
             Action::Fail(message) => {
                 begin(67);
@@ -357,7 +357,7 @@
     frame
 }
 
-fn short(span: Micros) -> u32 {
+fn saturating_u32(span: Micros) -> u32 {
     u32::try_from(span).unwrap_or(u32::MAX)
 }
 
@@ -493,12 +493,12 @@
 pub fn settings(json: &[u8]) -> Result<Settings, WireError> {
     let raw: RawSettings = match serde_json::from_slice(json) {
         Ok(raw) => raw,
-        Err(e) => return fault(format!("settings: {e}")),
+        Err(e) => return error(format!("settings: {e}")),
     };
     let field = |name: &str| raw.load_report.fields.iter().position(|f| f == name);
     let family = &raw.family_info;
     let kinds = raw.skus.len().max(family.own_limits.len()).max(family.bundle_max.len());
-    let o = &raw.obligations;
+    let obligations = &raw.obligations;
     Ok(Settings {
         classes: raw.classes.iter().map(class).collect::<Result<_, _>>()?,
         retired: BTreeSet::new(),
@@ -517,7 +517,7 @@
         decay: match family.decay.as_deref() {
             None | Some("line") => Decay::Linear,
             Some("halves") => Decay::Exponential,
-            Some(other) => return fault(format!("settings: unknown decay {other:?}")),
+            Some(other) => return error(format!("settings: unknown decay {other:?}")),
         },
         slots: family.calls_out,
         max_open: raw.limits.max_open,
@@ -542,14 +542,14 @@
         senders: raw.balancers.unwrap_or(1).max(1),
         period: micros(raw.period_us).max(1),
         rules: Rules {
-            answer_slack: micros(o.answer_slack_us),
-            ask_every: o.ask_every_us.map(micros),
-            cold_share: o.cold_share,
-            warm_within: micros(o.warm_within_us),
-            fall_multiple: o.fall_multiple,
-            overload_for: micros(o.overload_for_us),
-            drain_grace: micros(o.stop_sending_within_us),
-            order_pause: micros(o.order_pause_us.unwrap_or(0.0)),
+            answer_slack: micros(obligations.answer_slack_us),
+            ask_every: obligations.ask_every_us.map(micros),
+            cold_share: obligations.cold_share,
+            warm_within: micros(obligations.warm_within_us),
+            fall_multiple: obligations.fall_multiple,
+            overload_for: micros(obligations.overload_for_us),
+            drain_grace: micros(obligations.stop_sending_within_us),
+            order_pause: micros(obligations.order_pause_us.unwrap_or(0.0)),
         },
     })
 }
@@ -566,7 +566,7 @@
             },
             window: micros(raw.dedup_window_us.unwrap_or(0.0)),
         },
-        other => return fault(format!("settings: unknown effect {other:?}")),
+        other => return error(format!("settings: unknown effect {other:?}")),
     };
     Ok(Class {
         effect,
