--- a/src/note/tests.rs
+++ b/src/note/tests.rs
@@ -5,14 +5,14 @@
 }
 
 #[test]
-fn numbers_of_two_bytes_are_written_as_ever() {
+fn destinations_of_two_bytes_keep_the_short_encoding() {
     assert_eq!(note(Topic::PlannedCall, 0x0201, 0.0).encode(), [0x11, 1, 2]);
     assert_eq!(note(Topic::LimitReached, 0xffff, 0.0).encode(), [0x12, 0xff, 0xff]);
     assert_eq!(note(Topic::LimitChanged, 7, 2.5).encode(), [0x13, 7, 0, 20, 0]);
 }
 
 #[test]
-fn what_is_written_is_read() {
+fn an_encoded_note_is_decoded_unchanged() {
     for destination in [0, 7, 0xffff, 0x1_0000, 310_000, u32::MAX] {
         for note in [
             note(Topic::PlannedCall, destination, 0.0),
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_is_cut_or_longer_is_no_note() {
+fn truncated_or_extended_notes_are_rejected() {
     for destination in [7, 310_000] {
         for topic in [Topic::PlannedCall, Topic::LimitReached, Topic::LimitChanged] {
             let bytes = note(topic, destination, 1.0).encode();
--- a/tests/conformance/main.rs
+++ b/tests/conformance/main.rs
@@ -196,7 +196,7 @@
 }
 
 /// Runs a row; returns the expectations that do not hold.
-fn play(row: &Row) -> Vec<String> {
+fn failures_of(row: &Row) -> Vec<String> {
     let mut s = world(row.world);
     row.given.iter().for_each(|given| step(&mut s, *given));
     let (sent, refused, failed) = (s.sent.len(), s.refused.len(), s.failed.len());
@@ -239,23 +239,29 @@
 fn run(table: &[Row]) {
     let names: BTreeSet<_> = table.iter().map(|row| row.name).collect();
     assert_eq!(names.len(), table.len(), "row names are unique");
-    let mut broken = vec![];
+    let mut failed_rows = vec![];
     for row in table {
         assert!(
             !row.when.is_empty() && !row.then.is_empty(),
             "{}: the row has no steps or no expectations",
             row.name
         );
-        let failed = catch_unwind(AssertUnwindSafe(|| play(row)));
+        let failed = catch_unwind(AssertUnwindSafe(|| failures_of(row)));
         let failed = failed.unwrap_or_else(|_| vec!["the row panicked".to_owned()]);
         if !failed.is_empty() {
-            broken.push(format!("ROW {}: {}", row.name, failed.join("; ")));
+            failed_rows.push(format!("ROW {}: {}", row.name, failed.join("; ")));
         }
     }
-    assert!(broken.is_empty(), "{} of {} rows\n{}", broken.len(), table.len(), broken.join("\n"));
+    assert!(
+        failed_rows.is_empty(),
+        "{} of {} rows\n{}",
+        failed_rows.len(),
+        table.len(),
+        failed_rows.join("\n")
+    );
 }
 
 #[test]
-fn the_design_holds_row_by_row() {
+fn every_row_of_the_design_table_holds() {
     run(design::ROWS);
 }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -53,13 +53,13 @@
     std::fs::write(folder.join("tests/whole.rs"), module("whole", &["one"]))
 }
 
-fn told(output: &Output) -> String {
+fn text_of(output: &Output) -> String {
     format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr))
 }
 
 /// The check passes only if exactly the listed tests fail; without a list no failing test is tolerated.
 #[test]
-fn exactly_the_tests_of_the_list_are_passed_over() -> io::Result<()> {
+fn the_check_passes_only_if_exactly_the_listed_tests_fail() -> io::Result<()> {
     let folder = tempfile::tempdir()?;
     workspace(folder.path())?;
     let one = Some("made_up::tests::one, a cause, issue 7\n");
@@ -78,15 +78,15 @@
     ];
     for (case, list, red, passes) in cases {
         let output = run(folder.path(), ".ci/run", list, &red)?;
-        let told = told(&output);
-        assert_eq!(output.status.success(), passes, "{case}: {told}");
-        assert_eq!(told.contains("KNOWN-RED.txt passes over:"), list.is_some(), "{case}: {told}");
+        let text = text_of(&output);
+        assert_eq!(output.status.success(), passes, "{case}: {text}");
+        assert_eq!(text.contains("KNOWN-RED.txt passes over:"), list.is_some(), "{case}: {text}");
         let named = list.into_iter().flat_map(str::lines);
-        assert!(passes <= named.into_iter().all(|line| told.contains(line)), "{case}: {told}");
+        assert!(passes <= named.into_iter().all(|line| text.contains(line)), "{case}: {text}");
         assert_eq!(
-            told.contains("passes: take its line out"),
+            text.contains("passes: take its line out"),
             case.contains("named one green") || case.contains("of two named"),
-            "{case}: {told}"
+            "{case}: {text}"
         );
     }
     Ok(())
@@ -94,7 +94,7 @@
 
 /// A list that is malformed, or names a test that does not exist, fails the check before any test runs.
 #[test]
-fn a_list_that_is_not_in_its_form_fails() -> io::Result<()> {
+fn a_malformed_list_fails_the_check() -> io::Result<()> {
     let folder = tempfile::tempdir()?;
     workspace(folder.path())?;
     let line = |name: &str| format!("{name}, a cause, issue 7\n");
@@ -121,9 +121,9 @@
     ];
     for (words, list) in cases {
         let output = run(folder.path(), ".ci/known-red", Some(&list), "made_up::tests::one")?;
-        let told = told(&output);
-        assert!(!output.status.success() && told.contains(words), "{list}: {told}");
-        assert!(!told.contains("test result"), "{list}: {told}");
+        let text = text_of(&output);
+        assert!(!output.status.success() && text.contains(words), "{list}: {text}");
+        assert!(!text.contains("test result"), "{list}: {text}");
     }
     Ok(())
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -5,7 +5,7 @@
 use std::{fs, io};
 
 /// Reads each Rust file at or below a path of the repository.
-fn texts(path: &str) -> io::Result<BTreeMap<PathBuf, String>> {
+fn rust_files(path: &str) -> io::Result<BTreeMap<PathBuf, String>> {
     let mut found = BTreeMap::new();
     let mut left = vec![Path::new(env!("CARGO_MANIFEST_DIR")).join(path)];
     while let Some(at) = left.pop() {
@@ -25,14 +25,18 @@
 fn policy_files_name_their_interface_and_keep_to_110_columns() -> io::Result<()> {
     let deployed: toml::Table = include_str!("../deploy/balancer.toml").parse().expect("a table");
     for path in deployed["policy"].as_array().expect("a list") {
-        let texts = texts(path.as_str().expect("a path"))?;
+        let texts = rust_files(path.as_str().expect("a path"))?;
         assert!(!texts.is_empty(), "{path} has no Rust file");
         for (path, text) in texts {
             for (number, line) in text.lines().enumerate() {
                 assert!(line.chars().count() <= 110, "{} line {}", path.display(), number + 1);
             }
-            let told = text.lines().take(5).any(|line| line.contains("src/interface.rs"));
-            assert!(told, "{} does not name its interface file in its first five lines", path.display());
+            let names_interface = text.lines().take(5).any(|line| line.contains("src/interface.rs"));
+            assert!(
+                names_interface,
+                "{} does not name its interface file in its first five lines",
+                path.display()
+            );
         }
     }
     Ok(())
@@ -40,9 +44,11 @@
 
 /// Tests live next to their module in its `tests.rs`, or in `tests/`.
 #[test]
-fn no_test_lives_in_the_file_of_what_it_tests() -> io::Result<()> {
+fn no_test_is_in_the_file_that_it_tests() -> io::Result<()> {
     let mut inside = vec![];
-    for (path, text) in [texts("src")?, texts("fleet/src")?, texts("ops/src")?].into_iter().flatten() {
+    for (path, text) in
+        [rust_files("src")?, rust_files("fleet/src")?, rust_files("ops/src")?].into_iter().flatten()
+    {
         let is_test = |line: &str| line.starts_with("mod tests {") || line.starts_with("#[test]");
         if !path.ends_with("tests.rs") && text.lines().any(|line| is_test(line.trim())) {
             inside.push(path);
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -6,13 +6,13 @@
 use myrtleyard::interface::*;
 use myrtleyard::policy::Policy;
 
-fn one() -> Sender {
+fn sender() -> Sender {
     Sender::new(settings(), &[entry(1, 0)])
 }
 
 #[test]
-fn five_failures_open_and_a_success_closes() {
-    let mut s = one();
+fn five_failures_open_the_breaker_and_a_success_closes_it() {
+    let mut s = sender();
     s.serve(20);
     s.fail_calls(5, Outcome::Error);
     let before = s.sent.len();
@@ -31,8 +31,8 @@
 
 /// Trials that were cut short by their messages' deadlines kept the breaker of a working destination open.
 #[test]
-fn a_trial_is_given_the_time_to_be_answered() {
-    let mut s = one();
+fn a_trial_is_only_sent_with_enough_time_for_its_answer() {
+    let mut s = sender();
     s.serve(20);
     for _ in 0..5 {
         s.accept(ONCE);
@@ -55,8 +55,8 @@
 }
 
 #[test]
-fn a_success_clears_the_count() {
-    let mut s = one();
+fn a_success_resets_the_failure_count() {
+    let mut s = sender();
     s.serve(20);
     for _ in 0..4 {
         s.accept(SAFE);
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn refusals_as_full_do_not_open_but_slow_down() {
-    let mut s = one();
+fn refusals_slow_sending_down_without_opening_the_breaker() {
+    let mut s = sender();
     s.serve(20);
     let before = s.sent.len();
     for _ in 0..8 {
@@ -94,10 +94,10 @@
 
 /// The pace stayed low for seconds after the limit from which it had been learned had risen.
 #[test]
-fn a_limit_that_has_risen_lifts_the_pace_learnt_below_it() {
-    let mut s = one();
+fn a_raised_limit_raises_the_pace_learned_below_it() {
+    let mut s = sender();
     s.serve(20);
-    let told = |s: &mut Sender, outcome, limit| {
+    let end_with_limit = |s: &mut Sender, outcome, limit| {
         let out = s.out.remove(0);
         let mut event = s.ended(out, outcome);
         if let Event::Ended { report, .. } = &mut event {
@@ -110,11 +110,11 @@
         while s.out.is_empty() {
             s.advance(SECOND / 20);
         }
-        told(&mut s, Outcome::Full(None), 3.0);
+        end_with_limit(&mut s, Outcome::Full(None), 3.0);
         s.advance(SECOND);
     }
     while !s.out.is_empty() {
-        told(&mut s, Outcome::Delivered, 3.0);
+        end_with_limit(&mut s, Outcome::Delivered, 3.0);
         s.advance(SECOND);
     }
     let served = |s: &mut Sender, limit| {
@@ -125,7 +125,7 @@
         for _ in 0..20 {
             s.advance(SECOND / 20);
             while !s.out.is_empty() {
-                told(s, Outcome::Delivered, limit);
+                end_with_limit(s, Outcome::Delivered, limit);
             }
         }
         s.sent.len() - before
@@ -137,8 +137,8 @@
 }
 
 #[test]
-fn silence_opens_long_before_time_outs() {
-    let mut s = one();
+fn silent_calls_open_the_breaker_before_their_time_outs() {
+    let mut s = sender();
     s.serve(20);
     for _ in 0..2 {
         s.accept(SAFE);
@@ -156,8 +156,8 @@
 
 /// Calls whose answers were lost, while others were answered, occupied slots for too long.
 #[test]
-fn a_swallowed_call_is_repeated_well_before_its_aim_where_that_is_harmless() {
-    let mut s = one();
+fn a_lost_call_that_may_be_repeated_times_out_before_its_aim() {
+    let mut s = sender();
     s.serve(20);
     let keyed = s.accept(KEYED);
     let (first, once) = (s.out[0], s.accept(ONCE));
@@ -174,8 +174,8 @@
 }
 
 #[test]
-fn one_destination_keeps_within_its_share_of_slots() {
-    let mut s = one();
+fn a_destination_uses_at_most_three_quarters_of_the_slots() {
+    let mut s = sender();
     s.serve(1);
     for _ in 0..20 {
         s.accept(SAFE);
@@ -184,8 +184,8 @@
 }
 
 #[test]
-fn half_of_the_slots_while_failing() {
-    let mut s = one();
+fn a_failing_destination_uses_at_most_half_of_the_slots() {
+    let mut s = sender();
     s.serve(20);
     s.accept(ONCE);
     s.end(Outcome::Error);
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn messages_of_one_tick_share_a_call_where_they_may() {
+fn messages_of_one_batch_share_calls_up_to_the_kinds_maximum() {
     let mut s = Sender::new(settings(), &[entry(1, 2)]);
     s.serve(1);
     let batch = (0..40).map(|_| Event::Accepted(s.message(SAFE, None, 20 * SECOND))).collect();
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn every_message_is_answered_once_in_time() {
+fn a_message_without_an_endpoint_is_refused_once_before_its_deadline() {
     let mut s = Sender::new(settings(), &[]);
     let id = s.accept(SAFE);
     s.advance(19 * SECOND);
@@ -217,8 +217,8 @@
 }
 
 #[test]
-fn a_call_that_times_out_at_the_end_is_failed_in_time() {
-    let mut s = one();
+fn a_once_message_fails_when_its_call_times_out_at_the_deadline() {
+    let mut s = sender();
     let message = s.message(ONCE, None, 2 * SECOND);
     let id = message.id;
     s.handle(vec![Event::Accepted(message)]);
@@ -227,8 +227,8 @@
 }
 
 #[test]
-fn nothing_goes_out_after_the_client_has_left() {
-    let mut s = one();
+fn a_withdrawn_message_is_not_sent_again() {
+    let mut s = sender();
     s.accept(SAFE);
     let left = s.out[0].message;
     s.handle(vec![Event::Withdrawn(left)]);
@@ -238,17 +238,17 @@
 }
 
 #[test]
-fn time_left_of_nothing_is_answered_at_once() {
-    let mut s = one();
+fn a_message_without_time_left_is_refused_at_once() {
+    let mut s = sender();
     let message = s.message(SAFE, None, 0);
     s.handle(vec![Event::Accepted(message)]);
     assert_eq!((s.refused.len(), s.sent.len()), (1, 0));
 }
 
 #[test]
-fn once_is_failed_after_an_attempt_that_may_have_run() {
+fn a_once_message_fails_after_an_attempt_that_may_have_run() {
     for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
-        let mut s = one();
+        let mut s = sender();
         let id = s.accept(ONCE);
         s.end(outcome);
         s.advance(25 * SECOND);
@@ -257,9 +257,9 @@
 }
 
 #[test]
-fn once_is_tried_again_when_it_never_ran() {
+fn a_once_message_is_retried_if_it_never_ran() {
     for outcome in [Outcome::Full(None), Outcome::ConnectFailed, Outcome::Moot { no_slot: true }] {
-        let mut s = one();
+        let mut s = sender();
         s.accept(ONCE);
         s.end(outcome);
         s.advance(5 * SECOND);
@@ -268,8 +268,8 @@
 }
 
 #[test]
-fn keyed_is_repeated_within_its_window_only() {
-    let mut s = one();
+fn a_keyed_message_is_only_repeated_within_its_window() {
+    let mut s = sender();
     s.accept(KEYED);
     s.end(Outcome::Error);
     s.advance(SECOND);
@@ -283,8 +283,8 @@
 }
 
 #[test]
-fn keyed_window_forgets_attempts_that_never_ran() {
-    let mut s = one();
+fn a_keyed_window_starts_at_the_first_attempt_that_may_have_run() {
+    let mut s = sender();
     s.accept(KEYED);
     s.advance(3 * SECOND);
     s.end(Outcome::ConnectFailed);
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn keyed_stays_in_its_zone() {
+fn a_message_keyed_by_zone_is_only_repeated_in_the_same_zone() {
     let mut settings = settings();
     settings.classes[KEYED].effect = Effect::Keyed { group: DedupScope::Zone, window: 6 * SECOND };
     let mut s = Sender::new(settings, &[entry(1, 0), entry(2, 0)]);
@@ -313,8 +313,8 @@
 }
 
 #[test]
-fn the_limit_on_tries_is_kept() {
-    let mut s = one();
+fn a_message_is_refused_after_the_maximum_number_of_attempts() {
+    let mut s = sender();
     s.accept(SAFE);
     for _ in 0..10 {
         if !s.out.is_empty() {
@@ -326,8 +326,8 @@
 }
 
 #[test]
-fn drains_are_kept_at_once() {
-    let mut s = one();
+fn a_draining_or_removed_endpoint_gets_no_more_messages() {
+    let mut s = sender();
     let mut drained = entry(1, 0);
     drained.listing = Listing::Draining;
     s.handle(vec![Event::Changes(vec![drained])]);
@@ -342,7 +342,7 @@
 }
 
 #[test]
-fn a_list_that_must_be_asked_for_is_asked_for_again_after_failures() {
+fn a_failed_list_request_is_repeated() {
     let mut settings = settings();
     settings.list_on_request = true;
     let mut s = Sender::new(settings, &[entry(1, 0)]);
@@ -356,15 +356,15 @@
 /// Found in a simulation of a large tier: all senders requested the list at once, and again 50 ms after each
 /// failure, so that discovery answered none of them for the rest of the run.
 #[test]
-fn the_senders_of_a_large_fleet_ask_for_the_list_one_after_the_other() {
+fn list_requests_of_a_large_tier_are_spread_over_time() {
     let mut settings = settings();
     (settings.list_on_request, settings.senders) = (true, 100);
-    let mut fleet: Vec<_> = (0..100).map(|seed| Policy::new(settings.clone(), seed, START)).collect();
+    let mut senders: Vec<_> = (0..100).map(|seed| Policy::new(settings.clone(), seed, START)).collect();
     let mut most = 0;
     // Every request fails at once.
     for second in 0..40 {
         let mut asks = 0;
-        for policy in &mut fleet {
+        for policy in &mut senders {
             let mut failed = false;
             for tenth in 0..10 {
                 let mut actions = vec![];
@@ -380,7 +380,7 @@
 }
 
 #[test]
-fn waits_hold_for_every_message_and_endpoint() {
+fn a_requested_wait_applies_to_all_messages_and_endpoints() {
     let mut s = Sender::new(settings(), &[entry(1, 0), entry(2, 0)]);
     s.accept(SAFE);
     s.end(Outcome::Full(Some(2 * SECOND)));
@@ -396,7 +396,7 @@
 /// Found in a simulation: the messages of one call got different requested waits, and only the first was
 /// observed.
 #[test]
-fn each_message_of_a_call_may_be_told_a_wait() {
+fn the_longest_requested_wait_within_a_call_applies() {
     let mut s = Sender::new(settings(), &[entry(1, 2)]);
     let batch = (0..2).map(|_| Event::Accepted(s.message(SAFE, None, 20 * SECOND))).collect();
     s.handle(batch);
@@ -412,7 +412,7 @@
 }
 
 #[test]
-fn waits_and_breakers_are_apart_where_routes_are() {
+fn a_requested_wait_of_one_route_does_not_block_another() {
     let mut s = Sender::new(settings(), &[entry(1, 1), entry(2, 1)]);
     s.accept(SAFE);
     let waits = s.out[0].endpoint;
@@ -422,8 +422,8 @@
 }
 
 #[test]
-fn order_is_kept_by_key() {
-    let mut s = one();
+fn messages_of_an_ordered_key_are_sent_one_at_a_time() {
+    let mut s = sender();
     let first = s.accept_keyed(ORDERED, Some(9));
     let second = s.accept_keyed(ORDERED, Some(9));
     s.accept_keyed(ORDERED, Some(10));
@@ -434,8 +434,8 @@
 }
 
 #[test]
-fn a_key_rests_after_an_unclear_end() {
-    let mut s = one();
+fn an_ordered_key_is_paused_after_an_unclear_outcome() {
+    let mut s = sender();
     let first = s.accept_keyed(ORDERED, Some(9));
     let second = s.accept_keyed(ORDERED, Some(9));
     s.handle(vec![Event::Withdrawn(first)]);
@@ -449,15 +449,15 @@
 }
 
 /// Maximum number of attempts sent in any three seconds after a time.
-fn busiest_span(s: &Sender, from: Micros) -> usize {
+fn max_in_three_seconds(s: &Sender, from: Micros) -> usize {
     let sent: Vec<_> = s.sent.iter().map(|o| o.sent).filter(|at| *at >= from).collect();
-    let span = |at: &Micros| sent.iter().filter(|o| (*at..*at + 3 * SECOND).contains(*o)).count();
-    sent.iter().map(span).max().unwrap_or(0)
+    let count = |at: &Micros| sent.iter().filter(|o| (*at..*at + 3 * SECOND).contains(*o)).count();
+    sent.iter().map(count).max().unwrap_or(0)
 }
 
 /// For a number of seconds, accepts a message every quarter of a second and ends all its attempts as
 /// delivered.
-fn recover(s: &mut Sender, seconds: u64) {
+fn serve_for(s: &mut Sender, seconds: u64) {
     for _ in 0..seconds * 4 {
         s.accept(SAFE);
         s.advance(SECOND / 4);
@@ -468,24 +468,24 @@
 }
 
 #[test]
-fn a_returning_destination_is_not_pushed_over() {
-    let mut s = one();
+fn a_returning_destination_is_not_overloaded() {
+    let mut s = sender();
     s.serve(80);
     s.fail_calls(12, Outcome::ConnectFailed);
     let back = s.now;
-    recover(&mut s, 4);
+    serve_for(&mut s, 4);
     // The usual rate is four per second. The ramp allows twice a fifth of that for three seconds, and rises.
-    assert!(busiest_span(&s, back) <= 8, "{}", busiest_span(&s, back));
+    assert!(max_in_three_seconds(&s, back) <= 8, "{}", max_in_three_seconds(&s, back));
     let warm = s.now + 14 * SECOND;
-    recover(&mut s, 20);
+    serve_for(&mut s, 20);
     assert!(s.sent.iter().filter(|o| o.sent > warm).count() > 20, "the ramp ends");
 }
 
 /// Found in a simulation: a destination that has shut down only refuses as full; it returns as cold as any
 /// other.
 #[test]
-fn a_shut_destination_comes_back_cold() {
-    let mut s = one();
+fn a_destination_that_refused_everything_returns_cold() {
+    let mut s = sender();
     s.serve(80);
     for _ in 0..40 {
         s.accept(SAFE);
@@ -495,27 +495,27 @@
         s.advance(SECOND / 4);
     }
     let back = s.now;
-    recover(&mut s, 4);
-    assert!(busiest_span(&s, back) <= 8, "{}", busiest_span(&s, back));
+    serve_for(&mut s, 4);
+    assert!(max_in_three_seconds(&s, back) <= 8, "{}", max_in_three_seconds(&s, back));
 }
 
 /// Found in a simulation: at a half-failing destination the warm-up was counted from a success during the
 /// outage.
 #[test]
-fn a_failure_while_cold_starts_the_warm_up_anew() {
-    let mut s = one();
+fn a_failure_while_cold_restarts_the_warm_up() {
+    let mut s = sender();
     s.serve(80);
     s.fail_calls(4, Outcome::ConnectFailed);
-    recover(&mut s, 10);
+    serve_for(&mut s, 10);
     s.fail_calls(1, Outcome::ConnectFailed);
     let back = s.now;
-    recover(&mut s, 5);
-    assert!(busiest_span(&s, back) <= 12, "{}", busiest_span(&s, back));
+    serve_for(&mut s, 5);
+    assert!(max_in_three_seconds(&s, back) <= 12, "{}", max_in_three_seconds(&s, back));
 }
 
 /// Found in a simulation: messages for a destination that was down filled the buffer, which all others share.
 #[test]
-fn a_full_buffer_sheds_what_cannot_go() {
+fn a_full_buffer_refuses_messages_for_a_failed_destination() {
     let mut other = entry(2, 0);
     other.destination = DestinationId(8);
     let mut s = Sender::new(settings(), &[entry(1, 0), other]);
@@ -535,7 +535,7 @@
 
 /// Found in a long-running test: messages that had been accepted were handed back in favour of newer ones.
 #[test]
-fn a_full_buffer_turns_away_what_comes_before_it_hands_back() {
+fn a_full_buffer_refuses_new_messages_before_accepted_ones() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     let wait = Event::RetryAfter { endpoint: endpoint(1), wait: 10 * SECOND };
     s.handle(vec![wait.clone()]);
@@ -560,7 +560,7 @@
         let mut s = Sender::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
         s.serve(30);
         s.fail_calls(10, Outcome::Error);
-        recover(&mut s, 10);
+        serve_for(&mut s, 10);
         s.sent
     };
     assert_eq!(run(), run());
@@ -569,8 +569,8 @@
 /// Found in a simulation: one hanging call among answered ones caused a ramp at its destination as if it were
 /// cold.
 #[test]
-fn a_time_out_with_answers_since_does_not_count() {
-    let mut s = one();
+fn a_time_out_with_later_answers_is_no_outage() {
+    let mut s = sender();
     s.serve(40);
     for _ in 0..3 {
         s.accept(ONCE);
@@ -614,7 +614,7 @@
 /// Idle connections of many senders fill an endpoint's connection table.
 #[test]
 fn a_connection_that_would_close_unused_is_closed_after_use() {
-    let mut s = one();
+    let mut s = sender();
     let close = Action::CloseIdle(endpoint(1));
     s.accept(SAFE);
     s.end(Outcome::Delivered);
@@ -636,8 +636,8 @@
 
 /// A restart must not repeat an effect.
 #[test]
-fn a_resumed_message_is_bound_by_what_may_have_run() {
-    let mut s = one();
+fn a_resumed_message_is_restricted_by_attempts_that_may_have_run() {
+    let mut s = sender();
     let unsafe_one = resumed(&mut s, ONCE, 1, &[SECOND]);
     assert_eq!(s.failed, [unsafe_one]);
     let late = resumed(&mut s, KEYED, 1, &[23 * SECOND / 4]);
@@ -652,8 +652,8 @@
 
 /// The end of the process must not interrupt a call that the next process is not allowed to repeat.
 #[test]
-fn nothing_unsafe_is_out_when_the_process_ends() {
-    let mut s = one();
+fn no_unrepeatable_attempt_is_outstanding_when_the_process_ends() {
+    let mut s = sender();
     s.serve(20);
     let end = s.now + 3 * SECOND;
     s.handle(vec![Event::Stopping(end)]);
@@ -671,8 +671,8 @@
 }
 
 #[test]
-fn a_wait_in_any_answer_binds() {
-    let mut s = one();
+fn a_wait_requested_in_any_answer_is_observed() {
+    let mut s = sender();
     s.handle(vec![Event::RetryAfter { endpoint: endpoint(1), wait: SECOND }]);
     s.accept(SAFE);
     s.advance(SECOND - 10_000);
@@ -683,7 +683,7 @@
 
 /// The answer of a call was ignored because its first message had already ended and was not sent.
 #[test]
-fn a_message_that_was_not_sent_does_not_judge_its_call() {
+fn an_unsent_message_does_not_decide_its_calls_outcome() {
     let mut s = Sender::new(settings(), &[]);
     for _ in 0..10 {
         s.accept(SAFE);
@@ -704,7 +704,7 @@
 }
 
 /// A sender of a tier that has been given the limit of its destination.
-fn one_of(senders: usize, limit: f32) -> Sender {
+fn sender_with_limit(senders: usize, limit: f32) -> Sender {
     let mut settings = settings();
     (settings.senders, settings.peers) = (senders, true);
     let mut s = Sender::new(settings, &[entry(1, 0)]);
@@ -717,30 +717,30 @@
 /// Found in a simulation of a large tier: each sender sees few calls, and all together made twice as many as
 /// the limit allows.
 #[test]
-fn senders_take_turns_at_a_limit_that_is_told() {
-    let mut fleet: Vec<_> = (0..10).map(|_| one_of(10, 10.0)).collect();
+fn senders_together_keep_to_an_advertised_limit() {
+    let mut senders: Vec<_> = (0..10).map(|_| sender_with_limit(10, 10.0)).collect();
     for _ in 0..10 {
         for from in 0..10 {
-            let told = fleet[from].other.len();
-            fleet[from].accept(SAFE);
-            fleet[from].advance(SECOND / 10);
-            for at in told..fleet[from].other.len() {
-                let Action::SendNote { content, .. } = fleet[from].other[at].clone() else { continue };
+            let earlier = senders[from].other.len();
+            senders[from].accept(SAFE);
+            senders[from].advance(SECOND / 10);
+            for at in earlier..senders[from].other.len() {
+                let Action::SendNote { content, .. } = senders[from].other[at].clone() else { continue };
                 for to in (0..10).filter(|to| *to != from) {
-                    fleet[to].handle(vec![Event::Note { from: from as u16, content: content.clone() }]);
+                    senders[to].handle(vec![Event::Note { from: from as u16, content: content.clone() }]);
                 }
             }
         }
     }
-    let sent: usize = fleet.iter().map(|s| s.sent.len()).sum();
+    let sent: usize = senders.iter().map(|s| s.sent.len()).sum();
     assert!((10..=18).contains(&sent), "{sent} in a second");
 }
 
 /// No notes may keep a sender from sending: truncated ones, ones of another version or about an unknown
 /// destination, or the same one repeated many times.
 #[test]
-fn notes_hold_a_sender_back_for_a_round_of_all_at_most() {
-    let mut s = one_of(10, 10.0);
+fn notes_delay_a_sender_by_at_most_one_round() {
+    let mut s = sender_with_limit(10, 10.0);
     let note = |content: &[u8]| Event::Note { from: 1, content: content.to_vec() };
     s.handle(vec![
         note(&[]),
@@ -763,8 +763,8 @@
 /// Found in a simulation of a large tier: a sender that gets a report of a destination once in four seconds
 /// kept using a limit that had fallen, or risen again, long before.
 #[test]
-fn a_limit_that_has_changed_is_told_to_the_others() {
-    let mut s = one_of(10, 100.0);
+fn a_changed_limit_is_announced_to_the_other_senders() {
+    let mut s = sender_with_limit(10, 100.0);
     let probed =
         Event::Probed { endpoint: endpoint(1), outcome: Outcome::Delivered, report: vec![1.0, 110.0] };
     s.handle(vec![probed]);
@@ -773,13 +773,13 @@
     s.handle(vec![probed]);
     let [Action::SendNote { to: None, content }] = &s.other[..] else { panic!("{:?}", s.other) };
 
-    let mut peer = one_of(10, 100.0);
+    let mut peer = sender_with_limit(10, 100.0);
     peer.handle(vec![Event::Note { from: 1, content: content.clone() }]);
     for _ in 0..3 {
         peer.accept(SAFE);
     }
     assert_eq!(peer.sent.len(), 1);
-    let mut unaware = one_of(10, 100.0);
+    let mut unaware = sender_with_limit(10, 100.0);
     unaware.handle(vec![Event::Note { from: 1, content: vec![0x13, 7, 0, 0, 0] }]);
     for _ in 0..3 {
         unaware.accept(SAFE);
@@ -790,7 +790,7 @@
 /// A destination is cold after its own start, without an outage that any sender saw: its capacity is divided
 /// by the parts given to the senders, not evenly.
 #[test]
-fn a_cold_destination_gets_this_senders_part_of_what_it_bears() {
+fn a_cold_destination_gets_this_senders_part_of_its_capacity() {
     let calls = |part: Option<f64>| {
         let settings = Settings { senders: 10, weights: Weights::Nominal, ..settings() };
         let mut s = Sender::new(settings, &[Entry { weight: 20.0, ..entry(1, 0) }]);
@@ -816,9 +816,9 @@
 /// Found in a simulation of a large tier: when a limit was used up for a moment, senders that call there once
 /// in several seconds were held back as after an outage, for ten seconds and more.
 #[test]
-fn one_refusal_is_no_outage_and_two_with_nothing_served_may_be() {
+fn two_refusals_without_a_success_count_as_an_outage_and_one_does_not() {
     let calls = |refusals| {
-        let mut s = one_of(100, 20.0);
+        let mut s = sender_with_limit(100, 20.0);
         s.accept(SAFE);
         s.end(Outcome::Delivered);
         s.advance(5 * SECOND);
@@ -840,7 +840,7 @@
 /// The routes of a kind may be split or merged while a destination is evicted; a requested wait must still be
 /// observed.
 #[test]
-fn a_told_wait_binds_whatever_became_of_the_kind_while_the_destination_was_away() {
+fn a_requested_wait_survives_eviction_and_a_change_of_kind() {
     // Kind 0 has one route for all endpoints, kind 1 one for each.
     for (from, to) in [(0, 0), (1, 1), (1, 0), (0, 1)] {
         let mut s = Sender::new(settings(), &[entry(1, from)]);
@@ -860,7 +860,7 @@
 
 /// The state that is kept of an evicted destination must not grow with the number of messages sent to it.
 #[test]
-fn what_is_kept_of_a_route_is_short_however_much_was_sent() {
+fn the_kept_state_of_a_route_does_not_grow_with_its_messages() {
     let mut settings = settings();
     (settings.max_open, settings.slots) = (100_000, 1000);
     let mut s = Sender::new(settings, &[entry(1, 0)]);
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -31,22 +31,22 @@
 
 /// Observer that checks the rules from outside the module.
 #[derive(Default)]
-struct Watch {
+struct Observer {
     seen: usize,
     accepted: BTreeMap<MessageId, (usize, u64, Micros)>,
     order: Vec<MessageId>,
-    over: BTreeSet<MessageId>,
+    ended: BTreeSet<MessageId>,
     may_have_run: BTreeMap<MessageId, Vec<(u16, Micros)>>,
     drained: BTreeSet<EndpointId>,
     wait: Micros,
-    rest: BTreeMap<u64, (Micros, MessageId)>,
+    paused: BTreeMap<u64, (Micros, MessageId)>,
 }
 
-impl Watch {
+impl Observer {
     fn check(&mut self, s: &Sender) {
         for out in &s.sent[self.seen..] {
             let (class, key, deadline) = self.accepted[&out.message];
-            assert!(!self.over.contains(&out.message), "no attempt after the message has ended");
+            assert!(!self.ended.contains(&out.message), "no attempt after the message has ended");
             assert!(out.sent < deadline && out.until <= deadline && out.attempt < 4);
             assert!(!self.drained.contains(&out.endpoint), "no attempt to a draining endpoint");
             assert!(out.sent >= self.wait, "no attempt before a requested wait is over");
@@ -65,13 +65,13 @@
                 let earlier = self.order.iter().take_while(|m| **m != out.message);
                 for m in earlier.filter(|m| self.accepted[m].0 == ORDERED && self.accepted[m].1 == key) {
                     assert!(
-                        self.over.contains(m),
+                        self.ended.contains(m),
                         "no attempt before earlier messages of the key have ended"
                     );
                     assert!(s.out.iter().all(|o| o.message != *m));
                 }
-                let rest = self.rest.get(&key).filter(|r| r.1 != out.message).map_or(0, |r| r.0);
-                assert!(out.sent >= rest, "no attempt while the key is paused");
+                let paused = self.paused.get(&key).filter(|r| r.1 != out.message).map_or(0, |r| r.0);
+                assert!(out.sent >= paused, "no attempt while the key is paused");
             }
             ran.push((out.attempt, out.sent));
         }
@@ -86,10 +86,10 @@
                 "no refusal of a message that may have run and must not be repeated"
             );
         }
-        self.over.extend(distinct);
+        self.ended.extend(distinct);
         for (id, (_, _, deadline)) in &self.accepted {
             assert!(
-                s.now <= deadline + 20_000 || self.over.contains(id),
+                s.now <= deadline + 20_000 || self.ended.contains(id),
                 "every message is answered in time"
             );
         }
@@ -102,12 +102,12 @@
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
             let (class, key, _) = self.accepted[&out.message];
             if class == ORDERED {
-                self.rest.insert(key, (now + SECOND, out.message));
+                self.paused.insert(key, (now + SECOND, out.message));
             }
         }
         match outcome {
             Outcome::Delivered => {
-                self.over.insert(out.message);
+                self.ended.insert(out.message);
             }
             Outcome::Full(Some(wait)) => self.wait = self.wait.max(now + wait),
             _ => {}
@@ -124,16 +124,16 @@
     })]
 
     #[test]
-    fn random_streams_keep_the_rules(steps in prop::collection::vec(step(), 1..200)) {
+    fn random_events_violate_no_rule(steps in prop::collection::vec(step(), 1..200)) {
         let mut s = Sender::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
-        let mut watch = Watch::default();
+        let mut observer = Observer::default();
         for step in steps {
             match step {
                 Step::Accept { class, key, time_left } => {
                     let key = key + 1;
                     let message = s.message(class, (class == ORDERED).then_some(key), time_left);
-                    watch.accepted.insert(message.id, (class, key, s.now + time_left));
-                    watch.order.push(message.id);
+                    observer.accepted.insert(message.id, (class, key, s.now + time_left));
+                    observer.order.push(message.id);
                     s.handle(vec![Event::Accepted(message)]);
                 }
                 Step::End { which, outcome, wait } if !s.out.is_empty() => {
@@ -148,21 +148,21 @@
                         Outcome::Cancelled,
                         Outcome::Moot { no_slot: true },
                     ][outcome];
-                    watch.ended(out, outcome, s.now);
+                    observer.ended(out, outcome, s.now);
                     let event = s.ended(out, outcome);
                     s.handle(vec![event]);
                 }
-                Step::Leave(which) if !watch.order.is_empty() => {
-                    let id = watch.order[which % watch.order.len()];
-                    watch.over.insert(id);
+                Step::Leave(which) if !observer.order.is_empty() => {
+                    let id = observer.order[which % observer.order.len()];
+                    observer.ended.insert(id);
                     s.handle(vec![Event::Withdrawn(id)]);
                 }
                 Step::List { endpoint: n, listing } => {
                     let mut entry = entry(n, 0);
                     entry.listing = [Listing::Ready, Listing::Draining, Listing::Gone][listing];
                     match entry.listing {
-                        Listing::Ready => watch.drained.remove(&endpoint(n)),
-                        _ => watch.drained.insert(endpoint(n)),
+                        Listing::Ready => observer.drained.remove(&endpoint(n)),
+                        _ => observer.drained.insert(endpoint(n)),
                     };
                     s.handle(vec![Event::Changes(vec![entry])]);
                 }
@@ -174,18 +174,18 @@
                         let due: Vec<_> = s.out.iter().copied().filter(|o| o.until <= s.now + 5_000).collect();
                         for out in due {
                             s.out.retain(|o| *o != out);
-                            watch.ended(out, Outcome::TimedOut, s.now);
+                            observer.ended(out, Outcome::TimedOut, s.now);
                             let event = s.ended(out, Outcome::TimedOut);
                             s.handle(vec![event]);
-                            watch.check(&s);
+                            observer.check(&s);
                         }
                         s.advance((until - s.now).min(5_000));
-                        watch.check(&s);
+                        observer.check(&s);
                     }
                 }
                 Step::End { .. } | Step::Leave(_) => {}
             }
-            watch.check(&s);
+            observer.check(&s);
         }
     }
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn settings_are_read_and_unknown_keys_passed_over() {
+fn settings_are_read_and_unknown_keys_ignored() {
     let s = settings(SETTINGS.as_bytes()).expect("well formed");
     assert_eq!(s.classes[0].effect, Effect::Keyed { group: DedupScope::Zone, window: 9_000_000 });
     assert_eq!((s.classes[0].worth, s.classes[1].worth), (2.0, 1.0));
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_list_number_is_resolved_in_the_order_of_events() {
+fn a_list_number_refers_to_its_latest_definition() {
     let mut entries = vec![0u8; 48];
     entries[15] = 1;
     entries[24 + 15] = 2;
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn actions_are_written_as_the_contract_shows() {
+fn actions_are_encoded_as_specified() {
     let endpoint = EndpointId([0x0a, 0x12, 0x4a, 0x07, 0x5b, 0x1b]);
     let message = MessageId(0x5d3a_91c4);
     let reply = encode(&[
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn what_is_malformed_is_named() {
+fn malformed_input_is_reported_in_one_line() {
     let news = record(6, &[(1, &[3]), (3, &[2])]);
     let cases: Vec<(Result<Vec<Input>, String>, &str)> = vec![
         (after_boot(&[record(99, &[])], b""), "unknown event code 99"),
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn the_adapter_names_a_fault_in_one_line_and_stops() {
+fn the_adapter_reports_an_error_in_one_line_and_stops() {
     let mut input = frame(&[], b"");
     input.extend(frame(&[record(99, &[])], b""));
     let output = adapter(&input);
--- a/tests/working_set.rs
+++ b/tests/working_set.rs
@@ -12,7 +12,7 @@
 
 /// Evicts the destination and loads it again with its kept routes, serialized as the driver does it. Returns
 /// the number of kept routes, or `None` if the destination was not evicted.
-fn away_and_back(s: &mut Sender, entries: &[Entry]) -> Option<usize> {
+fn evict_and_load(s: &mut Sender, entries: &[Entry]) -> Option<usize> {
     let kept = s.policy.evict(DEST, s.now)?;
     let bytes = postcard::to_allocvec(&kept).unwrap();
     let kept: Vec<(RouteId, Route)> = postcard::from_bytes(&bytes).unwrap();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn nothing_leaves_while_a_message_is_held() {
+fn a_destination_with_a_held_message_is_not_evicted() {
     let mut s = Sender::new(settings(), &[]);
     s.accept(SAFE);
     assert!(s.policy.evict(DEST, s.now).is_none(), "the message waits for an endpoint");
@@ -39,7 +39,7 @@
 
 /// An attempt may outlive its message: it holds a slot, and its outcome says something about the route.
 #[test]
-fn nothing_leaves_while_a_call_is_out() {
+fn a_destination_with_an_outstanding_call_is_not_evicted() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     let message = s.accept(SAFE);
     assert_eq!(s.out.len(), 1);
@@ -53,7 +53,7 @@
 
 /// An effect that may have taken place restricts repeats for as long as its message is held.
 #[test]
-fn nothing_leaves_while_a_repeat_may_come() {
+fn a_destination_with_a_possible_repeat_is_not_evicted() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     s.accept(KEYED);
     s.handle(vec![Event::RetryAfter { endpoint: endpoint(1), wait: SECOND }]);
@@ -64,7 +64,7 @@
 
 /// Nothing of a destination remains after its eviction; a message that comes before it is listed again waits.
 #[test]
-fn what_has_left_is_gone_until_it_is_listed_again() {
+fn an_evicted_destination_is_unknown_until_it_is_listed_again() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     s.serve(3);
     assert!(s.policy.evict(DEST, s.now).is_some());
@@ -81,14 +81,14 @@
 /// kept routes counts as idle since the beginning of time, so that the failure holds the next calls back as
 /// it does where nothing was delivered for a long time.
 #[test]
-fn a_first_failure_after_an_absence_is_suspect() {
-    let sent = |leaves: bool| {
+fn a_first_failure_after_an_eviction_holds_back_the_next_calls() {
+    let sent = |evicts: bool| {
         let mut s = Sender::new(settings(), &[entry(1, 0)]);
         s.serve(20);
         s.advance(10 * SECOND);
         s.handle(vec![]);
-        if leaves {
-            assert_eq!(away_and_back(&mut s, &[entry(1, 0)]), Some(0));
+        if evicts {
+            assert_eq!(evict_and_load(&mut s, &[entry(1, 0)]), Some(0));
         }
         s.accept(ONCE);
         s.advance(SECOND);
@@ -103,12 +103,12 @@
 /// Where each endpoint is a route, each keeps its own requested wait. A wait that was requested while they
 /// were one route applies to all.
 #[test]
-fn waits_come_back_to_the_routes_that_they_are_about() {
+fn requested_waits_are_restored_to_their_routes() {
     let apart = [entry(1, 1), entry(2, 1)];
     let mut s = Sender::new(settings(), &apart);
     s.handle(vec![Event::RetryAfter { endpoint: endpoint(1), wait: 20 * SECOND }]);
     s.advance(10 * SECOND);
-    assert_eq!(away_and_back(&mut s, &apart), Some(1));
+    assert_eq!(evict_and_load(&mut s, &apart), Some(1));
     (0..4).for_each(|_| _ = s.accept(SAFE));
     assert!(!s.sent.is_empty() && s.sent.iter().all(|out| out.endpoint == endpoint(2)));
 
@@ -116,7 +116,7 @@
     let mut s = Sender::new(settings(), &one);
     s.handle(vec![Event::RetryAfter { endpoint: endpoint(1), wait: 20 * SECOND }]);
     s.advance(10 * SECOND);
-    assert_eq!(away_and_back(&mut s, &apart), Some(1));
+    assert_eq!(evict_and_load(&mut s, &apart), Some(1));
     s.accept(SAFE);
     s.advance(10 * SECOND - 1);
     assert!(s.sent.is_empty());
@@ -155,11 +155,11 @@
 }
 
 /// All decisions of a sender so far.
-fn decided(s: &Sender) -> (&[Out], &[(MessageId, Micros)], &[MessageId]) {
+fn decisions(s: &Sender) -> (&[Out], &[(MessageId, Micros)], &[MessageId]) {
     (&s.sent, &s.refused, &s.failed)
 }
 
-fn take(s: &mut Sender, step: &Step) {
+fn apply(s: &mut Sender, step: &Step) {
     match *step {
         Step::Accept { class, key } => _ = s.accept_keyed(class, Some(key)),
         Step::End { which, outcome: how, wait } if !s.out.is_empty() => {
@@ -185,25 +185,25 @@
     /// messages are sent at once, as many as by the sender without the eviction; from there on, estimates and
     /// the waiting times that depend on them may differ.
     #[test]
-    fn an_absence_changes_no_decision(steps in prop::collection::vec(step(), 1..120)) {
+    fn an_eviction_changes_no_decision(steps in prop::collection::vec(step(), 1..120)) {
         let one = [entry(1, 0)];
-        let mut stays = Sender::new(settings(), &one);
-        let mut leaves = Sender::new(settings(), &one);
+        let mut keeping = Sender::new(settings(), &one);
+        let mut evicting = Sender::new(settings(), &one);
         for step in &steps {
-            take(&mut stays, step);
-            take(&mut leaves, step);
-            prop_assert_eq!(decided(&stays), decided(&leaves));
+            apply(&mut keeping, step);
+            apply(&mut evicting, step);
+            prop_assert_eq!(decisions(&keeping), decisions(&evicting));
             if !matches!(step, Step::Idle(_)) {
                 continue;
             }
-            let Some(kept) = away_and_back(&mut leaves, &one) else { continue };
-            stays.handle(vec![Event::Changes(one.to_vec())]);
+            let Some(kept) = evict_and_load(&mut evicting, &one) else { continue };
+            keeping.handle(vec![Event::Changes(one.to_vec())]);
             if kept == 0 {
-                for s in [&mut stays, &mut leaves] {
+                for s in [&mut keeping, &mut evicting] {
                     (0..3).for_each(|_| _ = s.accept(SAFE));
                 }
                 let to = |s: &Sender| s.sent.iter().map(|o| (o.message, o.endpoint)).collect::<Vec<_>>();
-                prop_assert_eq!(to(&stays), to(&leaves));
+                prop_assert_eq!(to(&keeping), to(&evicting));
                 break;
             }
         }
