--- a/src/policy.rs
+++ b/src/policy.rs
@@ -149,7 +149,7 @@
     /// Calls until this sender's next turn in the ramp.
     #[serde(rename = "turn")]
     calls_until_turn: f64,
-    /// When `turn` was last updated.
+    /// When `calls_until_turn` was last updated.
     #[serde(rename = "turn_at")]
     turn_updated_at: Micros,
     #[serde(rename = "out")]
--- a/tests/conformance/main.rs
+++ b/tests/conformance/main.rs
@@ -44,7 +44,7 @@
     /// This many messages of a class are submitted in one batch.
     Batch(usize, usize),
     /// A message of a class is submitted with this many milliseconds left.
-    Brief(usize, u64),
+    TakeWithTimeLeft(usize, u64),
     /// This many messages for the second destination are submitted.
     Elsewhere(usize),
     /// This many messages that must not run twice are submitted; each ends with the outcome as soon as it is
@@ -62,11 +62,11 @@
     /// end with the outcome.
     Stream(u64, Outcome),
     /// The same, but every other call ends with an error and the others are delivered.
-    Halved(u64),
+    StreamHalfFailing(u64),
     /// Milliseconds pass.
     Pass(u64),
     /// The first endpoint requests a wait of this many milliseconds, outside of any call.
-    Told(u64),
+    WaitRequested(u64),
     /// No endpoint is listed any more.
     Unlisted,
 }
@@ -83,7 +83,7 @@
     /// Number of outstanding attempts.
     Out(usize),
     /// Number of listed endpoints that a breaker keeps messages from.
-    Shut(usize),
+    Unhealthy(usize),
     /// Number of messages without a final answer.
     Held(usize),
     /// Number of messages refused.
@@ -91,11 +91,11 @@
     /// Number of messages failed.
     Failed(usize),
     /// Retry-After of the last refusal in milliseconds: from, to.
-    Return(u64, u64),
+    RetryAfter(u64, u64),
     /// Maximum number of attempts in any three seconds.
     Busiest(usize),
     /// Time-out of the newest attempt in milliseconds: from, to.
-    Given(u64, u64),
+    TimeoutMs(u64, u64),
 }
 
 /// A statement in words, and the steps that show it.
@@ -145,7 +145,7 @@
             let batch = (0..n).map(|_| Event::Accepted(s.message(class, None, 20 * SECOND))).collect();
             s.handle(batch);
         }
-        Step::Brief(class, left) => {
+        Step::TakeWithTimeLeft(class, left) => {
             let message = s.message(class, None, left * MS);
             s.handle(vec![Event::Accepted(message)]);
         }
@@ -180,7 +180,7 @@
                 }
             }
         }
-        Step::Halved(seconds) => {
+        Step::StreamHalfFailing(seconds) => {
             for turn in 0..seconds * 4 {
                 s.accept(ONCE);
                 s.advance(SECOND / 4);
@@ -190,7 +190,9 @@
             }
         }
         Step::Pass(span) => s.advance(span * MS),
-        Step::Told(wait) => s.handle(vec![Event::RetryAfter { endpoint: endpoint(1), wait: wait * MS }]),
+        Step::WaitRequested(wait) => {
+            s.handle(vec![Event::RetryAfter { endpoint: endpoint(1), wait: wait * MS }])
+        }
         Step::Unlisted => s.handle(vec![Event::List(vec![])]),
     }
 }
@@ -219,16 +221,16 @@
                 (seen, seen == n)
             }
             Expect::Out(n) => (s.out.len(), s.out.len() == n),
-            Expect::Shut(n) => (s.policy.unhealthy_endpoints(), s.policy.unhealthy_endpoints() == n),
+            Expect::Unhealthy(n) => (s.policy.unhealthy_endpoints(), s.policy.unhealthy_endpoints() == n),
             Expect::Held(n) => (s.policy.held(), s.policy.held() == n),
             Expect::Refused(n) => (s.refused.len() - refused, s.refused.len() - refused == n),
             Expect::Failed(n) => (s.failed.len() - failed, s.failed.len() - failed == n),
-            Expect::Return(from, to) => (advice as usize, (from..=to).contains(&advice)),
+            Expect::RetryAfter(from, to) => (advice as usize, (from..=to).contains(&advice)),
             Expect::Busiest(most) => {
                 let seen = new.iter().map(busiest).max().unwrap_or(0);
                 (seen, seen <= most)
             }
-            Expect::Given(from, to) => (newest as usize, (from..=to).contains(&newest)),
+            Expect::TimeoutMs(from, to) => (newest as usize, (from..=to).contains(&newest)),
         };
         (!holds).then(|| format!("{expect:?}, seen {seen}"))
     };
