--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1133,9 +1133,9 @@
         }
     }
 
-    /// Cost of handing a message back now, in addition to its worth. It is 0 for a message of this very
-    /// batch, which is not accepted yet, and where there is a reason: a requested wait lasts beyond the time
-    /// in which handing back counts as early, or no attempt is left.
+    /// Cost of handing a message back now, in addition to its worth. It is 0 once that is no longer early,
+    /// for a message of this very batch, which is not accepted yet, and where there is a reason: a requested
+    /// wait lasts beyond the early time, or no attempt is left.
     fn early_refusal_cost(&self, held: &Held) -> f64 {
         let time_left = held.message.time_left;
         let early_until = held.deadline - (time_left as f64 * EARLY_FRACTION) as Micros;
@@ -1172,7 +1172,7 @@
         ids.filter_map(|id| Some((*id, self.endpoints.get(id)?)))
     }
 
-    /// The only path of every send.
+    /// The only path on which messages are sent.
     fn dispatch(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let goes_last = |held: &Held| now > held.aim || self.share_factor(held.message.tenant) < 0.5;
--- a/tests/conformance/design.rs
+++ b/tests/conformance/design.rs
@@ -29,7 +29,8 @@
     "closed to open: at the fifth consecutive failure",
         Warm, [Serve(20)], [Each(5, Error)] => [Sent(5, 5), Unhealthy(1)];
     "open: nothing is sent before the open time is over, half an aim at first",
-        Warm, [Serve(20), Each(5, Error)], [Take(5, SAFE), Pass(1_990)] => [Sent(0, 0), Unhealthy(1), Held(5)];
+        Warm, [Serve(20), Each(5, Error)], [Take(5, SAFE), Pass(1_990)]
+        => [Sent(0, 0), Unhealthy(1), Held(5)];
     "open to half-open: once the open time is over, with one call",
         Warm, [Serve(20), Each(5, Error)], [Take(5, SAFE), Pass(2_010)] => [Sent(1, 1), Out(1), Unhealthy(1)];
     "half-open: one trial at a time, however long it takes",
@@ -116,24 +117,28 @@
     "time-outs: are counted separately from failures",
         Warm, [Serve(20)], [Each(4, Error), Each(19, TimedOut)] => [Unhealthy(0), Sent(23, 23)];
     "one call of several messages counts once",
-        Bundles, [Serve(20), Batch(5, ONCE)], [EndTurn(Error)] => [Unhealthy(0), Failed(5)];
+        Batches, [Serve(20), Batch(5, ONCE)], [EndTurn(Error)] => [Unhealthy(0), Failed(5)];
 
     // Whether a message is held, refused or failed.
     "held: the trial comes before the deadline",
-        Warm, [Serve(20), Each(5, Error)], [TakeWithTimeLeft(SAFE, 2_500)] => [Held(1), Refused(0), Sent(0, 0)];
+        Warm, [Serve(20), Each(5, Error)], [TakeWithTimeLeft(SAFE, 2_500)]
+        => [Held(1), Refused(0), Sent(0, 0)];
     "refused: the deadline comes before the trial; Retry-After is the time until the trial",
         Warm, [Serve(20), Each(5, Error)], [TakeWithTimeLeft(SAFE, 1_500)]
         => [Held(0), Refused(1), RetryAfter(1_990, 2_000)];
     "refused: Retry-After is no longer than clients observe",
-        Warm, [Serve(20), Each(5, Error), Take(1, ONCE), Pass(2_010), End(1, Error)], [TakeWithTimeLeft(SAFE, 1_500)]
+        Warm, [Serve(20), Each(5, Error), Take(1, ONCE), Pass(2_010), End(1, Error)],
+        [TakeWithTimeLeft(SAFE, 1_500)]
         => [Refused(1), RetryAfter(3_000, 3_000)];
     "refused: a message whose call never ran",
         Warm, [Serve(20), Each(4, Error), TakeWithTimeLeft(ONCE, 1_500)], [End(1, ConnectFailed)]
         => [Refused(1), Failed(0)];
     "refused: a message that may have run and may be repeated",
-        Warm, [Serve(20), Each(4, Error), TakeWithTimeLeft(SAFE, 1_500)], [End(1, Error)] => [Refused(1), Failed(0)];
+        Warm, [Serve(20), Each(4, Error), TakeWithTimeLeft(SAFE, 1_500)], [End(1, Error)]
+        => [Refused(1), Failed(0)];
     "failed: a message that may have run and whose key is only remembered for a while",
-        Warm, [Serve(20), Each(4, Error), TakeWithTimeLeft(KEYED, 1_500)], [End(1, Error)] => [Refused(0), Failed(1)];
+        Warm, [Serve(20), Each(4, Error), TakeWithTimeLeft(KEYED, 1_500)], [End(1, Error)]
+        => [Refused(0), Failed(1)];
     "failed: a message that may have run and must not run twice, whatever the breaker's state",
         Warm, [Serve(20), Take(1, ONCE)], [End(1, Error)] => [Refused(0), Failed(1)];
     "held until its deadline if no endpoint is listed, then refused",
@@ -153,9 +158,9 @@
     "share: three quarters again after a success",
         Warm, [Serve(20), Each(1, Error), Each(1, Delivered)], [Take(20, SAFE)] => [Out(6)];
     "share: a destination may use the only slot",
-        Narrow, [], [Take(2, SAFE)] => [Out(1)];
+        OneSlot, [], [Take(2, SAFE)] => [Out(1)];
     "dest_cap: a destination that hangs leaves slots for another",
-        Two, [Serve(20), Take(20, SAFE), Pass(200)], [Elsewhere(6)] => [Out(8), SentElsewhere(2)];
+        TwoDestinations, [Serve(20), Take(20, SAFE), Pass(200)], [Elsewhere(6)] => [Out(8), SentElsewhere(2)];
     "parks: a destination that is down gets far less than one call per message",
         Cold, [Serve(20)], [Stream(30, ConnectFailed)] => [Sent(1, 40), Unhealthy(1)];
 
@@ -171,9 +176,9 @@
     "backlog: a destination that refused everything for long returns cold",
         Cold, [Serve(80), Stream(10, Refusal(None))], [Stream(4, Delivered)] => [Busiest(8)];
     "backlog: no other message joins a trial",
-        Bundles, [Serve(20), Each(5, Error)], [Batch(5, SAFE), Pass(2_010)] => [Sent(1, 1)];
+        Batches, [Serve(20), Each(5, Error)], [Batch(5, SAFE), Pass(2_010)] => [Sent(1, 1)];
     "backlog: one of many senders waits for its turn after one failure",
-        Crowd, [Pass(10_000), Take(1, SAFE), Pass(1_000)], [End(1, ConnectFailed), Pass(1_000)]
+        ManySenders, [Pass(10_000), Take(1, SAFE), Pass(1_000)], [End(1, ConnectFailed), Pass(1_000)]
         => [Sent(0, 0)];
     "backlog: one of few senders may send again after one failure",
         Cold, [Pass(10_000), Take(1, SAFE), Pass(1_000)], [End(1, ConnectFailed), Pass(1_000)]
@@ -192,7 +197,7 @@
     "every other call: the breaker alone never opens",
         Warm, [Serve(20)], [StreamHalfFailing(10)] => [Unhealthy(0), Sent(40, 40)];
     "every other call: the endpoint that failed last is chosen last",
-        Pair, [Each(1, Error)], [Serve(12)] => [Sent(12, 12), SentThere(0)];
+        TwoEndpoints, [Each(1, Error)], [Serve(12)] => [Sent(12, 12), SentThere(0)];
     "every other call: one failure while cold restarts the warm-up",
         Cold, [Serve(80), Repeated(4, ConnectFailed), Stream(10, Delivered), Repeated(1, ConnectFailed)],
         [Stream(5, Delivered)] => [Busiest(12)];
@@ -205,7 +210,7 @@
     "messages are sent once a requested wait is over",
         Warm, [Serve(20), WaitRequested(1_000)], [Take(3, SAFE), Pass(1_010)] => [Sent(3, 3)];
     "each route has its own breaker",
-        Apart, [Serve(20), Each(1, Error)], [Take(4, SAFE)] => [Unhealthy(0), Sent(4, 4)];
+        RoutePerEndpoint, [Serve(20), Each(1, Error)], [Take(4, SAFE)] => [Unhealthy(0), Sent(4, 4)];
     "a destination that refuses gets one call at a time until it accepts one",
         Warm, [Serve(20), Take(1, SAFE), End(1, Refusal(None)), Pass(1_000)], [Take(5, SAFE), Pass(1_500)]
         => [Sent(0, 0), Out(1)];
@@ -214,7 +219,8 @@
     "a trial that has too little time to be answered is not sent",
         Warm, [Serve(20), Each(5, Error)], [TakeWithTimeLeft(SAFE, 2_050), Pass(2_030)] => [Sent(0, 0)];
     "a requested wait applies to one route if each endpoint is a route",
-        Apart, [Serve(20), WaitRequested(1_000)], [Take(8, SAFE)] => [Sent(6, 6), SentElsewhere(6)];
+        RoutePerEndpoint, [Serve(20), WaitRequested(1_000)], [Take(8, SAFE)]
+        => [Sent(6, 6), SentElsewhere(6)];
     "share: three quarters again once a call is delivered after a lost one",
         Warm, [Serve(20), Take(1, ONCE), Pass(20), Take(1, SAFE), Pass(20), EndNewest(Delivered),
             End(1, TimedOut), Each(1, Delivered)],
--- a/tests/conformance/main.rs
+++ b/tests/conformance/main.rs
@@ -22,17 +22,17 @@
     /// A destination that returns from an outage with a fifth of its capacity.
     Cold,
     /// The same, in a tier of 400 senders.
-    Crowd,
+    ManySenders,
     /// Two destinations that are never cold.
-    Two,
+    TwoDestinations,
     /// Two endpoints of one destination.
-    Pair,
+    TwoEndpoints,
     /// Two endpoints, each of which is a route of its own.
-    Apart,
+    RoutePerEndpoint,
     /// Calls of up to five messages.
-    Bundles,
+    Batches,
     /// One slot.
-    Narrow,
+    OneSlot,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -111,17 +111,17 @@
     let mut settings = settings();
     match world {
         World::Cold => {}
-        World::Crowd => settings.senders = 400,
-        World::Narrow => settings.slots = 1,
+        World::ManySenders => settings.senders = 400,
+        World::OneSlot => settings.slots = 1,
         _ => (settings.rules.cold_share, settings.rules.fall_multiple) = (1.0, 1_000.0),
     }
     let mut other = entry(2, 0);
     other.destination = OTHER;
     let entries = match world {
-        World::Two => vec![entry(1, 0), other],
-        World::Pair => vec![entry(1, 0), entry(2, 0)],
-        World::Apart => vec![entry(1, 1), entry(2, 1)],
-        World::Bundles => vec![entry(1, 2)],
+        World::TwoDestinations => vec![entry(1, 0), other],
+        World::TwoEndpoints => vec![entry(1, 0), entry(2, 0)],
+        World::RoutePerEndpoint => vec![entry(1, 1), entry(2, 1)],
+        World::Batches => vec![entry(1, 2)],
         _ => vec![entry(1, 0)],
     };
     Sender::new(settings, &entries)
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -171,7 +171,8 @@
                     // it.
                     let until = s.now + span;
                     while s.now < until {
-                        let due: Vec<_> = s.out.iter().copied().filter(|o| o.until <= s.now + 5_000).collect();
+                        let due = s.out.iter().copied().filter(|out| out.until <= s.now + 5_000);
+                        let due: Vec<_> = due.collect();
                         for out in due {
                             s.out.retain(|o| *o != out);
                             observer.ended(out, Outcome::TimedOut, s.now);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -206,7 +206,8 @@
 fn the_adapter_answers_each_batch_and_ends_with_its_input() {
     let mut input = frame(&[], b"");
     input.extend(boot(SETTINGS));
-    // An instance is killed and started in one batch, then gets the outcome of a message that it no longer holds.
+    // An instance is killed and started in one batch, then gets the outcome of a message that it no longer
+    // holds.
     let length = (SETTINGS.len() as u32).to_le_bytes();
     let start = record(8, &[(1, &[3]), (15, &length)]);
     input.extend(frame(&[record(9, &[(1, &[3])]), start], SETTINGS.as_bytes()));
