--- a/tests/conformance/main.rs
+++ b/tests/conformance/main.rs
@@ -22,17 +22,17 @@
     /// A destination that returns from an outage with a fifth of its capacity.
     Cold,
     /// The same, in a tier of 400 senders.
-    Crowd,
+    ManySenders,
     /// Two destinations that are never cold.
-    Two,
+    TwoDestinations,
     /// Two endpoints of one destination.
-    Pair,
+    TwoEndpoints,
     /// Two endpoints, each of which is a route of its own.
-    Apart,
+    RoutePerEndpoint,
     /// Calls of up to five messages.
-    Bundles,
+    Batches,
     /// One slot.
-    Narrow,
+    OneSlot,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -44,7 +44,7 @@
     /// This many messages of a class are submitted in one batch.
     Batch(usize, usize),
     /// A message of a class is submitted with this many milliseconds left.
-    Brief(usize, u64),
+    TakeWithTimeLeft(usize, u64),
     /// This many messages for the second destination are submitted.
     Elsewhere(usize),
     /// This many messages that must not run twice are submitted; each ends with the outcome as soon as it is
@@ -62,11 +62,11 @@
     /// end with the outcome.
     Stream(u64, Outcome),
     /// The same, but every other call ends with an error and the others are delivered.
-    Halved(u64),
+    StreamHalfFailing(u64),
     /// Milliseconds pass.
     Pass(u64),
     /// The first endpoint requests a wait of this many milliseconds, outside of any call.
-    Told(u64),
+    WaitRequested(u64),
     /// No endpoint is listed any more.
     Unlisted,
 }
@@ -83,7 +83,7 @@
     /// Number of outstanding attempts.
     Out(usize),
     /// Number of listed endpoints that a breaker keeps messages from.
-    Shut(usize),
+    Unhealthy(usize),
     /// Number of messages without a final answer.
     Held(usize),
     /// Number of messages refused.
@@ -91,11 +91,11 @@
     /// Number of messages failed.
     Failed(usize),
     /// Retry-After of the last refusal in milliseconds: from, to.
-    Return(u64, u64),
+    RetryAfter(u64, u64),
     /// Maximum number of attempts in any three seconds.
     Busiest(usize),
     /// Time-out of the newest attempt in milliseconds: from, to.
-    Given(u64, u64),
+    TimeoutMs(u64, u64),
 }
 
 /// A statement in words, and the steps that show it.
@@ -111,17 +111,17 @@
     let mut settings = settings();
     match world {
         World::Cold => {}
-        World::Crowd => settings.senders = 400,
-        World::Narrow => settings.slots = 1,
+        World::ManySenders => settings.senders = 400,
+        World::OneSlot => settings.slots = 1,
         _ => (settings.rules.cold_share, settings.rules.fall_multiple) = (1.0, 1_000.0),
     }
     let mut other = entry(2, 0);
     other.destination = OTHER;
     let entries = match world {
-        World::Two => vec![entry(1, 0), other],
-        World::Pair => vec![entry(1, 0), entry(2, 0)],
-        World::Apart => vec![entry(1, 1), entry(2, 1)],
-        World::Bundles => vec![entry(1, 2)],
+        World::TwoDestinations => vec![entry(1, 0), other],
+        World::TwoEndpoints => vec![entry(1, 0), entry(2, 0)],
+        World::RoutePerEndpoint => vec![entry(1, 1), entry(2, 1)],
+        World::Batches => vec![entry(1, 2)],
         _ => vec![entry(1, 0)],
     };
     Sender::new(settings, &entries)
@@ -145,7 +145,7 @@
             let batch = (0..n).map(|_| Event::Accepted(s.message(class, None, 20 * SECOND))).collect();
             s.handle(batch);
         }
-        Step::Brief(class, left) => {
+        Step::TakeWithTimeLeft(class, left) => {
             let message = s.message(class, None, left * MS);
             s.handle(vec![Event::Accepted(message)]);
         }
@@ -180,7 +180,7 @@
                 }
             }
         }
-        Step::Halved(seconds) => {
+        Step::StreamHalfFailing(seconds) => {
             for turn in 0..seconds * 4 {
                 s.accept(ONCE);
                 s.advance(SECOND / 4);
@@ -190,13 +190,15 @@
             }
         }
         Step::Pass(span) => s.advance(span * MS),
-        Step::Told(wait) => s.handle(vec![Event::RetryAfter { endpoint: endpoint(1), wait: wait * MS }]),
+        Step::WaitRequested(wait) => {
+            s.handle(vec![Event::RetryAfter { endpoint: endpoint(1), wait: wait * MS }])
+        }
         Step::Unlisted => s.handle(vec![Event::List(vec![])]),
     }
 }
 
 /// Runs a row; returns the expectations that do not hold.
-fn play(row: &Row) -> Vec<String> {
+fn failures_of(row: &Row) -> Vec<String> {
     let mut s = world(row.world);
     row.given.iter().for_each(|given| step(&mut s, *given));
     let (sent, refused, failed) = (s.sent.len(), s.refused.len(), s.failed.len());
@@ -219,16 +221,16 @@
                 (seen, seen == n)
             }
             Expect::Out(n) => (s.out.len(), s.out.len() == n),
-            Expect::Shut(n) => (s.policy.unhealthy_endpoints(), s.policy.unhealthy_endpoints() == n),
+            Expect::Unhealthy(n) => (s.policy.unhealthy_endpoints(), s.policy.unhealthy_endpoints() == n),
             Expect::Held(n) => (s.policy.held(), s.policy.held() == n),
             Expect::Refused(n) => (s.refused.len() - refused, s.refused.len() - refused == n),
             Expect::Failed(n) => (s.failed.len() - failed, s.failed.len() - failed == n),
-            Expect::Return(from, to) => (advice as usize, (from..=to).contains(&advice)),
+            Expect::RetryAfter(from, to) => (advice as usize, (from..=to).contains(&advice)),
             Expect::Busiest(most) => {
                 let seen = new.iter().map(busiest).max().unwrap_or(0);
                 (seen, seen <= most)
             }
-            Expect::Given(from, to) => (newest as usize, (from..=to).contains(&newest)),
+            Expect::TimeoutMs(from, to) => (newest as usize, (from..=to).contains(&newest)),
         };
         (!holds).then(|| format!("{expect:?}, seen {seen}"))
     };
@@ -239,23 +241,29 @@
 fn run(table: &[Row]) {
     let names: BTreeSet<_> = table.iter().map(|row| row.name).collect();
     assert_eq!(names.len(), table.len(), "row names are unique");
-    let mut broken = vec![];
+    let mut failed_rows = vec![];
     for row in table {
         assert!(
             !row.when.is_empty() && !row.then.is_empty(),
             "{}: the row has no steps or no expectations",
             row.name
         );
-        let failed = catch_unwind(AssertUnwindSafe(|| play(row)));
+        let failed = catch_unwind(AssertUnwindSafe(|| failures_of(row)));
         let failed = failed.unwrap_or_else(|_| vec!["the row panicked".to_owned()]);
         if !failed.is_empty() {
-            broken.push(format!("ROW {}: {}", row.name, failed.join("; ")));
+            failed_rows.push(format!("ROW {}: {}", row.name, failed.join("; ")));
         }
     }
-    assert!(broken.is_empty(), "{} of {} rows\n{}", broken.len(), table.len(), broken.join("\n"));
+    assert!(
+        failed_rows.is_empty(),
+        "{} of {} rows\n{}",
+        failed_rows.len(),
+        table.len(),
+        failed_rows.join("\n")
+    );
 }
 
 #[test]
-fn the_design_holds_row_by_row() {
+fn every_row_of_the_design_table_holds() {
     run(design::ROWS);
 }
