--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -33,13 +33,13 @@
 use super::{AttemptEnd, Inbound};
 
 /// Response bodies longer than this are not read, in bytes.
-const ANSWER_LIMIT: usize = 1 << 20;
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 /// Time for reading a response body without meaning, so that the connection can be reused; after that the
 /// connection is closed.
-const REST_OF_ANSWER: Duration = Duration::from_secs(1);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Number of response bytes kept for recognizing the status line; a longer line is not recognized.
-const FIRST_LINE_LIMIT: usize = 64;
+const STATUS_LINE_BYTES: usize = 64;
 
 /// Bytes seen on a connection, as far as they matter for the outcome of a call.
 #[derive(Default)]
@@ -48,15 +48,15 @@
     /// The first bytes of the response to the last request.
     answer: RefCell<Vec<u8>>,
     /// Messages to be counted once their request is written completely.
-    due: RefCell<Option<Due>>,
+    due: RefCell<Option<UncountedMessages>>,
     /// The call that uses the connection.
-    load: RefCell<Weak<Load>>,
+    state: RefCell<Weak<CallState>>,
     /// The next read peeks at the socket to see whether the idle connection is still clean.
-    asks: Cell<bool>,
+    check_idle: Cell<bool>,
 }
 
 /// Messages of a request that is being written.
-struct Due {
+struct UncountedMessages {
     messages: usize,
     /// Bytes written on the connection before it.
     before: u64,
@@ -69,18 +69,18 @@
     /// To be called when all buffered bytes are written. A request is complete once more than its body's
     /// length was written: the head has at least one byte and goes first, and both are buffered together.
     fn flushed(&self) {
-        let whole = |due: &mut Due| self.written.get() > due.before + due.length;
+        let whole = |due: &mut UncountedMessages| self.written.get() > due.before + due.length;
         if let Some(due) = self.due.borrow_mut().take_if(whole) {
             due.counters.count_sent(due.messages);
-            if let Some(load) = self.load.borrow().upgrade() {
-                load.whole.set(true);
+            if let Some(state) = self.state.borrow().upgrade() {
+                state.fully_written.set(true);
             }
         }
     }
 
     /// Whether the status line of the response says 200, even if the rest can't be read. A truncated line
     /// does not count.
-    fn says_delivered(&self) -> bool {
+    fn has_ok_status(&self) -> bool {
         let answer = self.answer.borrow();
         answer.contains(&b'\n')
             && answer.starts_with(b"HTTP/1.")
@@ -90,17 +90,17 @@
 }
 
 /// A stream that records its traffic.
-struct Counted {
+struct CountedStream {
     stream: TcpStream,
     traffic: Rc<Traffic>,
 }
 
-impl Counted {
+impl CountedStream {
     /// Returns the read result of an idle connection that was closed or reset, or that has received bytes
     /// without a request; `None` if it is clean. The runtime learns of these only when it next polls its
     /// sockets, which may be after a request was written: the request would then fail as a reset, or take
     /// those bytes for its response.
-    fn spoilt(&self) -> Option<io::Result<()>> {
+    fn peek_idle(&self) -> Option<io::Result<()>> {
         // The duplicate shares the non-blocking socket. Without a free descriptor, the runtime's knowledge
         // has to do.
         let socket = std::net::TcpStream::from(self.stream.as_fd().try_clone_to_owned().ok()?);
@@ -113,26 +113,26 @@
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedStream {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
-        if self.traffic.asks.take()
-            && let Some(spoilt) = self.spoilt()
+        if self.traffic.check_idle.take()
+            && let Some(peek_idle) = self.peek_idle()
         {
-            return Poll::Ready(spoilt);
+            return Poll::Ready(peek_idle);
         }
         let before = buf.filled().len();
         let poll = Pin::new(&mut self.stream).poll_read(cx, buf);
         let mut answer = self.traffic.answer.borrow_mut();
-        let wanted = FIRST_LINE_LIMIT - answer.len();
+        let wanted = STATUS_LINE_BYTES - answer.len();
         answer.extend(buf.filled()[before..].iter().take(wanted));
         poll
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountedStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let load = self.traffic.load.borrow().upgrade();
-        if load.as_ref().is_some_and(|load| load.stale()) {
+        let state = self.traffic.state.borrow().upgrade();
+        if state.as_ref().is_some_and(|state| state.stale()) {
             return Poll::Ready(Err(io::Error::other(
                 "a message in the request was given up or is too late",
             )));
@@ -141,8 +141,8 @@
         if let Poll::Ready(Ok(n)) = &poll {
             let written = &self.traffic.written;
             written.set(written.get() + *n as u64);
-            if let Some(load) = load.filter(|_| *n > 0) {
-                load.begun.set(true);
+            if let Some(state) = state.filter(|_| *n > 0) {
+                state.write_started.set(true);
             }
         }
         poll
@@ -159,13 +159,13 @@
     }
 }
 
-type Wire = Pin<Box<Connection<TokioIo<Counted>, Full<Bytes>>>>;
+type HttpConnection = Pin<Box<Connection<TokioIo<CountedStream>, Full<Bytes>>>>;
 
 /// A connection for one request at a time. It is polled only together with a request, so that dropping it
 /// closes its socket immediately.
 pub struct Conn {
     sender: SendRequest<Full<Bytes>>,
-    driver: Option<Wire>,
+    driver: Option<HttpConnection>,
     traffic: Rc<Traffic>,
 }
 
@@ -178,13 +178,13 @@
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let traffic = Rc::new(Traffic::default());
-        let io = TokioIo::new(Counted { stream, traffic: traffic.clone() });
+        let io = TokioIo::new(CountedStream { stream, traffic: traffic.clone() });
         let (sender, driver) = hyper::client::conn::http1::handshake(io).await.map_err(io::Error::other)?;
         Ok(Self { sender, driver: Some(Box::pin(driver)), traffic })
     }
 
     /// Polls a future together with the connection, on whose I/O it depends.
-    async fn drive<F: Future>(driver: &mut Option<Wire>, future: F) -> F::Output {
+    async fn drive<F: Future>(driver: &mut Option<HttpConnection>, future: F) -> F::Output {
         let mut future = pin!(future);
         poll_fn(|cx| {
             if let Poll::Ready(output) = future.as_mut().poll(cx) {
@@ -201,7 +201,7 @@
     /// Whether another request may be written on a connection that was idle: the peer has neither closed it
     /// nor sent anything up to now, by a check of the socket itself.
     pub async fn still_usable(&mut self) -> bool {
-        self.traffic.asks.set(true);
+        self.traffic.check_idle.set(true);
         self.usable().await
     }
 
@@ -228,7 +228,7 @@
     ///
     /// # Errors
     /// Fails when it breaks off.
-    pub async fn piece(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, ()> {
+    pub async fn next_chunk(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, ()> {
         loop {
             let frame = match Self::drive(&mut self.driver, body.frame()).await {
                 Some(frame) => frame.map_err(|_| ())?,
@@ -246,14 +246,14 @@
     /// # Errors
     /// Fails when it breaks off or is too long.
     pub async fn body(&mut self, body: Incoming) -> Result<Bytes, ()> {
-        let whole = Limited::new(body, ANSWER_LIMIT).collect();
+        let whole = Limited::new(body, MAX_RESPONSE_BYTES).collect();
         Self::drive(&mut self.driver, whole).await.map(|b| b.to_bytes()).map_err(|_| ())
     }
 }
 
 /// The connection target of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Line {
+pub struct Target {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Its address.
@@ -264,7 +264,7 @@
 
 /// A message of a call.
 #[derive(Debug, Clone)]
-pub struct Part {
+pub struct CallMessage {
     /// The message.
     pub message: MessageId,
     /// The attempt's number.
@@ -304,18 +304,18 @@
 /// The messages that share one call. Each of them may be given up until the request's last byte is written:
 /// before the first byte, the others are sent without it; after that, the whole call is aborted. In both
 /// cases nothing that was given up has run.
-struct Load {
+struct CallState {
     endpoint: EndpointId,
     /// Ends the call, and all its messages, with this outcome; works once.
-    off: Cell<Option<oneshot::Sender<Outcome>>>,
+    abort_sender: Cell<Option<oneshot::Sender<Outcome>>>,
     /// At least one byte of the request was handed to the socket.
-    begun: Cell<bool>,
+    write_started: Cell<bool>,
     /// The complete request was handed to the socket.
-    whole: Cell<bool>,
+    fully_written: Cell<bool>,
     /// Attempts given up before that: they never run.
-    left_out: RefCell<BTreeSet<(MessageId, u16)>>,
+    excluded: RefCell<BTreeSet<(MessageId, u16)>>,
     /// The composed request contains such an attempt.
-    outdated: Cell<bool>,
+    has_excluded: Cell<bool>,
     /// The time by which the composed request must be written, if it contains a repeat that is bound to one.
     write_by: Cell<Option<Instant>>,
     /// Number of messages in the composed request.
@@ -324,79 +324,79 @@
     traffic: RefCell<Option<Rc<Traffic>>>,
 }
 
-impl Load {
+impl CallState {
     fn new(endpoint: EndpointId) -> (Rc<Self>, oneshot::Receiver<Outcome>) {
-        let (off, called_off) = oneshot::channel();
-        let load = Self {
+        let (abort_sender, aborted) = oneshot::channel();
+        let state = Self {
             endpoint,
-            off: Cell::new(Some(off)),
-            begun: Cell::new(false),
-            whole: Cell::new(false),
-            left_out: RefCell::default(),
-            outdated: Cell::new(false),
+            abort_sender: Cell::new(Some(abort_sender)),
+            write_started: Cell::new(false),
+            fully_written: Cell::new(false),
+            excluded: RefCell::default(),
+            has_excluded: Cell::new(false),
             write_by: Cell::new(None),
             messages: Cell::new(0),
             traffic: RefCell::default(),
         };
-        (Rc::new(load), called_off)
+        (Rc::new(state), aborted)
     }
 
     fn end(&self, outcome: Outcome) {
-        if let Some(off) = self.off.take() {
-            let _ = off.send(outcome);
+        if let Some(abort_sender) = self.abort_sender.take() {
+            let _ = abort_sender.send(outcome);
         }
     }
 
     /// Whether the request must not be written as composed, or not any further.
     fn stale(&self) -> bool {
-        let late = || self.begun.get() && self.write_by.get().is_some_and(|by| by <= Instant::now());
-        !self.whole.get() && (self.outdated.get() || late())
+        let late = || self.write_started.get() && self.write_by.get().is_some_and(|by| by <= Instant::now());
+        !self.fully_written.get() && (self.has_excluded.get() || late())
     }
 
     /// Excludes an attempt from the request. Returns false once the last byte is written. A partly written
     /// request is aborted together with its connection: the endpoint never receives its end, so nothing of it
     /// runs.
-    fn leave_out(&self, attempt: (MessageId, u16)) -> bool {
-        if self.whole.get() {
+    fn exclude(&self, attempt: (MessageId, u16)) -> bool {
+        if self.fully_written.get() {
             return false;
         }
-        self.left_out.borrow_mut().insert(attempt);
-        self.outdated.set(true);
-        if self.begun.get() {
+        self.excluded.borrow_mut().insert(attempt);
+        self.has_excluded.set(true);
+        if self.write_started.get() {
             self.end(Outcome::Moot { no_slot: false });
         }
         true
     }
 
     /// The outcome of one message, given the outcome of its call.
-    fn end_of(&self, part: &Part, outcome: Outcome) -> Outcome {
-        let left_out = self.left_out.borrow().contains(&(part.message, part.attempt));
+    fn outcome_of(&self, part: &CallMessage, outcome: Outcome) -> Outcome {
+        let excluded = self.excluded.borrow().contains(&(part.message, part.attempt));
         // A failed connect is reported in any case, even if nobody waits for the message any more.
-        if left_out && outcome != Outcome::ConnectFailed { Outcome::Moot { no_slot: false } } else { outcome }
+        if excluded && outcome != Outcome::ConnectFailed { Outcome::Moot { no_slot: false } } else { outcome }
     }
 
     /// The outcome of a call whose response is incomplete: for a single message, a status line with 200 is
     /// enough for a delivery.
-    fn unread(&self, outcome: Outcome) -> Outcome {
-        let told = self.traffic.borrow().as_ref().is_some_and(|traffic| traffic.says_delivered());
+    fn outcome_without_response(&self, outcome: Outcome) -> Outcome {
+        let told = self.traffic.borrow().as_ref().is_some_and(|traffic| traffic.has_ok_status());
         if told && self.messages.get() == 1 { Outcome::Delivered } else { outcome }
     }
 
     /// Composes the request, at the time when it can be written; `None` if no message is left.
-    fn compose(&self, line: Line, parts: &[Part], until: Instant) -> Option<Composed> {
+    fn compose(&self, target: Target, parts: &[CallMessage], until: Instant) -> Option<Composed> {
         let now = Instant::now();
         let late = parts.iter().filter(|part| part.until.min(part.write_by) <= now);
-        self.left_out.borrow_mut().extend(late.map(|part| (part.message, part.attempt)));
-        self.outdated.set(false);
-        let left_out = self.left_out.borrow();
-        let parts = parts.iter().filter(|part| !left_out.contains(&(part.message, part.attempt)));
-        let parts: Vec<&Part> = parts.collect();
+        self.excluded.borrow_mut().extend(late.map(|part| (part.message, part.attempt)));
+        self.has_excluded.set(false);
+        let excluded = self.excluded.borrow();
+        let parts = parts.iter().filter(|part| !excluded.contains(&(part.message, part.attempt)));
+        let parts: Vec<&CallMessage> = parts.collect();
         let bound = parts.iter().filter(|part| part.write_by < part.until).map(|part| part.write_by);
         self.write_by.set(bound.min());
         let left = until.saturating_duration_since(now).as_millis().max(1);
         let request = Request::builder()
             .method(Method::POST)
-            .header("host", line.address.to_string())
+            .header("host", target.address.to_string())
             .header("req-deadline-ms", left.to_string());
         let (request, body) = match *parts {
             [] => return None,
@@ -436,14 +436,14 @@
     limits: RefCell<Limits>,
     counters: Rc<Counters>,
     inbound: UnboundedSender<Inbound>,
-    idle: RefCell<HashMap<Line, Vec<Idle>>>,
+    idle: RefCell<HashMap<Target, Vec<Idle>>>,
     /// Number of connections in use.
     busy: Cell<usize>,
     /// Requested waits by route, until when. They are checked again before writing, since a connection may
     /// come up long after its call was decided.
     waits: RefCell<HashMap<RouteId, Instant>>,
     /// The call of each attempt in flight.
-    out: RefCell<BTreeMap<(MessageId, u16), Rc<Load>>>,
+    out: RefCell<BTreeMap<(MessageId, u16), Rc<CallState>>>,
 }
 
 /// All calls in flight and all idle connections.
@@ -478,7 +478,7 @@
                 tick.tick().await;
                 let shared = &swept.0;
                 shared.idle.borrow_mut().retain(|_, conns| {
-                    conns.retain(|idle| shared.fresh(idle));
+                    conns.retain(|idle| shared.is_reusable(idle));
                     !conns.is_empty()
                 });
             }
@@ -487,7 +487,7 @@
     }
 
     /// Puts new limits in force.
-    pub fn adopt(&self, limits: Limits) {
+    pub fn set_limits(&self, limits: Limits) {
         self.0.limits.replace(limits);
     }
 
@@ -504,11 +504,11 @@
 
     /// Starts a call with one or more messages; its end is reported as [`Inbound::CallEnded`]. Until its last
     /// byte is written, each message may be given up and then never runs.
-    pub fn start(&self, line: Line, parts: Vec<Part>) {
+    pub fn start(&self, target: Target, parts: Vec<CallMessage>) {
         let shared = self.0.clone();
-        let (load, called_off) = Load::new(line.endpoint);
+        let (state, aborted) = CallState::new(target.endpoint);
         for part in &parts {
-            shared.out.borrow_mut().insert((part.message, part.attempt), load.clone());
+            shared.out.borrow_mut().insert((part.message, part.attempt), state.clone());
         }
         let begun = Instant::now();
         let until = parts.iter().map(|part| part.until).max().unwrap_or(begun);
@@ -516,37 +516,37 @@
             let rest = tokio::select! {
                 // A cancelled call must not get written first.
                 biased;
-                Ok(outcome) = called_off => {
-                    shared.report_end(&load, &parts, begun, outcome);
+                Ok(outcome) = aborted => {
+                    shared.report_end(&state, &parts, begun, outcome);
                     None
                 }
-                result = timeout_at(until, shared.call(line, &load, &parts, until)) => match result {
+                result = timeout_at(until, shared.call(target, &state, &parts, until)) => match result {
                     Ok(Ok(answered)) => {
-                        shared.report_ends(&load, &parts, begun, &answered);
+                        shared.report_ends(&state, &parts, begun, &answered);
                         answered.rest
                     }
                     Ok(Err(outcome)) => {
-                        shared.report_end(&load, &parts, begun, load.unread(outcome));
+                        shared.report_end(&state, &parts, begun, state.outcome_without_response(outcome));
                         None
                     }
                     Err(_) => {
-                        let ran = load.whole.get();
+                        let ran = state.fully_written.get();
                         let outcome = if ran { Outcome::TimedOut } else { Outcome::ConnectFailed };
-                        shared.report_end(&load, &parts, begun, load.unread(outcome));
+                        shared.report_end(&state, &parts, begun, state.outcome_without_response(outcome));
                         None
                     }
                 },
             };
             if let Some((conn, body)) = rest {
-                shared.finish(line, conn, body).await;
+                shared.finish(target, conn, body).await;
             }
         });
     }
 
     /// Cancels an attempt by closing its connection, together with all messages in the same call.
     pub fn cancel(&self, message: MessageId, attempt: u16) {
-        if let Some(load) = self.0.out.borrow().get(&(message, attempt)) {
-            load.end(Outcome::Cancelled);
+        if let Some(state) = self.0.out.borrow().get(&(message, attempt)) {
+            state.end(Outcome::Cancelled);
         }
     }
 
@@ -555,35 +555,35 @@
     pub fn give_up(&self, message: MessageId) -> Vec<u16> {
         let out = self.0.out.borrow();
         let attempts = out.range((message, 0)..=(message, u16::MAX));
-        attempts.filter(|(id, load)| load.leave_out(**id)).map(|(id, _)| id.1).collect()
+        attempts.filter(|(id, state)| state.exclude(**id)).map(|(id, _)| id.1).collect()
     }
 
     /// Ends the calls that are not completely written yet, for all endpoints that must not be called any
     /// more.
-    pub fn withdraw(&self, over: impl Fn(EndpointId) -> bool) {
+    pub fn abort_unwritten(&self, over: impl Fn(EndpointId) -> bool) {
         let out = self.0.out.borrow();
-        let unwritten = out.values().filter(|load| !load.whole.get() && over(load.endpoint));
-        unwritten.for_each(|load| load.end(Outcome::Moot { no_slot: false }));
+        let unwritten = out.values().filter(|state| !state.fully_written.get() && over(state.endpoint));
+        unwritten.for_each(|state| state.end(Outcome::Moot { no_slot: false }));
     }
 
     /// Probes an endpoint; the result is reported as [`Event::Probed`].
-    pub fn probe(&self, line: Line) {
+    pub fn probe(&self, target: Target) {
         let shared = self.0.clone();
         tokio::task::spawn_local(async move {
             let path = if shared.limits.borrow().report.is_empty() { "/health" } else { "/status/load" };
             let within = Duration::from_micros(shared.limits.borrow().connect);
-            let (load, _) = Load::new(line.endpoint);
+            let (state, _) = CallState::new(target.endpoint);
             let until = Instant::now() + within;
-            let host = line.address.to_string();
+            let host = target.address.to_string();
             let compose = || {
                 let request = Request::get(path).header("host", &host).body(Full::default()).ok()?;
                 Some(Composed { request, length: 0, messages: 0 })
             };
             let asked = async {
-                let (mut conn, answer) = shared.exchange(line, &load, compose, until).await?;
+                let (mut conn, answer) = shared.exchange(target, &state, compose, until).await?;
                 let (head, body) = answer.into_parts();
                 let body = conn.0.body(body).await.map_err(|()| Outcome::Reset)?;
-                shared.keep(line, conn).await;
+                shared.keep_idle(target, conn).await;
                 let mut report = shared.report(&head.headers);
                 if report.is_empty() {
                     report = std::str::from_utf8(&body).map_or(vec![], |text| shared.fields(text));
@@ -593,10 +593,10 @@
             let (outcome, report) = match timeout(within, asked).await {
                 Ok(Ok(seen)) => seen,
                 Ok(Err(outcome)) => (outcome, vec![]),
-                Err(_) if load.begun.get() => (Outcome::TimedOut, vec![]),
+                Err(_) if state.write_started.get() => (Outcome::TimedOut, vec![]),
                 Err(_) => (Outcome::ConnectFailed, vec![]),
             };
-            let endpoint = line.endpoint;
+            let endpoint = target.endpoint;
             let _ = shared.inbound.send(Inbound::Event(Event::Probed { endpoint, outcome, report }));
         });
     }
@@ -608,7 +608,7 @@
 
     /// Closes the idle connections to an endpoint.
     pub fn close_idle(&self, endpoint: EndpointId) {
-        self.0.idle.borrow_mut().retain(|line, _| line.endpoint != endpoint);
+        self.0.idle.borrow_mut().retain(|target, _| target.endpoint != endpoint);
     }
 }
 
@@ -632,7 +632,7 @@
 struct Busy(Conn, InUse);
 
 /// The response to a call, read as far as it matters.
-struct Answered {
+struct CallResult {
     ends: Vec<(Outcome, bool)>,
     report: Vec<f32>,
     rest: Option<(Busy, Option<Incoming>)>,
@@ -647,24 +647,24 @@
         waits.entry(route).and_modify(|told| *told = until.max(*told)).or_insert(until);
     }
 
-    fn held(&self, route: RouteId) -> bool {
+    fn is_held(&self, route: RouteId) -> bool {
         self.waits.borrow().get(&route).is_some_and(|until| *until > Instant::now())
     }
 
-    fn fresh(&self, idle: &Idle) -> bool {
+    fn is_reusable(&self, idle: &Idle) -> bool {
         // A margin, so that nothing is written to a connection that the endpoint is just closing.
         idle.since.elapsed().as_micros() < u128::from(self.limits.borrow().idle / 5 * 4)
     }
 
-    fn take_idle(&self, line: Line) -> Option<Conn> {
+    fn pop_idle(&self, target: Target) -> Option<Conn> {
         let mut idle = self.idle.borrow_mut();
-        let conns = idle.get_mut(&line)?;
-        conns.retain(|idle| self.fresh(idle));
+        let conns = idle.get_mut(&target)?;
+        conns.retain(|idle| self.is_reusable(idle));
         Some(conns.pop()?.conn)
     }
 
     /// At the connection limit, closes the connection that has been idle the longest.
-    fn make_room(&self) {
+    fn close_oldest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
         let count: usize = idle.values().map(Vec::len).sum();
         if count > 0 && count + self.busy.get() >= self.limits.borrow().connections {
@@ -677,19 +677,19 @@
 
     async fn connect(
         self: &Rc<Self>,
-        line: Line,
+        target: Target,
         until: Instant,
         may_reuse: bool,
     ) -> Result<(Busy, bool), Outcome> {
         let in_use = InUse::new(self);
-        while let Some(mut conn) = may_reuse.then(|| self.take_idle(line)).flatten() {
+        while let Some(mut conn) = may_reuse.then(|| self.pop_idle(target)).flatten() {
             if conn.still_usable().await {
                 return Ok((Busy(conn, in_use), true));
             }
         }
-        self.make_room();
+        self.close_oldest_idle();
         let until = until.min(Instant::now() + Duration::from_micros(self.limits.borrow().connect));
-        match timeout_at(until, Conn::open(line.address)).await {
+        match timeout_at(until, Conn::open(target.address)).await {
             Ok(Ok(conn)) => Ok((Busy(conn, in_use), false)),
             _ => Err(Outcome::ConnectFailed),
         }
@@ -698,39 +698,44 @@
     /// Sends one request, which is composed when it can be written, and returns the head of its response.
     async fn exchange(
         self: &Rc<Self>,
-        line: Line,
-        load: &Rc<Load>,
+        target: Target,
+        state: &Rc<CallState>,
         compose: impl Fn() -> Option<Composed>,
         until: Instant,
     ) -> Result<(Busy, Response<Incoming>), Outcome> {
         let mut may_reuse = true;
         loop {
-            let (mut conn, reused) = self.connect(line, until, may_reuse).await?;
-            // There is no await from here to the first write; if that write is delayed, `load` prevents an
+            let (mut conn, reused) = self.connect(target, until, may_reuse).await?;
+            // There is no await from here to the first write; if that write is delayed, `state` prevents an
             // outdated one.
-            let composed = if self.held(line.route) { None } else { compose() };
+            let composed = if self.is_held(target.route) { None } else { compose() };
             let Some(Composed { request, length, messages }) = composed else {
-                self.keep(line, conn).await;
+                self.keep_idle(target, conn).await;
                 return Err(Outcome::Moot { no_slot: false });
             };
             let traffic = conn.0.traffic.clone();
             let before = traffic.written.get();
             let counters = self.counters.clone();
-            traffic.due.replace(Some(Due { messages, before, length: length as u64, counters }));
-            traffic.load.replace(Rc::downgrade(load));
-            load.messages.set(messages);
-            load.traffic.replace(Some(traffic.clone()));
+            traffic.due.replace(Some(UncountedMessages {
+                messages,
+                before,
+                length: length as u64,
+                counters,
+            }));
+            traffic.state.replace(Rc::downgrade(state));
+            state.messages.set(messages);
+            state.traffic.replace(Some(traffic.clone()));
             match conn.0.send(request).await {
                 Ok(answer) => return Ok((conn, answer)),
                 // The peer had closed the connection, or a message was given up, and nothing was written:
                 // trying again sends no second copy. A given-up message causes one retry at most, so their
                 // number is bounded.
-                Err(()) if (reused || load.stale()) && traffic.written.get() == before => {
+                Err(()) if (reused || state.stale()) && traffic.written.get() == before => {
                     may_reuse &= !reused;
-                    load.traffic.replace(None);
+                    state.traffic.replace(None);
                 }
                 // A request truncated before its last byte never runs.
-                Err(()) if !load.whole.get() => return Err(Outcome::ConnectFailed),
+                Err(()) if !state.fully_written.get() => return Err(Outcome::ConnectFailed),
                 Err(()) => return Err(Outcome::Reset),
             }
         }
@@ -738,26 +743,26 @@
 
     async fn call(
         self: &Rc<Self>,
-        line: Line,
-        load: &Rc<Load>,
-        parts: &[Part],
+        target: Target,
+        state: &Rc<CallState>,
+        parts: &[CallMessage],
         until: Instant,
-    ) -> Result<Answered, Outcome> {
-        let compose = || load.compose(line, parts, until);
-        let (mut conn, answer) = self.exchange(line, load, compose, until).await?;
+    ) -> Result<CallResult, Outcome> {
+        let compose = || state.compose(target, parts, until);
+        let (mut conn, answer) = self.exchange(target, state, compose, until).await?;
         let (head, body) = answer.into_parts();
-        let (report, wait) = (self.report(&head.headers), told_wait(&head.headers));
+        let (report, wait) = (self.report(&head.headers), requested_wait(&head.headers));
         if let Some(wait) = wait {
             // The wait binds from here on, even if the rest of the response is lost.
-            let _ = self.inbound.send(Inbound::Event(Event::RetryAfter { endpoint: line.endpoint, wait }));
-            self.hold(line.route, wait);
+            let _ = self.inbound.send(Inbound::Event(Event::RetryAfter { endpoint: target.endpoint, wait }));
+            self.hold(target.route, wait);
         }
-        if load.messages.get() > 1 && head.status == StatusCode::OK {
+        if state.messages.get() > 1 && head.status == StatusCode::OK {
             let body = conn.0.body(body).await.map_err(|()| Outcome::Reset)?;
             let told: Vec<BatchEnd> = serde_json::from_slice(&body).unwrap_or_default();
             let states: HashMap<&str, &str> =
                 told.iter().map(|end| (end.id.as_str(), end.state.as_str())).collect();
-            let end = |p: &Part| match states.get(p.id.as_str()).copied() {
+            let end = |p: &CallMessage| match states.get(p.id.as_str()).copied() {
                 Some("ok") => (Outcome::Delivered, false),
                 Some("later") => (Outcome::Full(wait), false),
                 Some("gone") => (Outcome::Moot { no_slot: false }, true),
@@ -766,55 +771,55 @@
                 _ => (Outcome::Error, false),
             };
             let ends = parts.iter().map(end).collect();
-            return Ok(Answered { ends, report, rest: Some((conn, None)) });
+            return Ok(CallResult { ends, report, rest: Some((conn, None)) });
         }
-        let messages = load.messages.get();
+        let messages = state.messages.get();
         // If the response came before the request was written completely, the connection is closed, so that
         // the rest is not sent.
-        let rest = load.whole.get().then_some((conn, Some(body)));
+        let rest = state.fully_written.get().then_some((conn, Some(body)));
         let gone = head.status == StatusCode::GONE && messages == 1;
         let end = (outcome(head.status, &head.headers, messages), gone);
-        Ok(Answered { ends: vec![end; parts.len()], report, rest })
+        Ok(CallResult { ends: vec![end; parts.len()], report, rest })
     }
 
-    fn report_end(&self, load: &Load, parts: &[Part], begun: Instant, outcome: Outcome) {
+    fn report_end(&self, state: &CallState, parts: &[CallMessage], begun: Instant, outcome: Outcome) {
         let ends = vec![(outcome, false); parts.len()];
-        self.report_ends(load, parts, begun, &Answered { ends, report: vec![], rest: None });
+        self.report_ends(state, parts, begun, &CallResult { ends, report: vec![], rest: None });
     }
 
-    fn report_ends(&self, load: &Load, parts: &[Part], begun: Instant, answered: &Answered) {
+    fn report_ends(&self, state: &CallState, parts: &[CallMessage], begun: Instant, answered: &CallResult) {
         let took = begun.elapsed().as_micros() as Micros;
-        let endpoint = load.endpoint;
+        let endpoint = state.endpoint;
         let mut over = Vec::with_capacity(parts.len());
         for (part, (outcome, gone)) in parts.iter().zip(&answered.ends) {
             let (message, attempt) = (part.message, part.attempt);
             self.out.borrow_mut().remove(&(message, attempt));
-            let left_out = load.left_out.borrow().contains(&(message, attempt));
+            let excluded = state.excluded.borrow().contains(&(message, attempt));
             // The endpoint knows nothing of a message that was not written, which is therefore still owed.
-            let gone = *gone && !left_out;
-            let (outcome, report) = (load.end_of(part, *outcome), answered.report.clone());
+            let gone = *gone && !excluded;
+            let (outcome, report) = (state.outcome_of(part, *outcome), answered.report.clone());
             over.push(AttemptEnd { message, attempt, endpoint, outcome, gone, took, report });
         }
         let _ = self.inbound.send(Inbound::CallEnded(over));
     }
 
     /// Reads the rest of a response, so that its connection can be reused.
-    async fn finish(self: &Rc<Self>, line: Line, mut conn: Busy, body: Option<Incoming>) {
+    async fn finish(self: &Rc<Self>, target: Target, mut conn: Busy, body: Option<Incoming>) {
         if let Some(body) = body
-            && !matches!(timeout(REST_OF_ANSWER, conn.0.body(body)).await, Ok(Ok(_)))
+            && !matches!(timeout(DRAIN_TIMEOUT, conn.0.body(body)).await, Ok(Ok(_)))
         {
             return;
         }
-        self.keep(line, conn).await;
+        self.keep_idle(target, conn).await;
     }
 
-    async fn keep(self: &Rc<Self>, line: Line, conn: Busy) {
+    async fn keep_idle(self: &Rc<Self>, target: Target, conn: Busy) {
         let Busy(mut conn, in_use) = conn;
         if !conn.usable().await {
             return;
         }
         drop(in_use);
-        self.idle.borrow_mut().entry(line).or_default().push(Idle { conn, since: Instant::now() });
+        self.idle.borrow_mut().entry(target).or_default().push(Idle { conn, since: Instant::now() });
     }
 
     fn report(&self, headers: &HeaderMap) -> Vec<f32> {
@@ -843,7 +848,7 @@
 }
 
 /// The wait requested by a response, in seconds with decimals; invalid values are ignored.
-fn told_wait(headers: &HeaderMap) -> Option<Micros> {
+fn requested_wait(headers: &HeaderMap) -> Option<Micros> {
     // No destination needs a wait of more than an hour.
     let seconds = retry_after(headers)?;
     (seconds > 0.0).then(|| (seconds.min(3600.0) * 1e6).ceil() as Micros)
@@ -855,11 +860,11 @@
     match status.as_u16() {
         200 => Outcome::Delivered,
         429 if retry_after(headers).is_none() => Outcome::Error,
-        429 => Outcome::Full(told_wait(headers)),
+        429 => Outcome::Full(requested_wait(headers)),
         503 if headers.get("x-line-busy").is_some_and(|v| v.as_bytes() == b"1") => {
             Outcome::Moot { no_slot: true }
         }
-        503 => Outcome::Full(told_wait(headers)),
+        503 => Outcome::Full(requested_wait(headers)),
         // The message was not processed, or the batch was rejected as a whole: it never ran. Of 410 and 504,
         // batches report per message instead.
         410 | 504 if messages <= 1 => Outcome::Moot { no_slot: false },
--- a/src/net/calls/tests.rs
+++ b/src/net/calls/tests.rs
@@ -8,21 +8,21 @@
 
 use super::*;
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
-const NEVER: Outcome = Outcome::Moot { no_slot: false };
+const NEVER_RAN: Outcome = Outcome::Moot { no_slot: false };
 
-fn part(message: u32) -> Part {
+fn part(message: u32) -> CallMessage {
     let (id, body) = (format!("m{message}"), Bytes::from_static(b"body"));
-    let until = Instant::now() + PATIENCE;
-    Part { message: MessageId(message), attempt: 0, id, key: None, body, until, write_by: until }
+    let until = Instant::now() + TEST_TIMEOUT;
+    CallMessage { message: MessageId(message), attempt: 0, id, key: None, body, until, write_by: until }
 }
 
 struct World {
     calls: Calls,
     events: UnboundedReceiver<Inbound>,
     listener: TcpListener,
-    line: Line,
+    target: Target,
 }
 
 impl World {
@@ -32,13 +32,13 @@
         let calls = Calls::new(limits, Rc::new(Counters::default()), inbound);
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let (endpoint, address) = (EndpointId([1; 6]), listener.local_addr()?);
-        let line = Line { endpoint, address, route: (DestinationId(7), None) };
-        Ok(Self { calls, events, listener, line })
+        let target = Target { endpoint, address, route: (DestinationId(7), None) };
+        Ok(Self { calls, events, listener, target })
     }
 
     /// The outcomes of the messages of the next call that ends.
     async fn ends(&mut self) -> Vec<(u32, Outcome)> {
-        match timeout(PATIENCE, self.events.recv()).await {
+        match timeout(TEST_TIMEOUT, self.events.recv()).await {
             Ok(Some(Inbound::CallEnded(ends))) => ends.iter().map(|e| (e.message.0, e.outcome)).collect(),
             other => panic!("{other:?}"),
         }
@@ -64,27 +64,27 @@
     let run = async {
         let mut world = World::new().await?;
         // No message is left: the connection is made, and kept.
-        world.calls.start(world.line, vec![part(1), part(2)]);
+        world.calls.start(world.target, vec![part(1), part(2)]);
         assert_eq!(world.calls.give_up(MessageId(1)), [0]);
         assert_eq!(world.calls.give_up(MessageId(2)), [0]);
-        assert_eq!(world.ends().await, [(1, NEVER), (2, NEVER)]);
+        assert_eq!(world.ends().await, [(1, NEVER_RAN), (2, NEVER_RAN)]);
         let (mut stream, _) = world.listener.accept().await?;
         // The other messages are sent.
-        world.calls.start(world.line, vec![part(3), part(4), part(5)]);
+        world.calls.start(world.target, vec![part(3), part(4), part(5)]);
         assert_eq!(world.calls.give_up(MessageId(4)), [0]);
         let text = read(&mut stream).await?;
         assert!(text.contains("m3") && text.contains("m5") && !text.contains("m4"), "{text}");
         assert_eq!(world.calls.give_up(MessageId(5)), [0; 0], "the message may run");
         stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 26\r\n\r\n").await?;
         stream.write_all(br#"[{"id":"m3","state":"ok"}]"#).await?;
-        assert_eq!(world.ends().await, [(3, Outcome::Delivered), (4, NEVER), (5, Outcome::Error)]);
+        assert_eq!(world.ends().await, [(3, Outcome::Delivered), (4, NEVER_RAN), (5, Outcome::Error)]);
         // A single remaining message is sent as a single one, not as a batch.
-        world.calls.start(world.line, vec![part(6), part(7)]);
+        world.calls.start(world.target, vec![part(6), part(7)]);
         assert_eq!(world.calls.give_up(MessageId(6)), [0]);
         let text = read(&mut stream).await?;
         assert!(text.starts_with("POST /v1/messages HTTP") && text.contains("m7"), "{text}");
         stream.write_all(ANSWER).await?;
-        assert_eq!(world.ends().await, [(6, NEVER), (7, Outcome::Delivered)]);
+        assert_eq!(world.ends().await, [(6, NEVER_RAN), (7, Outcome::Delivered)]);
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -96,13 +96,13 @@
 async fn a_message_whose_time_is_up_is_not_written() -> io::Result<()> {
     let run = async {
         let mut world = World::new().await?;
-        let late = Part { until: Instant::now(), ..part(1) };
-        world.calls.start(world.line, vec![late, part(2)]);
+        let late = CallMessage { until: Instant::now(), ..part(1) };
+        world.calls.start(world.target, vec![late, part(2)]);
         let (mut stream, _) = world.listener.accept().await?;
         let text = read(&mut stream).await?;
         assert!(text.starts_with("POST /v1/messages HTTP") && text.contains("m2"), "{text}");
         stream.write_all(ANSWER).await?;
-        assert_eq!(world.ends().await, [(1, NEVER), (2, Outcome::Delivered)]);
+        assert_eq!(world.ends().await, [(1, NEVER_RAN), (2, Outcome::Delivered)]);
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -114,19 +114,19 @@
 async fn no_byte_leaves_of_a_request_that_is_outdated() -> io::Result<()> {
     let run = async {
         let world = World::new().await?;
-        let (load, _off) = Load::new(world.line.endpoint);
-        let mut conn = Conn::open(world.line.address).await.map_err(io::Error::other)?;
-        conn.traffic.load.replace(Rc::downgrade(&load));
+        let (state, _off) = CallState::new(world.target.endpoint);
+        let mut conn = Conn::open(world.target.address).await.map_err(io::Error::other)?;
+        conn.traffic.state.replace(Rc::downgrade(&state));
         let parts = [part(1), part(2)];
-        let composed = load.compose(world.line, &parts, parts[0].until);
-        assert!(load.leave_out((MessageId(1), 0)));
+        let composed = state.compose(world.target, &parts, parts[0].until);
+        assert!(state.exclude((MessageId(1), 0)));
         let request = composed.map(|c| c.request).ok_or(io::ErrorKind::Other)?;
         assert!(conn.send(request).await.is_err());
-        assert_eq!((conn.traffic.written.get(), load.begun.get()), (0, false));
+        assert_eq!((conn.traffic.written.get(), state.write_started.get()), (0, false));
         // The remaining message is sent.
-        let mut conn = Conn::open(world.line.address).await.map_err(io::Error::other)?;
-        conn.traffic.load.replace(Rc::downgrade(&load));
-        let composed = load.compose(world.line, &parts, parts[0].until);
+        let mut conn = Conn::open(world.target.address).await.map_err(io::Error::other)?;
+        conn.traffic.state.replace(Rc::downgrade(&state));
+        let composed = state.compose(world.target, &parts, parts[0].until);
         let request = composed.map(|c| c.request).ok_or(io::ErrorKind::Other)?;
         let (mut first, _) = world.listener.accept().await?;
         assert_eq!(first.read(&mut [0]).await?, 0);
@@ -138,7 +138,7 @@
         };
         let (answer, answered) = tokio::join!(conn.send(request), answered);
         answered?;
-        assert!(answer.is_ok() && load.begun.get());
+        assert!(answer.is_ok() && state.write_started.get());
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -150,16 +150,16 @@
 async fn a_wait_told_before_an_answer_breaks_off_binds() -> io::Result<()> {
     let run = async {
         let mut world = World::new().await?;
-        world.calls.start(world.line, vec![part(1), part(2)]);
+        world.calls.start(world.target, vec![part(1), part(2)]);
         let (mut stream, _) = world.listener.accept().await?;
         read(&mut stream).await?;
         stream.write_all(b"HTTP/1.1 200 OK\r\nretry-after: 60\r\ncontent-length: 26\r\n\r\n[{").await?;
-        let told = timeout(PATIENCE, world.events.recv()).await?;
-        let wait = Event::RetryAfter { endpoint: world.line.endpoint, wait: 60_000_000 };
+        let told = timeout(TEST_TIMEOUT, world.events.recv()).await?;
+        let wait = Event::RetryAfter { endpoint: world.target.endpoint, wait: 60_000_000 };
         assert!(matches!(&told, Some(Inbound::Event(event)) if *event == wait), "{told:?}");
         // It applies even before the call is over.
-        world.calls.start(world.line, vec![part(3)]);
-        assert_eq!(world.ends().await, [(3, NEVER)]);
+        world.calls.start(world.target, vec![part(3)]);
+        assert_eq!(world.ends().await, [(3, NEVER_RAN)]);
         drop(stream);
         assert_eq!(world.ends().await, [(1, Outcome::Reset), (2, Outcome::Reset)]);
         Ok(())
@@ -169,24 +169,24 @@
 
 /// Runs `spoil` on the server's end of an idle connection immediately before its reuse, when the runtime has
 /// not polled its sockets since. The next call must use a new connection.
-async fn spoilt_while_idle(spoil: impl FnOnce(std::net::TcpStream) -> io::Result<()>) -> io::Result<()> {
+async fn reuse_after_spoiling(spoil: impl FnOnce(std::net::TcpStream) -> io::Result<()>) -> io::Result<()> {
     let mut world = World::new().await?;
-    world.calls.start(world.line, vec![part(1)]);
+    world.calls.start(world.target, vec![part(1)]);
     let (mut stream, _) = world.listener.accept().await?;
     read(&mut stream).await?;
     stream.write_all(ANSWER).await?;
     assert_eq!(world.ends().await, [(1, Outcome::Delivered)]);
     let kept = world.calls.clone();
-    let shelved = poll_fn(|cx| {
-        let idle = kept.0.idle.borrow().contains_key(&world.line);
+    let kept_idle = poll_fn(|cx| {
+        let idle = kept.0.idle.borrow().contains_key(&world.target);
         cx.waker().wake_by_ref();
         if idle { Poll::Ready(()) } else { Poll::Pending }
     });
-    timeout(PATIENCE, shelved).await?;
+    timeout(TEST_TIMEOUT, kept_idle).await?;
     // No await from here until the call has been started.
     spoil(stream.into_std()?)?;
-    world.calls.start(world.line, vec![part(2)]);
-    let (next, _) = timeout(PATIENCE, async {
+    world.calls.start(world.target, vec![part(2)]);
+    let (next, _) = timeout(TEST_TIMEOUT, async {
         tokio::select! {
             end = world.events.recv() => panic!("the call used the spoilt connection: {end:?}"),
             next = world.listener.accept() => next,
@@ -208,7 +208,7 @@
         drop(stream);
         Ok(())
     };
-    LocalSet::new().run_until(spoilt_while_idle(spoil)).await
+    LocalSet::new().run_until(reuse_after_spoiling(spoil)).await
 }
 
 /// Bytes that arrived on an idle connection before a request was written must not be taken for its response.
@@ -221,16 +221,16 @@
         left.replace(Some(stream));
         Ok(())
     };
-    LocalSet::new().run_until(spoilt_while_idle(spoil)).await
+    LocalSet::new().run_until(reuse_after_spoiling(spoil)).await
 }
 
 /// A message larger than the buffers between two sockets.
-fn large(message: u32) -> Part {
-    Part { body: Bytes::from(vec![b'x'; 32 << 20]), ..part(message) }
+fn large(message: u32) -> CallMessage {
+    CallMessage { body: Bytes::from(vec![b'x'; 32 << 20]), ..part(message) }
 }
 
 /// Reads until the connection ends. Returns whether the complete body was received.
-async fn came_whole(stream: &mut TcpStream) -> bool {
+async fn received_completely(stream: &mut TcpStream) -> bool {
     let (mut bytes, mut size) = (vec![0; 1 << 16], 0);
     while let Ok(n @ 1..) = stream.read(&mut bytes).await {
         size += n;
@@ -244,20 +244,20 @@
 async fn what_is_given_up_half_written_never_runs() -> io::Result<()> {
     let run = async {
         let mut world = World::new().await?;
-        world.calls.start(world.line, vec![large(1)]);
+        world.calls.start(world.target, vec![large(1)]);
         let (mut stream, _) = world.listener.accept().await?;
         stream.read_exact(&mut [0]).await?;
         assert_eq!(world.calls.give_up(MessageId(1)), [0]);
-        assert_eq!(world.ends().await, [(1, NEVER)]);
-        assert!(!came_whole(&mut stream).await);
+        assert_eq!(world.ends().await, [(1, NEVER_RAN)]);
+        assert!(!received_completely(&mut stream).await);
         // The same holds for requests that are being written when an endpoint leaves or the process hands
         // over.
-        world.calls.start(world.line, vec![large(4)]);
+        world.calls.start(world.target, vec![large(4)]);
         let (mut stream, _) = world.listener.accept().await?;
         stream.read_exact(&mut [0]).await?;
-        world.calls.withdraw(|_| true);
-        assert_eq!(world.ends().await, [(4, NEVER)]);
-        assert!(!came_whole(&mut stream).await);
+        world.calls.abort_unwritten(|_| true);
+        assert_eq!(world.ends().await, [(4, NEVER_RAN)]);
+        assert!(!received_completely(&mut stream).await);
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -269,13 +269,13 @@
 async fn a_request_half_written_when_its_time_is_up_never_ran() -> io::Result<()> {
     let run = async {
         let mut world = World::new().await?;
-        world.calls.start(world.line, vec![large(1)]);
+        world.calls.start(world.target, vec![large(1)]);
         let (mut stream, _) = world.listener.accept().await?;
         stream.read_exact(&mut [0]).await?;
         tokio::time::pause();
-        tokio::time::advance(PATIENCE).await;
+        tokio::time::advance(TEST_TIMEOUT).await;
         assert_eq!(world.ends().await, [(1, Outcome::ConnectFailed)]);
-        assert!(!came_whole(&mut stream).await);
+        assert!(!received_completely(&mut stream).await);
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -286,13 +286,13 @@
 async fn an_early_answer_ends_the_writing() -> io::Result<()> {
     let run = async {
         let mut world = World::new().await?;
-        world.calls.start(world.line, vec![large(1)]);
+        world.calls.start(world.target, vec![large(1)]);
         let (mut stream, _) = world.listener.accept().await?;
         stream.read_exact(&mut [0]).await?;
         // The body of the response does not arrive.
         stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 9\r\n\r\n").await?;
         assert_eq!(world.ends().await, [(1, Outcome::Full(None))]);
-        assert!(!came_whole(&mut stream).await);
+        assert!(!received_completely(&mut stream).await);
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -304,15 +304,15 @@
 async fn an_answer_ends_no_message_that_was_left_out() -> io::Result<()> {
     let run = async {
         let mut world = World::new().await?;
-        let late = Part { until: Instant::now(), ..part(1) };
-        world.calls.start(world.line, vec![late, part(2)]);
+        let late = CallMessage { until: Instant::now(), ..part(1) };
+        world.calls.start(world.target, vec![late, part(2)]);
         let (mut stream, _) = world.listener.accept().await?;
         assert!(read(&mut stream).await?.starts_with("POST /v1/messages HTTP"));
         stream.write_all(b"HTTP/1.1 410 Gone\r\ncontent-length: 0\r\n\r\n").await?;
-        let ends = timeout(PATIENCE, world.events.recv()).await?;
+        let ends = timeout(TEST_TIMEOUT, world.events.recv()).await?;
         let Some(Inbound::CallEnded(ends)) = ends else { panic!("{ends:?}") };
         let gone: Vec<_> = ends.iter().map(|end| (end.message.0, end.outcome, end.gone)).collect();
-        assert_eq!(gone, [(1, NEVER, false), (2, NEVER, true)]);
+        assert_eq!(gone, [(1, NEVER_RAN, false), (2, NEVER_RAN, true)]);
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -324,13 +324,13 @@
 async fn a_repeat_whose_window_is_over_is_not_written() -> io::Result<()> {
     let run = async {
         let mut world = World::new().await?;
-        let late = Part { write_by: Instant::now(), ..part(1) };
-        world.calls.start(world.line, vec![late, part(2)]);
+        let late = CallMessage { write_by: Instant::now(), ..part(1) };
+        world.calls.start(world.target, vec![late, part(2)]);
         let (mut stream, _) = world.listener.accept().await?;
         let text = read(&mut stream).await?;
         assert!(text.starts_with("POST /v1/messages HTTP") && text.contains("m2"), "{text}");
         stream.write_all(ANSWER).await?;
-        assert_eq!(world.ends().await, [(1, NEVER), (2, Outcome::Delivered)]);
+        assert_eq!(world.ends().await, [(1, NEVER_RAN), (2, Outcome::Delivered)]);
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -346,7 +346,7 @@
             ("HTTP/1.1 200 OK\r\n", Outcome::Delivered),
             ("HTTP/1.1 200 OK\r\ncontent-le", Outcome::Delivered),
         ] {
-            world.calls.start(world.line, vec![part(1)]);
+            world.calls.start(world.target, vec![part(1)]);
             let (mut stream, _) = world.listener.accept().await?;
             read(&mut stream).await?;
             stream.write_all(answer.as_bytes()).await?;
@@ -365,13 +365,13 @@
     let run = async {
         let mut world = World::new().await?;
         for answer in ["HTTP/1.1 410 Gone", "HTTP/1.1 504 Late"] {
-            world.calls.start(world.line, vec![part(1), part(2)]);
+            world.calls.start(world.target, vec![part(1), part(2)]);
             let (mut stream, _) = world.listener.accept().await?;
             read(&mut stream).await?;
             stream
                 .write_all(format!("{answer}\r\ncontent-length: 0\r\nconnection: close\r\n\r\n").as_bytes())
                 .await?;
-            let ends = timeout(PATIENCE, world.events.recv()).await?;
+            let ends = timeout(TEST_TIMEOUT, world.events.recv()).await?;
             let Some(Inbound::CallEnded(ends)) = ends else { panic!("{ends:?}") };
             assert!(ends.iter().all(|end| end.outcome == Outcome::Error && !end.gone), "{answer}: {ends:?}");
         }
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -40,30 +40,30 @@
 use super::platform::{self, Notice};
 use super::working_set::WorkingSet;
 pub use service::run;
-use takeover::Covered;
+use takeover::ReplicationState;
 
 use super::{AttemptEnd, Clock, Inbound, STOP_WITHIN, ServiceState};
 
 /// Time from SIGTERM until all clients use other senders.
-const STILL_CALLED: Micros = 1_000_000;
+const CLIENT_SWITCH_TIME: Micros = 1_000_000;
 /// Retry-After for clients while the journal has no capacity left.
-const NO_ROOM_AGAIN: Micros = 1_000_000;
+const RETRY_WHEN_FULL: Micros = 1_000_000;
 
 /// A drain of this process that is in progress.
 #[derive(Debug, Clone, Copy)]
 struct Drain {
     since: Micros,
-    by: Option<Micros>,
+    deadline: Option<Micros>,
 }
 
 /// A message submitted within this iteration; it is not in the journal yet.
-struct Fresh {
+struct NewMessage {
     taken: AcceptedMessage,
     /// The clients that wait for the answer: more than one if a client submitted the message again.
     answers: Vec<oneshot::Sender<Answer>>,
 }
 
-impl Fresh {
+impl NewMessage {
     fn answer(self, answer: Answer) {
         for waiting in self.answers {
             // The receiver is gone if the client disconnected, which is reported as `Inbound::Withdrawn`.
@@ -85,26 +85,26 @@
     calls: Calls,
     peers: Option<Peers>,
     notices: UnboundedSender<Notice>,
-    wanted: Rc<platform::Wanted>,
+    list_requests: Rc<platform::ListRequests>,
     /// One service answers the list watches of all senders, rather than an agent on each machine.
-    shared: bool,
+    shared_list_service: bool,
     inbound: UnboundedSender<Inbound>,
-    standing: watch::Sender<ServiceState>,
+    service_state: watch::Sender<ServiceState>,
     stop_at: Option<Micros>,
     /// Set while operators have taken the process out of service.
     drain: Option<Drain>,
     /// The optional components that the configuration enables.
     parts: Parts,
     /// State of the messages replicated to other senders.
-    covered: Covered,
+    replicated: ReplicationState,
     intake: Rc<Intake>,
     /// Endpoints of resident destinations.
     endpoints: HashMap<EndpointId, KnownEndpoint>,
     /// Which destinations the decision module knows, and the complete list if it is long.
-    working: WorkingSet,
+    working_set: WorkingSet,
     /// Endpoint ids by name, and the number of ids assigned so far.
     ids: HashMap<String, EndpointId>,
-    given: u64,
+    ids_assigned: u64,
     /// The list's version.
     index: u64,
     timers: BTreeSet<(Micros, u64)>,
@@ -114,11 +114,11 @@
     /// Number of attempts started for each message in hand.
     attempts: HashMap<u32, u16>,
     /// Messages submitted since the last iteration, or in the current one.
-    fresh: BTreeMap<u32, Fresh>,
+    new_messages: BTreeMap<u32, NewMessage>,
     /// Records that are not in the journal yet; nothing may rely on them.
-    unwritten: Vec<Record>,
+    pending_records: Vec<Record>,
     /// Notices whose records are not in the journal yet.
-    unsaid: Vec<(u32, GivenUp, String)>,
+    pending_notices: Vec<(u32, GivenUp, String)>,
     /// The process that this one took over from, while it still runs.
     predecessor: Option<UnboundedSender<SuccessorCommand>>,
     /// A new process that asks to take over from this one.
@@ -150,14 +150,14 @@
         let now = self.clock.now();
         // The list may be outdated: an endpoint missing from it may still be in discovery's, so no drain mark
         // is removed.
-        let mut said = Vec::new();
+        let mut events = Vec::new();
         let whole = match known {
             List::Entries(body) => List::Entries(ListBody { snapshot: true, ..body }),
             table => table,
         };
-        self.take_list(whole, &mut said);
-        if self.working.beyond {
-            self.start_from_known();
+        self.handle_list(whole, &mut events);
+        if self.working_set.long_list {
+            self.startup_from_known();
         }
         let live: Vec<(u32, PendingMessage)> =
             self.journal.pending().iter().map(|(n, l)| (*n, l.clone())).collect();
@@ -167,7 +167,7 @@
             let class = self.names.borrow().class(&live.accepted.class);
             let given_up = match (live.given_up, class) {
                 (None, Some(_)) if self.parts.start.is_some() => {
-                    old.push((number, self.pressing(number, &live, now)));
+                    old.push((number, self.resume_deadline(number, &live, now)));
                     continue;
                 }
                 (None, Some(class)) => {
@@ -178,34 +178,39 @@
                         attempts = live.attempts.len(),
                         "message resumed from the journal"
                     );
-                    let class = self.as_taken(class, &live.accepted, &mut said);
-                    self.resumed(number, class, &live, now, &mut said);
+                    let class = self.class_when_accepted(class, &live.accepted, &mut events);
+                    self.resume(number, class, &live, now, &mut events);
                     continue;
                 }
                 (Some(how), _) => how,
                 (None, None) => live.outcome_without_class(),
             };
-            self.end_old(number, given_up, live.accepted);
+            self.end_recovered(number, given_up, live.accepted);
         }
         if let Some(starting) = &self.parts.start {
             starting.core.borrow_mut().backlog = Backlog::new(old, now);
         }
-        said
+        events
     }
 
     /// Ends a message of an earlier process and queues the notice to the platform.
-    fn end_old(&mut self, number: u32, how: GivenUp, taken: AcceptedMessage) {
+    fn end_recovered(&mut self, number: u32, how: GivenUp, taken: AcceptedMessage) {
         self.index_ended(number, final_state(how));
         self.counters.count_ended(&taken.class, how.into());
-        self.unwritten.push(Record::GivenUp(number, how));
-        self.unsaid.push((number, how, taken.id));
+        self.pending_records.push(Record::GivenUp(number, how));
+        self.pending_notices.push((number, how, taken.id));
     }
 
     /// Returns the class for a message of an earlier process: the current class of that name, with the
     /// stricter of its effect now and its effect when the message was accepted. An older version's journal
     /// does not record the effect; such a message may not be repeated. If the effects differ, a class is
     /// added that only these messages use.
-    fn as_taken(&mut self, class: usize, taken: &AcceptedMessage, said: &mut Vec<Event>) -> usize {
+    fn class_when_accepted(
+        &mut self,
+        class: usize,
+        taken: &AcceptedMessage,
+        events: &mut Vec<Event>,
+    ) -> usize {
         let Some(now) = self.settings.classes.get(class) else { return class };
         let effect = now.effect.stricter(taken.effect.unwrap_or(Effect::Once));
         if effect == now.effect {
@@ -222,7 +227,7 @@
         names.retired.insert(place);
         self.settings.classes.push(own);
         self.settings.retired.insert(place);
-        said.push(Event::Settings(Box::new(self.settings.clone())));
+        events.push(Event::Settings(Box::new(self.settings.clone())));
         place
     }
 
@@ -233,59 +238,59 @@
         inbound: UnboundedSender<Inbound>,
         seed: u64,
     ) -> (Vec<Event>, JoinHandle<()>) {
-        let knowledge = *predecessor.state;
+        let previous = *predecessor.state;
         let own = (self.settings.clone(), self.names.borrow().clone());
-        self.policy = knowledge.policy.after_handover(seed);
+        self.policy = previous.policy.after_handover(seed);
         let held = |class| self.policy.holds_class(class);
-        let (settings, names) = align_positions(own, &knowledge.settings, &knowledge.names, held);
-        self.endpoints = knowledge.endpoints;
-        self.working = knowledge.working;
-        let dropped = self.working.drop_other_form();
+        let (settings, names) = align_positions(own, &previous.settings, &previous.names, held);
+        self.endpoints = previous.endpoints;
+        self.working_set = previous.working;
+        let dropped = self.working_set.drop_other_formats();
         if dropped > 0 {
             tracing::warn!(
                 dropped,
                 "the saved routes of evicted destinations were written by another version and are discarded"
             );
         }
-        self.limits_told_by(&knowledge.settings, &settings);
-        self.go_by(settings.clone(), names, &knowledge.names);
-        self.ids = knowledge.ids;
-        self.given = knowledge.given;
-        self.index = knowledge.index;
-        self.timers = knowledge.timers;
-        if self.working.beyond {
+        self.discard_changed_limits(&previous.settings, &settings);
+        self.apply_settings(settings.clone(), names, &previous.names);
+        self.ids = previous.ids;
+        self.ids_assigned = previous.given;
+        self.index = previous.index;
+        self.timers = previous.timers;
+        if self.working_set.long_list {
             // The table of the complete list is not part of the handover.
-            self.wanted.whole.notify_one();
+            self.list_requests.fetch.notify_one();
         } else {
-            self.outgrow();
+            self.check_list_size();
         }
-        self.start_from_known();
-        self.next_message = knowledge.next_message;
-        self.held = knowledge.held;
-        self.attempts = knowledge.attempts;
+        self.startup_from_known();
+        self.next_message = previous.next_message;
+        self.held = previous.held;
+        self.attempts = previous.attempts;
         // Notices are sent again if the journal has no record that the platform received them.
         let owed = self.journal.pending().iter();
         let owed =
             owed.filter_map(|(number, live)| Some((*number, live.given_up?, live.accepted.id.clone())));
-        self.unsaid.extend(owed.collect::<Vec<_>>());
+        self.pending_notices.extend(owed.collect::<Vec<_>>());
         let reset =
             |(message, attempt, endpoint)| AttemptEnd::unanswered(message, attempt, endpoint, Outcome::Reset);
         let out = self.policy.outstanding_attempts().map(reset).collect();
         let (orders, followed) = predecessor.link.follow(inbound, out);
         self.predecessor = Some(orders);
         // The new process may have draining switched on or off, or other zones and kinds.
-        let relisted = self.relisted(|_| true);
+        let relisted = self.relist(|_| true);
         let mut first = vec![Event::Settings(Box::new(settings)), relisted];
-        if self.working.beyond {
-            self.enter_for_held(&mut first);
+        if self.working_set.long_list {
+            self.load_for_held(&mut first);
         }
         (first, followed)
     }
 
     /// Puts these settings and names in force. The list refers to zones and kinds by position: each endpoint
     /// keeps its own by name.
-    fn go_by(&mut self, settings: Settings, names: Names, before: &Names) {
-        self.calls.adopt(limits(&settings, &names, self.connections));
+    fn apply_settings(&mut self, settings: Settings, names: Names, before: &Names) {
+        self.calls.set_limits(limits(&settings, &names, self.connections));
         self.counters.register_classes(&names);
         for known in self.endpoints.values_mut() {
             let Some(shape) = &mut known.shape else { continue };
@@ -301,9 +306,9 @@
     }
 
     /// Discards learned limits if the two settings differ in how limits are reported.
-    fn limits_told_by(&mut self, before: &Settings, now: &Settings) {
+    fn discard_changed_limits(&mut self, before: &Settings, now: &Settings) {
         if (before.weights, before.report) != (now.weights, now.report) {
-            self.working.limits_told_otherwise();
+            self.working_set.invalidate_limits();
         }
     }
 
@@ -312,24 +317,24 @@
         let drained = self.parts.draining.as_ref().map(|draining| draining.names()).unwrap_or_default();
         // Nobody changes the names during the transfer: only this task does.
         let names = self.names.borrow().clone();
-        let knowing = handover::HandoverStateRef {
+        let state = handover::HandoverStateRef {
             now: self.clock.now(),
             policy: &self.policy,
             settings: &self.settings,
             names: &names,
             endpoints: &self.endpoints,
             ids: &self.ids,
-            given: self.given,
+            given: self.ids_assigned,
             // Index 0 makes the next process fetch a long list in full, since its table is not transferred.
-            index: if self.working.beyond { 0 } else { self.index },
+            index: if self.working_set.long_list { 0 } else { self.index },
             timers: &self.timers,
             next_message: self.next_message,
             held: &self.held,
             attempts: &self.attempts,
-            working: &self.working,
+            working: &self.working_set,
             drained,
         };
-        handover::prepare_handover(stream, &knowing).await
+        handover::prepare_handover(stream, &state).await
     }
 
     /// Hands all other work to the next process, and stays only for calls and client requests in progress.
@@ -340,13 +345,13 @@
         intake: Rc<Intake>,
         events: UnboundedReceiver<Inbound>,
     ) {
-        self.standing.send_replace(ServiceState::HandedOver);
+        self.service_state.send_replace(ServiceState::HandedOver);
         tracing::info!(owed = self.journal.pending().len(), "handing over to a new process");
         self.counters.handed_over();
         self.calls.close_all_idle();
         // From here on the next process decides, and it could not cancel a call that waits for a connection
         // here in time.
-        self.calls.withdraw(|_| true);
+        self.calls.abort_unwritten(|_| true);
         if let Some(peers) = self.peers.take() {
             peers.close().await;
         }
@@ -361,25 +366,25 @@
     }
 
     /// Translates a message from a task into events for the decision module.
-    fn fold(&mut self, inbound: Inbound, said: &mut Vec<Event>) {
+    fn handle_inbound(&mut self, inbound: Inbound, events: &mut Vec<Event>) {
         match inbound {
-            Inbound::Submitted(message) => self.handed_in(message, said),
+            Inbound::Submitted(message) => self.accept_message(message, events),
             Inbound::Withdrawn(id) => {
                 // An accepted message stays owed, since some client was told so, even if another client that
                 // used the same id disconnects. The same holds while another client still waits for the
                 // answer.
                 if let Some(number) = self.held.get(&id).copied()
-                    && let Some(fresh) = self.fresh.get_mut(&number)
+                    && let Some(fresh) = self.new_messages.get_mut(&number)
                 {
                     fresh.answers.retain(|waiting| !waiting.is_closed());
                     if fresh.answers.is_empty() {
-                        said.push(Event::Withdrawn(MessageId(number)));
-                        self.fresh.remove(&number);
-                        self.forget(number, &id);
+                        events.push(Event::Withdrawn(MessageId(number)));
+                        self.new_messages.remove(&number);
+                        self.release(number, &id);
                     }
                 }
             }
-            Inbound::CallEnded(ends) => ends.into_iter().for_each(|end| said.push(self.ended(end))),
+            Inbound::CallEnded(ends) => ends.into_iter().for_each(|end| events.push(self.attempt_ended(end))),
             Inbound::Event(event) => {
                 // The previous process may have received the response, so that `calls` does not know of the
                 // wait yet.
@@ -388,25 +393,25 @@
                 {
                     self.calls.hold(route, *wait);
                 }
-                said.push(event);
+                events.push(event);
             }
             Inbound::Datagram(from, content) => {
                 let now = self.clock.now();
                 if !self.with_parts(|parts, out| parts.datagram(now, from, &content, out)) {
-                    said.push(Event::Note { from, content });
+                    events.push(Event::Note { from, content });
                 }
             }
             Inbound::ListReceived(list) => {
-                self.take_list(list, said);
-                self.start_listed();
+                self.handle_list(list, events);
+                self.startup_list_changed();
                 self.forget_marks();
             }
             Inbound::NoticesAcknowledged(messages) => {
                 for MessageId(number) in messages {
                     if let Some(id) = self.journal.pending().get(&number).map(|l| l.accepted.id.clone()) {
-                        self.tell_of(number, Update::Over);
-                        self.unwritten.push(Record::Closed(number));
-                        self.forget(number, &id);
+                        self.update_backups(number, Update::Over);
+                        self.pending_records.push(Record::Closed(number));
+                        self.release(number, &id);
                     }
                 }
             }
@@ -423,7 +428,7 @@
                 let before = self.names.borrow().clone();
                 // Messages of this iteration are not in the decision module yet.
                 let comes = |class| {
-                    said.iter().any(|event| {
+                    events.iter().any(|event| {
                         matches!(event, Event::Accepted(m) if m.class == class)
                             || matches!(event, Event::Resumed { message, .. } if message.class == class)
                     })
@@ -435,14 +440,15 @@
                 let asking =
                     |s: &Settings| (s.list_on_request, s.rules.ask_every, s.senders, s.rules.drain_grace);
                 if asking(&settings) != asking(&self.settings) {
-                    let otherwise = platform::Following::new(&settings, self.shared, self.index, seed);
-                    self.wanted.otherwise.replace(Some(otherwise));
-                    self.wanted.whole.notify_one();
+                    let new_mode =
+                        platform::Following::new(&settings, self.shared_list_service, self.index, seed);
+                    self.list_requests.new_mode.replace(Some(new_mode));
+                    self.list_requests.fetch.notify_one();
                 }
-                self.limits_told_by(&self.settings.clone(), &settings);
-                self.go_by(settings.clone(), names, &before);
-                said.push(Event::Settings(Box::new(settings)));
-                said.push(self.relisted(|_| true));
+                self.discard_changed_limits(&self.settings.clone(), &settings);
+                self.apply_settings(settings.clone(), names, &before);
+                events.push(Event::Settings(Box::new(settings)));
+                events.push(self.relist(|_| true));
             }
             Inbound::Reloaded(Err(e)) => {
                 self.counters.count_reload(false);
@@ -453,40 +459,40 @@
                 );
             }
             Inbound::Service(wanted, done) => {
-                self.service(wanted, None, said);
+                self.set_service(wanted, None, events);
                 // The caller may have disconnected.
-                let _ = done.send(*self.standing.borrow());
+                let _ = done.send(*self.service_state.borrow());
             }
             Inbound::Control(ask, reply) => {
-                let _ = reply.send(self.control(ask, said));
+                let _ = reply.send(self.control(ask, events));
             }
             Inbound::StatusQuery(call, within, reply) => self.ask_status(*call, within, reply),
             Inbound::Terminate if self.stop_at.is_some() => {}
             Inbound::Terminate => {
                 let at = self.clock.now() + STOP_WITHIN;
                 self.stop_at = Some(at);
-                self.standing.send_replace(ServiceState::Stopping);
+                self.service_state.send_replace(ServiceState::Stopping);
                 tracing::info!(owed = self.journal.pending().len(), "shutdown requested");
                 let now = self.clock.now();
                 self.with_parts(|parts, out| parts.serving(now, false, out));
                 // The module judges all messages by the time left, so it must know the ones of earlier
                 // processes, too.
-                said.extend(self.resume_all());
-                said.push(Event::Stopping(at));
+                events.extend(self.resume_all());
+                events.push(Event::Stopping(at));
             }
         }
     }
 
-    fn handed_in(&mut self, message: Submission, said: &mut Vec<Event>) {
+    fn accept_message(&mut self, message: Submission, events: &mut Vec<Event>) {
         let Submission { taken, answer, .. } = message;
         if let Some(number) = self.held.get(&taken.id) {
             // The client did not receive the answer and submits the message again.
-            match self.fresh.get_mut(number) {
+            match self.new_messages.get_mut(number) {
                 Some(fresh) => fresh.answers.push(answer),
                 None => {
                     // The log number of a message granted since the last iteration may not be on disk yet.
-                    self.index_kept();
-                    drop(answer.send(self.taken_answer(&taken)));
+                    self.store_index();
+                    drop(answer.send(self.accepted_answer(&taken)));
                 }
             }
             return;
@@ -501,21 +507,21 @@
         };
         let effect = self.settings.classes.get(class).map(|class| class.effect);
         let taken = AcceptedMessage { effect, ..taken };
-        let pending: u64 = self.fresh.values().map(|fresh| Journal::reservation(&fresh.taken)).sum();
+        let pending: u64 = self.new_messages.values().map(|fresh| Journal::reservation(&fresh.taken)).sum();
         if !self.journal.has_capacity(&taken, pending) {
             self.counters.count_ended(&taken.class, MessageEnd::Deferred);
-            let _ = answer.send(Answer::Refused(NO_ROOM_AGAIN));
+            let _ = answer.send(Answer::Refused(RETRY_WHEN_FULL));
             return;
         }
         let number = self.next_message;
         self.next_message = number.wrapping_add(1);
-        self.enter(taken.destination, said);
-        said.push(Event::Accepted(self.message(number, class, &taken, self.clock.now())));
+        self.load(taken.destination, events);
+        events.push(Event::Accepted(self.message(number, class, &taken, self.clock.now())));
         self.held.insert(taken.id.clone(), number);
-        self.fresh.insert(number, Fresh { taken, answers: vec![answer] });
+        self.new_messages.insert(number, NewMessage { taken, answers: vec![answer] });
     }
 
-    fn ended(&mut self, end: AttemptEnd) -> Event {
+    fn attempt_ended(&mut self, end: AttemptEnd) -> Event {
         let number = end.message.0;
         let live = self.journal.pending().get(&number);
         let owed = live.filter(|live| live.given_up.is_none());
@@ -526,16 +532,16 @@
             terminal = end.gone || end.outcome == Outcome::Delivered;
             let never_ran = end.outcome.never_ran();
             if terminal {
-                self.tell_of(number, Update::Over);
+                self.update_backups(number, Update::Over);
             } else if never_ran {
-                self.tell_of(number, Update::NeverRan(end.attempt));
+                self.update_backups(number, Update::NeverRan(end.attempt));
             }
             if terminal {
                 // The endpoint knows that the message is over, but not with which outcome.
                 let delivered = end.outcome == Outcome::Delivered;
                 self.index_ended(number, if delivered { State::Delivered } else { State::Unknown });
             }
-            self.unwritten.push(if terminal {
+            self.pending_records.push(if terminal {
                 Record::Closed(number)
             } else {
                 Record::AttemptEnded { message: number, attempt: end.attempt, never_ran }
@@ -546,7 +552,7 @@
                 self.counters.count_ended(&class, MessageEnd::Answered);
             }
             if terminal {
-                self.forget(number, &id);
+                self.release(number, &id);
             }
         }
         Event::Ended {
@@ -576,29 +582,29 @@
         }
     }
 
-    fn forget(&mut self, number: u32, id: &str) {
+    fn release(&mut self, number: u32, id: &str) {
         self.calls.give_up(MessageId(number));
         self.attempts.remove(&number);
         self.held.remove(id);
     }
 
-    fn notify(&self, number: u32, how: GivenUp, id: String) {
+    fn send_notice(&self, number: u32, how: GivenUp, id: String) {
         let _ = self.notices.send(Notice { message: MessageId(number), id, how });
     }
 
     /// Returns the id for an endpoint's name, and assigns one if the name is new, even if no list has it.
-    fn id_of(&mut self, name: &str) -> EndpointId {
+    fn endpoint_id(&mut self, name: &str) -> EndpointId {
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
-        self.given += 1;
+        self.ids_assigned += 1;
         let mut bytes = [0; 6];
-        bytes.copy_from_slice(&self.given.to_be_bytes()[2..]);
+        bytes.copy_from_slice(&self.ids_assigned.to_be_bytes()[2..]);
         self.ids.insert(name.to_owned(), EndpointId(bytes));
         EndpointId(bytes)
     }
 
-    fn listed(&mut self, list: ListBody) -> Event {
+    fn apply_listing(&mut self, list: ListBody) -> Event {
         self.index = list.index;
         let names = self.names.clone();
         let names = names.borrow();
@@ -609,7 +615,7 @@
         for listing in list.endpoints {
             let (zone, kind) = (names.zone(&listing.zone), names.kind(&listing.kind));
             let named = Some((listing.zone, listing.kind));
-            let mut endpoint = self.id_of(&listing.name);
+            let mut endpoint = self.endpoint_id(&listing.name);
             let before = self.endpoints.get(&endpoint).filter(|known| known.group != listing.group);
             let mut entry = |endpoint, group, listing| {
                 let destination = DestinationId(group);
@@ -620,7 +626,7 @@
                 entry(endpoint, group, Listing::Gone);
                 self.endpoints.remove(&endpoint);
                 self.ids.remove(&listing.name);
-                endpoint = self.id_of(&listing.name);
+                endpoint = self.endpoint_id(&listing.name);
             }
             let state = match listing.status.as_str() {
                 "active" => Listing::Ready,
@@ -652,9 +658,9 @@
         let Some(at) = self.stop_at else { return false };
         let now = self.clock.now();
         let idle = self.journal.pending().is_empty() && clients == 0;
-        let called = now < at - STOP_WITHIN + STILL_CALLED;
+        let called = now < at - STOP_WITHIN + CLIENT_SWITCH_TIME;
         // A client whose request is still being read would lose it with the process.
-        (idle && !called && self.unwritten.is_empty())
+        (idle && !called && self.pending_records.is_empty())
             || (now >= at && self.calls.in_flight() == 0 && clients == 0)
     }
 }
--- a/src/net/driver/draining.rs
+++ b/src/net/driver/draining.rs
@@ -18,7 +18,7 @@
 use super::super::parts::draining::DrainingPart;
 use super::{Drain, Driver};
 
-fn not_on() -> Reply {
+fn not_enabled() -> Reply {
     Reply::call_error(&CallError::DrainingOff)
 }
 
@@ -33,16 +33,22 @@
     /// Takes this process out of service or puts it back. Returns false if the process is in another state
     /// already, such as stopping. A drain in progress gets the new deadline; without one it lasts as long as
     /// its messages.
-    pub(super) fn service(&mut self, wanted: bool, within: Option<Micros>, said: &mut Vec<Event>) -> bool {
-        let before = *self.standing.borrow();
+    pub(super) fn set_service(
+        &mut self,
+        wanted: bool,
+        within: Option<Micros>,
+        events: &mut Vec<Event>,
+    ) -> bool {
+        let before = *self.service_state.borrow();
         let asked = if wanted { ServiceState::InService } else { ServiceState::OutOfService };
         if !matches!(before, ServiceState::InService | ServiceState::OutOfService) {
             return false;
         }
         let now = self.clock.now();
         let until = within.map(|within| now + within);
-        if before != asked || until != self.drain.and_then(|drain| drain.by) {
-            self.standing.send_if_modified(|standing| std::mem::replace(standing, asked) != asked);
+        if before != asked || until != self.drain.and_then(|drain| drain.deadline) {
+            self.service_state
+                .send_if_modified(|service_state| std::mem::replace(service_state, asked) != asked);
             if before != asked {
                 tracing::info!(
                     serving = wanted,
@@ -52,18 +58,18 @@
                 self.with_parts(|parts, out| parts.serving(now, wanted, out));
             }
             let since = self.drain.map_or(now, |drain| drain.since);
-            self.drain = (!wanted).then_some(Drain { since, by: until });
+            self.drain = (!wanted).then_some(Drain { since, deadline: until });
             if until.is_some() {
                 // The deadline also holds for messages of earlier processes that wait for their turn.
-                said.extend(self.resume_all());
+                events.extend(self.resume_all());
             }
-            said.push(Event::Service { wanted, until });
+            events.push(Event::Service { wanted, until });
         }
         true
     }
 
     /// Answers management calls other than readiness and counters.
-    pub(super) fn control(&mut self, ask: ControlRequest, said: &mut Vec<Event>) -> Reply {
+    pub(super) fn control(&mut self, ask: ControlRequest, events: &mut Vec<Event>) -> Reply {
         match ask {
             ControlRequest::Drain => Reply::ok(&self.drain_report()),
             ControlRequest::Endpoints => Reply::ok(&self.endpoints_report()),
@@ -74,13 +80,15 @@
             ControlRequest::Status => self.status_report(),
             ControlRequest::Start => self.start_report(),
             ControlRequest::Plans => self.plans_report(),
-            ControlRequest::OutOfService(within) => match self.service(false, within, said) {
+            ControlRequest::OutOfService(within) => match self.set_service(false, within, events) {
                 true => Reply::ok(&self.drain_report()),
                 // A process that is shutting down can't return to service.
-                false => Reply::call_error(&CallError::Leaving(self.standing.borrow().status_line().trim())),
+                false => {
+                    Reply::call_error(&CallError::Leaving(self.service_state.borrow().status_line().trim()))
+                }
             },
             ControlRequest::DrainEndpoints(Endpoints { names, force }) => {
-                let Some(marks) = self.marks() else { return not_on() };
+                let Some(marks) = self.marks() else { return not_enabled() };
                 let list = self.list_about(names.iter().map(String::as_str));
                 let with = marks.with(&names, force, self.clock.now(), &borrowed(&list));
                 let with = match with {
@@ -97,20 +105,20 @@
                         return Reply::new(status, &body);
                     }
                 };
-                self.mark(with, said)
+                self.replace_marks(with, events)
             }
             ControlRequest::RestoreEndpoints(Endpoints { names, .. }) => {
-                let Some(marks) = self.marks() else { return not_on() };
+                let Some(marks) = self.marks() else { return not_enabled() };
                 let without = marks.without(&names);
-                self.mark(without, said)
+                self.replace_marks(without, events)
             }
         }
     }
 
     /// Replaces the marks. They are stored before the operator is answered, so that the answer holds after a
     /// restart.
-    fn mark(&mut self, marks: Marks, said: &mut Vec<Event>) -> Reply {
-        let Some(before) = self.marks() else { return not_on() };
+    fn replace_marks(&mut self, marks: Marks, events: &mut Vec<Event>) -> Reply {
+        let Some(before) = self.marks() else { return not_enabled() };
         let differs = |name: &str| before.get(name).is_some() != marks.get(name).is_some();
         let marked = before.iter().chain(marks.iter()).map(|(name, _)| name);
         let changed = marked.filter(|name| differs(name) && self.listing_of(name).is_some());
@@ -119,7 +127,7 @@
             if let Some(Err(e)) = self.parts.draining.as_mut().map(|draining| draining.store(marks)) {
                 return Reply::call_error(&CallError::Marks(e));
             }
-            said.push(self.relisted(|name| changed.contains(name)));
+            events.push(self.relist(|name| changed.contains(name)));
         }
         Reply::ok(&json!({"changed": changed, "drained": self.drained_report()}))
     }
@@ -140,7 +148,7 @@
 
     /// The list as discovery has it; of a long list only the destinations of these endpoints.
     fn list_about<'a>(&self, names: impl Iterator<Item = &'a str>) -> Vec<(String, u32, bool)> {
-        if let Some(table) = &self.working.table {
+        if let Some(table) = &self.working_set.table {
             let destinations = names.filter_map(|name| Some(self.listing_of(name)?.0));
             let destinations: BTreeSet<u32> = destinations.collect();
             let listed = destinations.into_iter().flat_map(|destination| table.of(destination));
@@ -151,7 +159,7 @@
     }
 
     /// The selected entries of the list, to be passed to the module again with the marks applied.
-    pub(super) fn relisted(&self, which: impl Fn(&str) -> bool) -> Event {
+    pub(super) fn relist(&self, which: impl Fn(&str) -> bool) -> Event {
         let known = self.endpoints.iter().filter(|(_, known)| known.listed && which(&known.name));
         let entry = |(endpoint, known): (&EndpointId, &KnownEndpoint)| {
             let EndpointAttributes { zone, kind, weight, active } = known.shape?;
@@ -188,22 +196,22 @@
     }
 
     fn drain_report(&self) -> Value {
-        let serving = *self.standing.borrow() == ServiceState::InService;
+        let serving = *self.service_state.borrow() == ServiceState::InService;
         let live = self.journal.pending();
         let left = RemainingWork {
             // Messages of this iteration are not in the journal yet.
-            owed: live.len() + self.fresh.len(),
+            owed: live.len() + self.new_messages.len(),
             calls_out: self.calls.in_flight(),
             clients: self.intake.open(),
-            unwritten: self.unwritten.len(),
+            unwritten: self.pending_records.len(),
         };
         let now = self.clock.now();
-        let by = self.drain.and_then(|drain| drain.by);
+        let by = self.drain.and_then(|drain| drain.deadline);
         let bare = self.marks().map(|marks| {
             let list = self.list_about(marks.iter().map(|(name, _)| name));
             marks.destinations_without_active(&borrowed(&list))
         });
-        json!({"state": left.state(serving), "standing": self.standing.borrow().status_line().trim(),
+        json!({"state": left.state(serving), "standing": self.service_state.borrow().status_line().trim(),
                "age_ms": self.drain.map(|drain| now.saturating_sub(drain.since) / 1000),
                "left_ms": by.map(|by| by.saturating_sub(now) / 1000),
                "owed": left.owed, "calls_out": left.calls_out, "clients": left.clients,
@@ -222,14 +230,14 @@
                    "messages_out": out.get(id).copied().unwrap_or(0)})
         });
         // A long list would not fit into a response.
-        let whole = !self.working.beyond;
+        let whole = !self.working_set.long_list;
         json!({"index": self.index, "draining": self.marks().is_some(), "whole": whole, "endpoints": report.collect::<Vec<_>>()})
     }
 
     /// Removes the marks of endpoints that are no longer in discovery's list.
     pub(super) fn forget_marks(&mut self) {
         // They may be in a long list that this process has not received yet.
-        if self.working.beyond && self.working.table.is_none() {
+        if self.working_set.long_list && self.working_set.table.is_none() {
             return;
         }
         let Some(marks) = self.marks() else { return };
--- a/src/net/driver/estimates.rs
+++ b/src/net/driver/estimates.rs
@@ -16,7 +16,7 @@
 /// What is to be estimated.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-enum Asked {
+enum EstimateRequest {
     Query(Query),
     Run(Run),
 }
@@ -57,7 +57,7 @@
 impl Driver {
     /// Estimates a cost; nothing is run or charged.
     pub(super) fn estimate(&self, body: &[u8]) -> Reply {
-        match self.estimated(body) {
+        match self.try_estimate(body) {
             Ok(reply) => reply,
             Err(why) => why.reply(),
         }
@@ -71,19 +71,19 @@
         }
     }
 
-    fn estimated(&self, body: &[u8]) -> Result<Reply, EstimateRequestError> {
+    fn try_estimate(&self, body: &[u8]) -> Result<Reply, EstimateRequestError> {
         let part = self.parts.estimate.as_ref().ok_or(EstimateRequestError::Off)?;
         let names = self.names.borrow();
         let now = self.clock.now();
         match serde_json::from_slice(body)? {
-            Asked::Query(query) => {
+            EstimateRequest::Query(query) => {
                 estimator::check(&query)?;
                 if !names.tenants.is_empty() && !names.tenants.contains(&query.tenant) {
                     return Err(EstimateRequestError::Tenant(query.tenant));
                 }
                 Ok(Reply::ok(&part.estimate(now, &query)))
             }
-            Asked::Run(run) => {
+            EstimateRequest::Run(run) => {
                 let tenant = names.tenants.iter().position(|tenant| *tenant == run.tenant);
                 let class = names.class(&run.class);
                 let outlook = |to| self.outlook(to, tenant);
@@ -96,7 +96,7 @@
 
     /// The maximum number of messages in one call, for each active endpoint of a destination.
     fn active_bundles(&self, to: u32) -> Vec<usize> {
-        if let Some(table) = &self.working.table {
+        if let Some(table) = &self.working_set.table {
             let active = table.of(to).into_iter().filter(|listing| listing.status == "active");
             let kind = |listing: Listing| self.names.borrow().kind(&listing.kind);
             let bundle = |kind: usize| self.settings.kinds.get(kind).map_or(1, |kind| kind.max_batch);
--- a/src/net/driver/residency.rs
+++ b/src/net/driver/residency.rs
@@ -1,7 +1,7 @@
 //! The working set of a long list: which destinations the decision module knows. A destination is loaded with
 //! its first message, before the module sees that message, and evicted when nothing depends on it any more.
 //! Lists and changes are passed to the module only as far as they concern resident destinations. Up to
-//! [`ALL_RESIDENT`] destinations, all are resident and every change is passed on as it comes.
+//! [`MAX_ALL_RESIDENT`] destinations, all are resident and every change is passed on as it comes.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -14,20 +14,20 @@
 use myrtleyard::start::Phase;
 
 use super::super::listing::{KnownEndpoint, ListBody, Listing};
-use super::super::working_set::{ALL_RESIDENT, Named, WHOLE_AGAIN};
+use super::super::working_set::{MAX_ALL_RESIDENT, NamedRoute, REFETCH_INTERVAL};
 use super::Driver;
 
 /// Evictions are at least this far apart, so that most iterations do not scan the endpoints of all resident
 /// destinations.
-const LEAVE_EVERY: Micros = 100_000;
+const EVICT_INTERVAL: Micros = 100_000;
 
 /// Status of an entry that is removed from the list.
-const LEFT: &str = "left";
+const STATUS_LEFT: &str = "left";
 
 /// Whether these are more distinct destinations than may all be resident.
-fn too_many(destinations: impl IntoIterator<Item = u32>) -> bool {
+fn exceeds_resident_limit(destinations: impl IntoIterator<Item = u32>) -> bool {
     let mut seen = HashSet::new();
-    destinations.into_iter().any(|destination| seen.insert(destination) && seen.len() > ALL_RESIDENT)
+    destinations.into_iter().any(|destination| seen.insert(destination) && seen.len() > MAX_ALL_RESIDENT)
 }
 
 /// Keeps the last entry of each name, in the order of the list.
@@ -40,169 +40,171 @@
 
 impl Driver {
     /// Processes a complete list or changes of it from discovery.
-    pub(super) fn take_list(&mut self, list: List, said: &mut Vec<Event>) {
-        let was_beyond = self.working.beyond;
+    pub(super) fn handle_list(&mut self, list: List, events: &mut Vec<Event>) {
+        let was_beyond = self.working_set.long_list;
         let event = match list {
-            List::Entries(body) if body.snapshot => self.whole_list(body),
-            List::Entries(body) if self.working.beyond => self.change_table(body),
+            List::Entries(body) if body.snapshot => self.handle_complete_list(body),
+            List::Entries(body) if self.working_set.long_list => self.apply_changes(body),
             List::Entries(body) => {
-                let event = self.listed(body);
-                self.restore(&event);
-                self.outgrow();
+                let event = self.apply_listing(body);
+                self.restore_evicted(&event);
+                self.check_list_size();
                 event
             }
-            List::Table { index, table } if table.destinations() <= ALL_RESIDENT => {
-                self.list_all(ListBody { index, snapshot: true, endpoints: table.iter().collect() })
+            List::Table { index, table } if table.destinations() <= MAX_ALL_RESIDENT => {
+                self.list_all_resident(ListBody { index, snapshot: true, endpoints: table.iter().collect() })
             }
-            List::Table { index, table } => self.swap_table(index, table),
+            List::Table { index, table } => self.replace_table(index, table),
         };
-        said.push(event);
-        if self.working.beyond && !was_beyond {
-            self.enter_for_held(said);
+        events.push(event);
+        if self.working_set.long_list && !was_beyond {
+            self.load_for_held(events);
         }
     }
 
-    fn whole_list(&mut self, body: ListBody) -> Event {
-        let there = body.endpoints.iter().filter(|listing| listing.status != LEFT);
-        if too_many(there.map(|listing| listing.group)) {
+    fn handle_complete_list(&mut self, body: ListBody) -> Event {
+        let there = body.endpoints.iter().filter(|listing| listing.status != STATUS_LEFT);
+        if exceeds_resident_limit(there.map(|listing| listing.group)) {
             let table = Table::new(body.endpoints);
-            return self.swap_table(body.index, Box::new(table));
+            return self.replace_table(body.index, Box::new(table));
         }
-        self.list_all(body)
+        self.list_all_resident(body)
     }
 
     /// Makes all destinations of this list resident.
-    fn list_all(&mut self, body: ListBody) -> Event {
-        let event = self.listed(body);
-        self.restore(&event);
-        self.working.all_resident();
+    fn list_all_resident(&mut self, body: ListBody) -> Event {
+        let event = self.apply_listing(body);
+        self.restore_evicted(&event);
+        self.working_set.make_all_resident();
         self.count_destinations();
         event
     }
 
     /// Stores a list of more destinations than may all be resident; the module is passed the resident ones
     /// only.
-    fn swap_table(&mut self, index: u64, table: Box<Table>) -> Event {
-        self.go_beyond();
-        let residents = self.working.all();
+    fn replace_table(&mut self, index: u64, table: Box<Table>) -> Event {
+        self.start_evicting();
+        let residents = self.working_set.residents();
         let endpoints = residents.into_iter().flat_map(|destination| table.of(destination)).collect();
-        self.working.table = Some(table);
-        self.listed(ListBody { index, snapshot: true, endpoints })
+        self.working_set.table = Some(table);
+        self.apply_listing(ListBody { index, snapshot: true, endpoints })
     }
 
     /// Loads the destinations of messages in hand that arrived while the list was short or missing.
-    pub(super) fn enter_for_held(&mut self, said: &mut Vec<Event>) {
+    pub(super) fn load_for_held(&mut self, events: &mut Vec<Event>) {
         let live = self.journal.pending().values().filter(|live| live.given_up.is_none());
         let held = live.map(|live| live.accepted.destination);
-        let fresh = self.fresh.values().map(|fresh| fresh.taken.destination);
+        let fresh = self.new_messages.values().map(|fresh| fresh.taken.destination);
         let destinations: BTreeSet<u32> = held.chain(fresh).collect();
         for destination in destinations {
-            self.enter(destination, said);
+            self.load(destination, events);
         }
     }
 
     /// Switches to a long list: destinations that were resident because all were may be evicted from now on.
-    fn go_beyond(&mut self) {
-        if !std::mem::replace(&mut self.working.beyond, true) {
+    fn start_evicting(&mut self) {
+        if !std::mem::replace(&mut self.working_set.long_list, true) {
             let now = self.clock.now();
             for known in self.endpoints.values() {
-                self.working.touch(known.group, now);
+                self.working_set.touch(known.group, now);
             }
         }
     }
 
     /// Switches to a long list if changes have added more destinations than may all be resident.
-    pub(super) fn outgrow(&mut self) {
+    pub(super) fn check_list_size(&mut self) {
         self.count_destinations();
-        if !self.working.beyond && self.working.listed > ALL_RESIDENT {
-            let table = Table::new(self.told_list());
-            self.go_beyond();
-            self.working.table = Some(Box::new(table));
+        if !self.working_set.long_list && self.working_set.listed > MAX_ALL_RESIDENT {
+            let table = Table::new(self.reported_list());
+            self.start_evicting();
+            self.working_set.table = Some(Box::new(table));
         }
     }
 
     fn count_destinations(&mut self) {
         let listed = self.endpoints.values().filter(|known| known.listed);
-        self.working.listed = listed.map(|known| known.group).collect::<HashSet<u32>>().len();
+        self.working_set.listed = listed.map(|known| known.group).collect::<HashSet<u32>>().len();
     }
 
     /// Applies changes of a long list: all of them to the table, those of resident destinations to the
     /// module.
-    fn change_table(&mut self, body: ListBody) -> Event {
+    fn apply_changes(&mut self, body: ListBody) -> Event {
         let mut told = Vec::new();
         let mut failed = None;
         for listing in last_of_each_name(body.endpoints) {
             // A change that exceeds the table's capacity still takes effect for resident destinations.
-            if let Some(table) = &mut self.working.table
+            if let Some(table) = &mut self.working_set.table
                 && let Err(why) = table.change(listing.clone(), Bounds::default().endpoints)
             {
                 failed = Some(why);
             }
             let known = self.ids.get(&listing.name).and_then(|id| self.endpoints.get(id));
             let before = known.map(|known| known.group);
-            if self.working.has(listing.group) {
+            if self.working_set.is_resident(listing.group) {
                 told.push(listing);
             } else if let Some(group) = before {
                 // It moved to a destination that is not resident: for the module it is gone.
-                told.push(Listing { group, status: LEFT.to_owned(), ..listing });
+                told.push(Listing { group, status: STATUS_LEFT.to_owned(), ..listing });
             }
         }
         if let Some(why) = &failed {
             let (code, remedy) = (why.code(), why.remedy());
             tracing::error!(code, remedy, "a change of the list of endpoints can't be applied: {why}");
         }
-        let worn = self.working.table.as_ref().is_some_and(|table| table.needs_rebuild());
+        let worn = self.working_set.table.as_ref().is_some_and(|table| table.needs_rebuild());
         if worn || failed.is_some() {
-            self.working.whole_due = true;
+            self.working_set.refetch_due = true;
         }
-        self.listed(ListBody { index: body.index, snapshot: false, endpoints: told })
+        self.apply_listing(ListBody { index: body.index, snapshot: false, endpoints: told })
     }
 
     /// Fetches the complete list if the table has accumulated many changes or failed to apply one, unless
     /// that was done recently.
-    fn ask_for_whole(&mut self, now: Micros) {
-        if self.working.whole_due && now >= self.working.asked_at + WHOLE_AGAIN {
-            self.working.whole_due = false;
-            self.working.asked_at = now;
-            self.wanted.whole.notify_one();
+    fn refetch_list(&mut self, now: Micros) {
+        if self.working_set.refetch_due && now >= self.working_set.fetched_at + REFETCH_INTERVAL {
+            self.working_set.refetch_due = false;
+            self.working_set.fetched_at = now;
+            self.list_requests.fetch.notify_one();
         }
     }
 
     /// Loads the destination, if need be, before a message for it is passed to the module.
-    pub(super) fn enter(&mut self, destination: u32, said: &mut Vec<Event>) {
+    pub(super) fn load(&mut self, destination: u32, events: &mut Vec<Event>) {
         let now = self.clock.now();
-        if !self.working.beyond || !self.working.touch(destination, now) {
+        if !self.working_set.long_list || !self.working_set.touch(destination, now) {
             return;
         }
-        let endpoints = self.working.table.as_ref().map(|table| table.of(destination)).unwrap_or_default();
-        let event = self.listed(ListBody { index: self.index, snapshot: false, endpoints });
-        self.enter_routes(destination, &event);
-        said.push(event);
+        let endpoints =
+            self.working_set.table.as_ref().map(|table| table.of(destination)).unwrap_or_default();
+        let event = self.apply_listing(ListBody { index: self.index, snapshot: false, endpoints });
+        self.restore_routes(destination, &event);
+        events.push(event);
         // During startup it may be cold. Hints from other senders hide no endpoints of a long list.
         if let Some(starting) = &self.parts.start
             && starting.core.borrow().phase().0 != Phase::Steady
         {
-            let since = self.cold(now).remove(&destination);
+            let since = self.cold_destinations(now).remove(&destination);
             let mut core = starting.core.borrow_mut();
             for (to, part) in core.parts(since.map(|_| destination)) {
                 let ago = now - since.unwrap_or(now);
-                said.push(Event::ReturnedCold { destination: DestinationId(to), ago, part });
+                events.push(Event::ReturnedCold { destination: DestinationId(to), ago, part });
             }
         }
     }
 
     /// Restores the saved routes of destinations in these entries that were evicted.
-    fn restore(&mut self, event: &Event) {
+    fn restore_evicted(&mut self, event: &Event) {
         let (Event::List(entries) | Event::Changes(entries)) = event else { return };
-        let away = entries.iter().map(|entry| entry.destination.0).filter(|to| self.working.away(*to));
+        let away =
+            entries.iter().map(|entry| entry.destination.0).filter(|to| self.working_set.needs_restore(*to));
         for destination in away.collect::<BTreeSet<u32>>() {
-            self.enter_routes(destination, event);
+            self.restore_routes(destination, event);
         }
     }
 
     /// Restores the module's routes to a destination, as saved at its eviction, before its endpoints are
     /// passed on.
-    fn enter_routes(&mut self, destination: u32, event: &Event) {
+    fn restore_routes(&mut self, destination: u32, event: &Event) {
         let (Event::List(entries) | Event::Changes(entries)) = event else { return };
         let to = DestinationId(destination);
         let apart = |kind: usize| self.settings.kinds.get(kind).is_some_and(|kind| kind.route_per_endpoint);
@@ -210,8 +212,8 @@
         let mut routes: BTreeSet<RouteId> =
             entries.map(|entry| (to, apart(entry.kind).then_some(entry.endpoint))).collect();
         let mut kept: BTreeMap<RouteId, Route> = BTreeMap::new();
-        for (name, route) in self.working.take(destination) {
-            let Some(id) = self.route_named(to, name) else { continue };
+        for (name, route) in self.working_set.take_saved(destination) {
+            let Some(id) = self.route_by_name(to, name) else { continue };
             // A requested wait binds in any case. Other state is meaningless if routes were per endpoint and
             // no longer are, or the other way round.
             if routes.is_empty() || routes.iter().any(|(_, apart)| apart.is_some() == id.1.is_some()) {
@@ -224,9 +226,9 @@
 
     /// Returns the route for an endpoint's name, or none if the name belongs to another destination by now.
     /// An endpoint that is missing from the list may come back, so it gets an entry.
-    fn route_named(&mut self, to: DestinationId, name: Option<String>) -> Option<RouteId> {
+    fn route_by_name(&mut self, to: DestinationId, name: Option<String>) -> Option<RouteId> {
         let Some(name) = name else { return Some((to, None)) };
-        let endpoint = self.id_of(&name);
+        let endpoint = self.endpoint_id(&name);
         let (group, bundle) = (to.0, 1);
         let known = self.endpoints.entry(endpoint).or_insert_with(|| KnownEndpoint {
             name,
@@ -243,23 +245,23 @@
 
     /// Evicts destinations that were idle for long and that nothing depends on.
     pub(super) fn leave(&mut self) {
-        if self.working.table.is_none() {
+        if self.working_set.table.is_none() {
             return;
         }
         let now = self.clock.now();
-        self.ask_for_whole(now);
-        if now < self.working.leave_at {
+        self.refetch_list(now);
+        if now < self.working_set.evict_at {
             return;
         }
-        self.working.leave_at = now + LEAVE_EVERY;
+        self.working_set.evict_at = now + EVICT_INTERVAL;
         let mut left: HashMap<u32, (Vec<(RouteId, Route)>, bool)> = HashMap::new();
-        for destination in self.working.idle(now) {
+        for destination in self.working_set.idle(now) {
             let outlook = self.policy.destination_summary(DestinationId(destination), usize::MAX);
             let binds =
                 outlook.routes.iter().any(|route| route.cold_share.is_some() || route.blocked_until > now);
             match self.policy.evict(DestinationId(destination), now) {
                 Some(routes) => drop(left.insert(destination, (routes, binds))),
-                None => self.working.stays(destination, now),
+                None => self.working_set.keep(destination, now),
             }
         }
         if left.is_empty() {
@@ -276,14 +278,14 @@
                 Some(id) => Some((Some(gone.get(&id)?.name.clone()), route)),
                 None => Some((None, route)),
             };
-            let routes: Vec<Named> = routes.into_iter().filter_map(name).collect();
-            self.working.left(destination, &routes, binds);
+            let routes: Vec<NamedRoute> = routes.into_iter().filter_map(name).collect();
+            self.working_set.evicted(destination, &routes, binds);
         }
     }
 
     /// Number of endpoints in discovery's list.
     pub(super) fn endpoints_listed(&self) -> usize {
-        match &self.working.table {
+        match &self.working_set.table {
             Some(table) => table.len(),
             None => self.endpoints.values().filter(|known| known.listed).count(),
         }
@@ -291,7 +293,7 @@
 
     /// Destination of the endpoint in discovery's list, and whether it is active.
     pub(super) fn listing_of(&self, name: &str) -> Option<(u32, bool)> {
-        if let Some(table) = &self.working.table {
+        if let Some(table) = &self.working_set.table {
             return table.get(name).map(|listing| (listing.group, listing.status == "active"));
         }
         let known = self.ids.get(name).and_then(|id| self.endpoints.get(id));
--- a/src/net/driver/service.rs
+++ b/src/net/driver/service.rs
@@ -32,24 +32,24 @@
 use super::super::platform::{self, Notice};
 use super::super::working_set::WorkingSet;
 use super::super::{Clock, Inbound, ServiceState};
-use super::takeover::Covered;
+use super::takeover::ReplicationState;
 use super::{Driver, limits};
 
 /// Pause after a failed takeover before the next one may ask, since sending the state is costly.
-const OFFER_AGAIN: Duration = Duration::from_millis(500);
+const OFFER_RETRY_PAUSE: Duration = Duration::from_millis(500);
 /// File descriptors that are used for neither clients nor endpoints.
-const OWN_SOCKETS: usize = 32;
+const RESERVED_DESCRIPTORS: usize = 32;
 /// Interval of checks while the process is stopping or a journal write has failed, microseconds.
-const WATCHFUL_EVERY: Micros = 50_000;
+const CHECK_INTERVAL: Micros = 50_000;
 /// Longest time between two iterations, microseconds.
-const IDLE_TURN: Micros = 60_000_000;
+const MAX_IDLE: Micros = 60_000_000;
 
 /// What the driver, the tasks beside it and the management calls share.
 struct Channels {
     inbound: UnboundedSender<Inbound>,
     notices: UnboundedSender<Notice>,
-    standing: watch::Sender<ServiceState>,
-    stand: watch::Receiver<ServiceState>,
+    service_state: watch::Sender<ServiceState>,
+    state_watch: watch::Receiver<ServiceState>,
     counters: Rc<Counters>,
 }
 
@@ -65,11 +65,11 @@
     inbound: UnboundedSender<Inbound>,
     events: UnboundedReceiver<Inbound>,
 ) -> Result<(), StartError> {
-    let (standing, stand) = watch::channel(ServiceState::Starting);
+    let (service_state, state_watch) = watch::channel(ServiceState::Starting);
     let counters = Rc::new(Counters::default());
     counters.register_classes(&config.names);
-    let called_at = open_mgmt(&config, &stand, &counters, in_force, &inbound).await?;
-    let own_sockets = OWN_SOCKETS + called_at.map_or(0, |_| mgmt::PLACES);
+    let called_at = open_mgmt(&config, &state_watch, &counters, in_force, &inbound).await?;
+    let own_sockets = RESERVED_DESCRIPTORS + called_at.map_or(0, |_| mgmt::PLACES);
     let places = (config.sockets.saturating_sub(own_sockets) / 2).max(1);
     let (claim, predecessor) = claim(&config, inherited.is_some()).await?;
     let (name, folder, listen, seed) =
@@ -79,7 +79,7 @@
         None => Clock::new(),
     };
     let (notices, owed) = unbounded_channel();
-    let channels = Channels { inbound: inbound.clone(), notices, standing, stand, counters };
+    let channels = Channels { inbound: inbound.clone(), notices, service_state, state_watch, counters };
     let (mut driver, known) = Driver::open(config, places, clock, channels).await?;
     let (first, followed) = match predecessor {
         Some(predecessor) => {
@@ -94,7 +94,7 @@
     // ended.
     let own_door = inherited.is_none();
     let (listener, address) = open_listener(inherited, listen).await?;
-    driver.standing.send_replace(ServiceState::InService);
+    driver.service_state.send_replace(ServiceState::InService);
     let mut tasks = driver.spawn_tasks(&listener, discovery, owed, seed);
     if claim.is_some() {
         // One handover at a time: what the previous process still reports is passed on to this process alone.
@@ -111,7 +111,7 @@
 /// Opens the management address, if one is configured, and returns the bound address.
 async fn open_mgmt(
     config: &Config,
-    stand: &watch::Receiver<ServiceState>,
+    state_watch: &watch::Receiver<ServiceState>,
     counters: &Rc<Counters>,
     in_force: InForce,
     inbound: &UnboundedSender<Inbound>,
@@ -120,7 +120,7 @@
     let failed = |why| StartError::Mgmt { address, why };
     let listener = TcpListener::bind(address).await.map_err(failed)?;
     let bound = listener.local_addr().map_err(failed)?;
-    let mgmt = Rc::new(Mgmt::new(stand.clone(), counters.clone(), in_force, inbound.clone()));
+    let mgmt = Rc::new(Mgmt::new(state_watch.clone(), counters.clone(), in_force, inbound.clone()));
     tokio::task::spawn_local(mgmt.listen(listener));
     Ok(Some(bound))
 }
@@ -175,7 +175,7 @@
         clock: Clock,
         channels: Channels,
     ) -> Result<(Self, List), StartError> {
-        let Channels { inbound, notices, standing, stand, counters } = channels;
+        let Channels { inbound, notices, service_state, state_watch, counters } = channels;
         let disk = config.disk - Parts::room(&config);
         let failed = |why| StartError::Journal { folder: config.state.clone(), why };
         let journal = Journal::open(&config.state, disk).map_err(failed)?;
@@ -192,34 +192,37 @@
             counters,
             peers,
             notices,
-            wanted: Rc::default(),
-            shared: config.start.as_ref().is_some_and(|section| section.source == Source::Service),
-            intake: Rc::new(Intake::new(clock, names.clone(), inbound.clone(), stand)),
+            list_requests: Rc::default(),
+            shared_list_service: config
+                .start
+                .as_ref()
+                .is_some_and(|section| section.source == Source::Service),
+            intake: Rc::new(Intake::new(clock, names.clone(), inbound.clone(), state_watch)),
             names,
             inbound,
-            standing,
+            service_state,
             stop_at: None,
             drain: None,
             parts,
-            covered: Covered::default(),
+            replicated: ReplicationState::default(),
             endpoints: HashMap::new(),
-            working: WorkingSet::default(),
+            working_set: WorkingSet::default(),
             ids: HashMap::new(),
-            given: 0,
+            ids_assigned: 0,
             index: list_version(&config.known).0,
             timers: BTreeSet::new(),
             held: HashMap::new(),
             attempts: HashMap::new(),
-            fresh: BTreeMap::new(),
-            unwritten: Vec::new(),
-            unsaid: Vec::new(),
+            new_messages: BTreeMap::new(),
+            pending_records: Vec::new(),
+            pending_notices: Vec::new(),
             predecessor: None,
             successor: None,
             policy: Policy::new(config.settings.clone(), config.seed, clock.now()),
             settings: config.settings,
         };
-        driver.resume_covered();
-        driver.resume_indexed();
+        driver.resume_replicated();
+        driver.resume_index();
         let kept = driver.parts.start.as_mut().and_then(|part| part.initial_list.take());
         Ok((driver, kept.map_or(config.known, List::Entries)))
     }
@@ -232,10 +235,10 @@
         owed: UnboundedReceiver<Notice>,
         seed: u64,
     ) -> Vec<JoinHandle<()>> {
-        let following = platform::Following::new(&self.settings, self.shared, self.index, seed);
+        let following = platform::Following::new(&self.settings, self.shared_list_service, self.index, seed);
         let paced = self.parts.start.as_ref().filter(|_| !self.settings.list_on_request);
         let pace = paced.map(|part| part.list_pacer(self.clock));
-        let (wanted, counters) = (self.wanted.clone(), self.counters.clone());
+        let (wanted, counters) = (self.list_requests.clone(), self.counters.clone());
         let inbound = self.inbound.clone();
         vec![
             tokio::task::spawn_local(self.intake.clone().listen(listener.clone(), self.connections)),
@@ -248,32 +251,32 @@
     fn due(&self) -> Micros {
         let now = self.clock.now();
         let timer = self.timers.first().map_or(Micros::MAX / 2, |timer| timer.0);
-        let watchful = self.stop_at.is_some() || !self.unwritten.is_empty();
-        let due = if watchful { timer.min(now + WATCHFUL_EVERY) } else { timer };
-        let due = due.min(self.parts.due().unwrap_or(due)).min(self.covered.due().unwrap_or(due));
-        due.min(self.working.due().unwrap_or(due)).min(now + IDLE_TURN)
+        let watchful = self.stop_at.is_some() || !self.pending_records.is_empty();
+        let due = if watchful { timer.min(now + CHECK_INTERVAL) } else { timer };
+        let due = due.min(self.parts.due().unwrap_or(due)).min(self.replicated.due().unwrap_or(due));
+        due.min(self.working_set.due().unwrap_or(due)).min(now + MAX_IDLE)
     }
 
     /// Collects what is due by the clock: the optional components, replicated messages, and the module's
     /// reminders.
-    fn fold_due(&mut self, said: &mut Vec<Event>) {
+    fn collect_due(&mut self, events: &mut Vec<Event>) {
         let now = self.clock.now();
         self.with_parts(|parts, out| parts.tick(now, out));
-        self.covered(said);
-        self.starting(said);
+        self.handle_takeover(events);
+        self.startup_work(events);
         while let Some(timer) = self.timers.pop_first() {
             if timer.0 > now {
                 self.timers.insert(timer);
                 break;
             }
-            said.push(Event::Timer(timer.1));
+            events.push(Event::Timer(timer.1));
         }
     }
 
     /// Before a handover, passes all messages of earlier processes to the module, once all records are in the
     /// journal.
     fn resume_for_successor(&mut self) {
-        if !self.unwritten.is_empty() || self.successor.is_none() {
+        if !self.pending_records.is_empty() || self.successor.is_none() {
             return;
         }
         let old = self.resume_all();
@@ -313,7 +316,7 @@
             }
             self.driver.resume_for_successor();
             // That iteration may have failed to write records: the next process waits until they are written.
-            if self.driver.unwritten.is_empty()
+            if self.driver.pending_records.is_empty()
                 && let Some(stream) = self.driver.successor.take()
                 && self.claim.is_some()
                 && let Some(offered) = self.offer(stream).await
@@ -342,16 +345,16 @@
     /// write.
     fn turn(&mut self, first: Option<Inbound>) {
         let driver = &mut self.driver;
-        let mut said: Vec<Event> = Vec::new();
+        let mut events: Vec<Event> = Vec::new();
         if let Some(inbound) = first {
-            driver.fold(inbound, &mut said);
+            driver.handle_inbound(inbound, &mut events);
         }
         while let Ok(inbound) = self.events.try_recv() {
-            driver.fold(inbound, &mut said);
+            driver.handle_inbound(inbound, &mut events);
         }
-        driver.fold_due(&mut said);
-        if !said.is_empty() || !driver.unwritten.is_empty() || !driver.unsaid.is_empty() {
-            driver.turn(said);
+        driver.collect_due(&mut events);
+        if !events.is_empty() || !driver.pending_records.is_empty() || !driver.pending_notices.is_empty() {
+            driver.turn(events);
         }
         driver.leave();
     }
@@ -363,7 +366,7 @@
         }
         let ends = self.driver.may_end(self.driver.intake.open());
         if ends {
-            self.driver.leave_waiting();
+            self.driver.record_held_calls();
         }
         ends
     }
@@ -373,14 +376,14 @@
     async fn offer(&mut self, stream: UnixStream) -> Option<PreparedHandover> {
         // Calls that still wait for a grant after the last iteration end as not made, which the next process
         // is told.
-        self.driver.give_waiting_up();
+        self.driver.cancel_held_calls();
         match self.driver.offer(stream).await {
             Ok(offered) => Some(offered),
             Err(e) => {
                 tracing::warn!("the new process did not take over, this one continues: {e}");
                 // A process that asks and dies repeatedly must not leave finished tasks behind.
                 self.tasks.retain(|task| !task.is_finished());
-                let rest = tokio::task::spawn_local(tokio::time::sleep(OFFER_AGAIN));
+                let rest = tokio::task::spawn_local(tokio::time::sleep(OFFER_RETRY_PAUSE));
                 let inbound = self.driver.inbound.clone();
                 let next = succeed(self.folder.clone(), inbound, Some(rest));
                 self.tasks.push(tokio::task::spawn_local(next));
--- a/src/net/driver/startup.rs
+++ b/src/net/driver/startup.rs
@@ -16,7 +16,7 @@
 
 impl Driver {
     /// The list as the list service reported it, in its format.
-    pub(super) fn told_list(&self) -> Vec<Listing> {
+    pub(super) fn reported_list(&self) -> Vec<Listing> {
         let names = self.names.borrow();
         let name = |names: &[String], at: usize| names.get(at).cloned().unwrap_or_default();
         let listed = self.endpoints.values().filter(|known| known.listed).filter_map(|known| {
@@ -38,13 +38,13 @@
     }
 
     /// To be called after the driver has processed a list or changes from the list service.
-    pub(super) fn start_listed(&mut self) {
+    pub(super) fn startup_list_changed(&mut self) {
         let now = self.clock.now();
         if self.parts.start.is_none() {
             return;
         }
-        let beyond = self.working.beyond;
-        let list = if beyond { Vec::new() } else { self.told_list() };
+        let beyond = self.working_set.long_list;
+        let list = if beyond { Vec::new() } else { self.reported_list() };
         match &mut self.parts.start {
             Some(starting) if beyond => starting.long_list_received(now, self.index),
             Some(starting) => starting.list_received(now, self.index, &list),
@@ -53,39 +53,39 @@
     }
 
     /// Starts from the list that an earlier process had.
-    pub(super) fn start_from_known(&mut self) {
-        let list = if self.working.beyond { Vec::new() } else { self.told_list() };
+    pub(super) fn startup_from_known(&mut self) {
+        let list = if self.working_set.long_list { Vec::new() } else { self.reported_list() };
         if let Some(starting) = &mut self.parts.start {
             starting.core.borrow_mut().load_cached(self.index, named(&list));
         }
     }
 
     /// Does the startup work of this iteration.
-    pub(super) fn starting(&mut self, said: &mut Vec<Event>) {
+    pub(super) fn startup_work(&mut self, events: &mut Vec<Event>) {
         let now = self.clock.now();
         let Some(starting) = &mut self.parts.start else { return };
         let (changed, old) = {
             let mut core = starting.core.borrow_mut();
             (core.changed(), core.backlog.take(now))
         };
-        if starting.is_store_due(now) && self.working.beyond {
+        if starting.is_store_due(now) && self.working_set.long_list {
             starting.discard_cached_list(now);
         } else if starting.is_store_due(now) {
-            let list = self.told_list();
+            let list = self.reported_list();
             if let Some(starting) = &mut self.parts.start {
                 starting.store_list(now, &list);
             }
         }
         if !changed.is_empty() {
-            said.push(self.relisted(|name| changed.contains(name)));
+            events.push(self.relist(|name| changed.contains(name)));
         }
-        self.resume_old(old, said);
-        self.share_cold(now, said);
+        self.resume_recovered(old, events);
+        self.share_cold(now, events);
     }
 
     /// Destinations whose active endpoints all started recently, and when the first of them did. The list's
     /// timestamps and this machine's clock are taken to agree.
-    pub(super) fn cold(&self, now: Micros) -> BTreeMap<u32, Micros> {
+    pub(super) fn cold_destinations(&self, now: Micros) -> BTreeMap<u32, Micros> {
         let mut cold: BTreeMap<u32, Micros> = BTreeMap::new();
         for known in self.endpoints.values().filter(|known| known.listed && known.active()) {
             let since = known.since_ms.saturating_mul(1000).min(now);
@@ -97,7 +97,7 @@
 
     /// While this sender starts up, tells the module which destinations are cold since their own start, and
     /// this sender's share of their capacity.
-    fn share_cold(&mut self, now: Micros, said: &mut Vec<Event>) {
+    fn share_cold(&mut self, now: Micros, events: &mut Vec<Event>) {
         let Some(starting) = &self.parts.start else { return };
         let mut core = starting.core.borrow_mut();
         if !core.shares_due(now) {
@@ -108,21 +108,21 @@
             *held.entry(live.accepted.destination).or_default() += 1;
         }
         core.set_held(held);
-        let cold = self.cold(now);
+        let cold = self.cold_destinations(now);
         for (destination, part) in core.parts(cold.keys().copied()) {
             let ago = now - cold.get(&destination).copied().unwrap_or(now);
-            said.push(Event::ReturnedCold { destination: DestinationId(destination), ago, part });
+            events.push(Event::ReturnedCold { destination: DestinationId(destination), ago, part });
         }
     }
 
     /// The time by which a message of an earlier process must be resumed: its deadline, or the end of the
     /// window in which it may be repeated.
-    pub(super) fn pressing(&self, number: u32, live: &PendingMessage, now: Micros) -> Micros {
+    pub(super) fn resume_deadline(&self, number: u32, live: &PendingMessage, now: Micros) -> Micros {
         live.accepted.deadline.min(self.write_by(number, live, None, now).unwrap_or(Micros::MAX))
     }
 
     /// Resumes messages of earlier processes, as far as this sender still owns them.
-    fn resume_old(&mut self, old: Vec<u32>, said: &mut Vec<Event>) {
+    fn resume_recovered(&mut self, old: Vec<u32>, events: &mut Vec<Event>) {
         let now = self.clock.now();
         for number in old {
             let Some(live) =
@@ -136,10 +136,10 @@
             }
             let class = self.names.borrow().class(&live.accepted.class);
             let Some(class) = class else {
-                self.end_old(number, live.outcome_without_class(), live.accepted);
+                self.end_recovered(number, live.outcome_without_class(), live.accepted);
                 continue;
             };
-            let class = self.as_taken(class, &live.accepted, said);
+            let class = self.class_when_accepted(class, &live.accepted, events);
             let (id, destination) = (&live.accepted.id, live.accepted.destination);
             tracing::debug!(
                 id,
@@ -147,17 +147,17 @@
                 attempts = live.attempts.len(),
                 "message resumed from the journal"
             );
-            self.resumed(number, class, &live, now, said);
+            self.resume(number, class, &live, now, events);
         }
     }
 
     /// Resumes all messages of earlier processes now, so that the module knows every message in hand from
     /// here on.
     pub(super) fn resume_all(&mut self) -> Vec<Event> {
-        let mut said = Vec::new();
+        let mut events = Vec::new();
         let old = self.parts.start.as_ref().map(|part| part.core.borrow_mut().backlog.take(Micros::MAX));
-        self.resume_old(old.unwrap_or_default(), &mut said);
-        said
+        self.resume_recovered(old.unwrap_or_default(), &mut events);
+        events
     }
 
     /// The report on the progress of startup, for operators.
--- a/src/net/driver/status_index.rs
+++ b/src/net/driver/status_index.rs
@@ -12,9 +12,9 @@
 use super::super::journal::{AcceptedMessage, GivenUp};
 use super::super::parts::Part;
 use super::super::parts::status::final_state;
-use super::{Driver, Fresh};
+use super::{Driver, NewMessage};
 
-fn not_on() -> Reply {
+fn not_enabled() -> Reply {
     let why = "the status index is off: the configuration has no section \"status\"";
     Reply::error_with_code(
         StatusCode::NOT_FOUND,
@@ -26,7 +26,7 @@
 
 impl Driver {
     /// Brings the index in line with the messages in the journal at startup.
-    pub(super) fn resume_indexed(&mut self) {
+    pub(super) fn resume_index(&mut self) {
         let now = self.clock.now();
         if let Some(indexing) = &mut self.parts.status {
             indexing.reconcile(self.journal.pending().values(), now);
@@ -34,7 +34,7 @@
     }
 
     /// Adds accepted messages to the index and stores it before the clients are answered.
-    pub(super) fn index_taken(&mut self, fresh: &BTreeMap<u32, Fresh>, now: Micros) {
+    pub(super) fn index_accepted(&mut self, fresh: &BTreeMap<u32, NewMessage>, now: Micros) {
         let Some(indexing) = &mut self.parts.status else { return };
         for fresh in fresh.values() {
             indexing.message_accepted(&fresh.taken, now, 0);
@@ -45,7 +45,7 @@
     }
 
     /// Stores the index, before a log number of it is given to a client.
-    pub(super) fn index_kept(&mut self) {
+    pub(super) fn store_index(&mut self) {
         let now = self.clock.now();
         if let Some(indexing) = &mut self.parts.status {
             indexing.store(now);
@@ -78,7 +78,7 @@
 
     /// The answer to the client whose message was accepted: with a session token if its tenant's plan has
     /// sessions.
-    pub(super) fn taken_answer(&self, taken: &AcceptedMessage) -> Answer {
+    pub(super) fn accepted_answer(&self, taken: &AcceptedMessage) -> Answer {
         let token = self.parts.plans.as_ref().zip(self.parts.status.as_ref());
         let token = token.and_then(|(reading, indexing)| reading.token(taken, indexing));
         token.map_or(Answer::Taken, Answer::TakenAt)
@@ -118,7 +118,7 @@
                 }
             }
             // The caller may have disconnected.
-            (None, ..) => drop(reply.send(not_on())),
+            (None, ..) => drop(reply.send(not_enabled())),
         }
     }
 
@@ -126,7 +126,7 @@
     pub(super) fn status_report(&self) -> Reply {
         match &self.parts.status {
             Some(indexing) => Reply::ok(&indexing.report(self.clock.now())),
-            None => not_on(),
+            None => not_enabled(),
         }
     }
 }
--- a/src/net/driver/takeover.rs
+++ b/src/net/driver/takeover.rs
@@ -16,19 +16,19 @@
 use super::super::journal::{self, AcceptedMessage, GivenUp, PendingMessage, Record, acceptance_records};
 use super::super::parts::Part;
 use super::turn::PlannedCall;
-use super::{Driver, MessageEnd, NO_ROOM_AGAIN};
+use super::{Driver, MessageEnd, RETRY_WHEN_FULL};
 
 /// Maximum number of messages adopted in one iteration. It keeps iterations short, so that messages from this
 /// sender's own clients are handled in between.
-const ADOPTED_AT_ONCE: usize = 16;
+const MAX_ADOPTIONS: usize = 16;
 /// Maximum time that a call waits for its grant, or one lease if that is shorter; then the module is told
 /// that the call was not made. It is well below the time in which calls to a draining endpoint must have
 /// ceased.
-const WAITS_FOR: Micros = 500_000;
+const MAX_GRANT_WAIT: Micros = 500_000;
 
 /// The record of a message that its backups store.
 #[derive(Serialize, Deserialize)]
-struct Told {
+struct MessageRecord {
     taken: AcceptedMessage,
     owner: Option<String>,
     /// When it was accepted.
@@ -55,7 +55,7 @@
 
 /// A message that waits to be adopted.
 struct Adoption {
-    told: Told,
+    told: MessageRecord,
     tag: ReplicaTag,
     /// Attempts of its first owner that the backups do not know of started at this time or later.
     heard: Micros,
@@ -65,7 +65,7 @@
 /// State of replicated messages. It is bounded by the messages in hand and by those of replica groups that
 /// were taken over.
 #[derive(Default)]
-pub(super) struct Covered {
+pub(super) struct ReplicationState {
     numbers: BTreeMap<(ReplicaGroupId, Item), u32>,
     calls: Vec<HeldCall>,
     notices: Vec<HeldNotice>,
@@ -73,14 +73,14 @@
     adoptions: Vec<Adoption>,
     beyond_reach: u64,
     /// Messages without usable backups, which may be replicated again.
-    bare: BTreeSet<u32>,
-    anew: u64,
+    unreplicated: BTreeSet<u32>,
+    replicated_again: u64,
 }
 
-impl Covered {
+impl ReplicationState {
     /// When this state must be checked next.
     pub(super) fn due(&self) -> Option<Micros> {
-        let calls = self.calls.iter().map(|held| held.since + WAITS_FOR);
+        let calls = self.calls.iter().map(|held| held.since + MAX_GRANT_WAIT);
         let notices = self.notices.iter().map(|held| held.until);
         // An adoption that failed is retried in the next iteration.
         let adoptions = self.adoptions.first().map(|_| 0);
@@ -88,7 +88,7 @@
     }
 }
 
-impl Told {
+impl MessageRecord {
     /// The record of a message accepted at `since`.
     fn of(taken: &AcceptedMessage, since: Micros) -> Self {
         Self { taken: taken.clone(), owner: taken.owner.clone(), since }
@@ -97,60 +97,60 @@
 
 impl Driver {
     /// Assigns an accepted message to a replica group, if it can be replicated.
-    pub(super) fn place(&mut self, taken: &AcceptedMessage, now: Micros) -> Option<ReplicaTag> {
+    pub(super) fn assign_group(&mut self, taken: &AcceptedMessage, now: Micros) -> Option<ReplicaTag> {
         let covering = self.parts.takeover.as_mut()?;
         covering.core.place(taken.body.len(), taken.deadline.saturating_sub(now)).ok()
     }
 
     /// Replicates a message that is in the journal to its backups.
-    pub(super) fn cover(&mut self, number: u32, now: Micros) {
+    pub(super) fn replicate(&mut self, number: u32, now: Micros) {
         let Some(PendingMessage { accepted: taken, replicated: Some((tag, since)), .. }) =
             self.journal.pending().get(&number)
         else {
             return;
         };
-        let Ok(record) = postcard::to_allocvec(&Told::of(taken, *since)) else { return };
+        let Ok(record) = postcard::to_allocvec(&MessageRecord::of(taken, *since)) else { return };
         let (tag, id) = (tag.clone(), taken.id.clone());
         tracing::debug!(id, lot = tag.group.number, covers = ?tag.backups, "message replicated");
-        self.covered.numbers.insert((tag.group, tag.item), number);
-        self.tell(&tag, Update::Record(record), now);
+        self.replicated.numbers.insert((tag.group, tag.item), number);
+        self.send_update(&tag, Update::Record(record), now);
     }
 
-    fn tell(&mut self, tag: &ReplicaTag, fact: Update, now: Micros) -> Option<u32> {
+    fn send_update(&mut self, tag: &ReplicaTag, fact: Update, now: Micros) -> Option<u32> {
         self.parts.takeover.as_mut()?.core.replicate(now, tag.group, tag.item, fact)
     }
 
     /// Sends the backups an update of a replicated message.
-    pub(super) fn tell_of(&mut self, number: u32, fact: Update) {
+    pub(super) fn update_backups(&mut self, number: u32, fact: Update) {
         let live = self.journal.pending().get(&number);
         if let Some((tag, _)) = live.and_then(|live| live.replicated.clone()) {
             let over = fact == Update::Over;
-            self.tell(&tag, fact, self.clock.now());
+            self.send_update(&tag, fact, self.clock.now());
             if over {
-                self.covered.numbers.remove(&(tag.group, tag.item));
-                self.drop_waiting(number);
+                self.replicated.numbers.remove(&(tag.group, tag.item));
+                self.drop_held(number);
             }
         }
     }
 
-    fn drop_waiting(&mut self, number: u32) {
-        self.covered.bare.remove(&number);
+    fn drop_held(&mut self, number: u32) {
+        self.replicated.unreplicated.remove(&number);
         let over = |held: &mut HeldCall| held.call.message.0 == number;
-        let over: Vec<HeldCall> = self.covered.calls.extract_if(.., over).collect();
+        let over: Vec<HeldCall> = self.replicated.calls.extract_if(.., over).collect();
         // The module counts them as in flight until it is told otherwise.
-        over.into_iter().for_each(|held| self.not_made(held.call));
-        self.covered.notices.retain(|held| held.message != number);
+        over.into_iter().for_each(|held| self.report_not_made(held.call));
+        self.replicated.notices.retain(|held| held.message != number);
     }
 
     /// The earliest time at which other senders may have attempted the message, if they may repeat it.
-    pub(super) fn others_first(
+    pub(super) fn first_attempt_elsewhere(
         &mut self,
         live: &PendingMessage,
         class: usize,
     ) -> Option<(Micros, EndpointId)> {
         let since = live.replicated.as_ref()?.1;
         let keyed = matches!(self.settings.classes.get(class)?.effect, Effect::Keyed { .. });
-        keyed.then(|| (self.clock.now().saturating_sub(since), self.id_of("")))
+        keyed.then(|| (self.clock.now().saturating_sub(since), self.endpoint_id("")))
     }
 
     /// Whether an attempt may start only with a grant: always if it must not happen twice; for a keyed
@@ -170,7 +170,7 @@
 
     /// Replicates the intents of an iteration's calls, and holds back the calls that must wait for their
     /// grant.
-    pub(super) fn keep_back(&mut self, calls: Vec<PlannedCall>, now: Micros) -> Vec<PlannedCall> {
+    pub(super) fn hold_for_grants(&mut self, calls: Vec<PlannedCall>, now: Micros) -> Vec<PlannedCall> {
         if self.parts.takeover.is_none() {
             return calls;
         }
@@ -183,14 +183,14 @@
                 continue;
             };
             let needs = self.needs_grant(call.message, live, since, now);
-            let upto = self.tell(&tag, Update::Intent(call.attempt), now);
+            let upto = self.send_update(&tag, Update::Intent(call.attempt), now);
             let owned = self.parts.takeover.as_ref().is_some_and(|covering| covering.core.owns(tag.group));
             match upto {
                 Some(upto) if needs => {
-                    self.covered.calls.push(HeldCall { group: tag.group, upto, since: now, call });
+                    self.replicated.calls.push(HeldCall { group: tag.group, upto, since: now, call });
                 }
                 // Another sender owns it, which is about to be reported here.
-                None if needs && !owned => self.not_made(call),
+                None if needs && !owned => self.report_not_made(call),
                 _ => free.push(call),
             }
         }
@@ -198,15 +198,15 @@
     }
 
     /// Cancels all calls that wait for a grant; the next process is told so.
-    pub(super) fn give_waiting_up(&mut self) {
-        for held in std::mem::take(&mut self.covered.calls) {
-            self.not_made(held.call);
+    pub(super) fn cancel_held_calls(&mut self) {
+        for held in std::mem::take(&mut self.replicated.calls) {
+            self.report_not_made(held.call);
         }
     }
 
     /// The same at the end of the process: the journal records that these attempts never ran.
-    pub(super) fn leave_waiting(&mut self) {
-        let calls = std::mem::take(&mut self.covered.calls).into_iter();
+    pub(super) fn record_held_calls(&mut self) {
+        let calls = std::mem::take(&mut self.replicated.calls).into_iter();
         let never = calls.map(|held| {
             let PlannedCall { message, attempt, .. } = held.call;
             Record::AttemptEnded { message: message.0, attempt, never_ran: true }
@@ -219,27 +219,27 @@
     /// Notifies the platform of an outcome, once the backups know of it, too. A notice that is not granted by
     /// the message's deadline is sent all the same, with the outcome that is certain by then: nobody can
     /// deliver the message any more.
-    pub(super) fn end_told(&mut self, number: u32, how: GivenUp, id: String) {
+    pub(super) fn notify_when_granted(&mut self, number: u32, how: GivenUp, id: String) {
         let live = self.journal.pending().get(&number);
         let until = live.map_or(0, |live| live.accepted.deadline);
         let tag = live.and_then(|live| live.replicated.clone());
         let upto = tag.as_ref().and_then(|(tag, _)| {
-            let upto = self.tell(tag, Update::GivenUp(how), self.clock.now());
+            let upto = self.send_update(tag, Update::GivenUp(how), self.clock.now());
             upto.map(|upto| (tag.group, upto))
         });
         match upto {
             // It is too late to wait; `covered` does the same when a held notice is due.
-            Some(_) if self.clock.now() >= until => self.notify(number, GivenUp::Undeliverable, id),
+            Some(_) if self.clock.now() >= until => self.send_notice(number, GivenUp::Undeliverable, id),
             Some((group, upto)) => {
-                self.covered.notices.push(HeldNotice { group, upto, until, message: number, how, id });
+                self.replicated.notices.push(HeldNotice { group, upto, until, message: number, how, id });
             }
-            None => self.notify(number, how, id),
+            None => self.send_notice(number, how, id),
         }
     }
 
     /// Resumes the replica groups of an earlier process: asks the backups whether this process may go on with
     /// them.
-    pub(super) fn resume_covered(&mut self) {
+    pub(super) fn resume_replicated(&mut self) {
         let live = self.journal.pending().iter();
         let tags: Vec<(u32, ReplicaTag)> =
             live.filter_map(|(number, live)| Some((*number, live.replicated.clone()?.0))).collect();
@@ -247,13 +247,13 @@
         let Some(covering) = self.parts.takeover.as_mut() else { return };
         covering.core.resume(now, tags.iter().map(|(_, tag)| tag.clone()));
         let alone = tags.iter().filter(|(_, tag)| tag.backups.is_empty());
-        self.covered.bare.extend(alone.map(|(number, _)| *number));
+        self.replicated.unreplicated.extend(alone.map(|(number, _)| *number));
         let numbers = tags.into_iter().map(|(number, tag)| ((tag.group, tag.item), number));
-        self.covered.numbers.extend(numbers);
+        self.replicated.numbers.extend(numbers);
     }
 
     /// Carries out what followed from other senders' datagrams and from elapsed time.
-    pub(super) fn covered(&mut self, said: &mut Vec<Event>) {
+    pub(super) fn handle_takeover(&mut self, events: &mut Vec<Event>) {
         let Some(covering) = self.parts.takeover.as_mut() else { return };
         for come in covering.core.take_events() {
             match come {
@@ -269,60 +269,62 @@
                     for (item, known) in items {
                         let record = known.record.as_deref().unwrap_or_default();
                         let tag = ReplicaTag { group, epoch, item, backups: backups.clone() };
-                        let Ok(told) = postcard::from_bytes::<Told>(record) else {
+                        let Ok(told) = postcard::from_bytes::<MessageRecord>(record) else {
                             tracing::error!(
                                 lot = group.number,
                                 item,
                                 "the replicated record of a message can't be decoded; the message is dropped"
                             );
-                            self.tell(&tag, Update::Over, self.clock.now());
+                            self.send_update(&tag, Update::Over, self.clock.now());
                             continue;
                         };
                         let heard = heard.max(told.since);
-                        self.covered.adoptions.push(Adoption { told, tag, heard, known });
+                        self.replicated.adoptions.push(Adoption { told, tag, heard, known });
                     }
-                    self.covered.adoptions.sort_by_key(|a| std::cmp::Reverse(a.told.taken.deadline));
+                    self.replicated.adoptions.sort_by_key(|a| std::cmp::Reverse(a.told.taken.deadline));
                 }
                 GroupEvent::SoleOwner(group) => {
                     let (from, to) = ((group, Item::MIN), (group, Item::MAX));
-                    self.covered
-                        .bare
-                        .extend(self.covered.numbers.range(from..=to).map(|(_, number)| *number));
+                    self.replicated
+                        .unreplicated
+                        .extend(self.replicated.numbers.range(from..=to).map(|(_, number)| *number));
                 }
                 GroupEvent::Lost { group, items } => {
-                    self.covered.adoptions.retain(|a| a.tag.group != group || !items.contains(&a.tag.item));
-                    items.into_iter().for_each(|item| self.elsewhere((group, item), said));
+                    self.replicated
+                        .adoptions
+                        .retain(|a| a.tag.group != group || !items.contains(&a.tag.item));
+                    items.into_iter().for_each(|item| self.drop_lost((group, item), events));
                 }
                 GroupEvent::Finished(group, item) => {
-                    self.covered.adoptions.retain(|a| (a.tag.group, a.tag.item) != (group, item));
+                    self.replicated.adoptions.retain(|a| (a.tag.group, a.tag.item) != (group, item));
                     if let Some(covering) = &mut self.parts.takeover {
                         covering.core.replicate(self.clock.now(), group, item, Update::Over);
                     }
-                    self.elsewhere((group, item), said);
+                    self.drop_lost((group, item), events);
                 }
             }
         }
         let now = self.clock.now();
         let lease = self.parts.takeover.as_ref().map_or(0, |covering| covering.core.lease());
-        let late = |held: &mut HeldCall| now > held.since + lease.min(WAITS_FOR);
-        let late: Vec<HeldCall> = self.covered.calls.extract_if(.., late).collect();
-        late.into_iter().for_each(|held| self.not_made(held.call));
+        let late = |held: &mut HeldCall| now > held.since + lease.min(MAX_GRANT_WAIT);
+        let late: Vec<HeldCall> = self.replicated.calls.extract_if(.., late).collect();
+        late.into_iter().for_each(|held| self.report_not_made(held.call));
         let due = |held: &mut HeldNotice| now >= held.until;
-        let due: Vec<HeldNotice> = self.covered.notices.extract_if(.., due).collect();
+        let due: Vec<HeldNotice> = self.replicated.notices.extract_if(.., due).collect();
         // Another sender may have attempted it or may be attempting it now, so it can't be claimed any more
         // that it never ran.
-        due.into_iter().for_each(|held| self.notify(held.message, GivenUp::Undeliverable, held.id));
-        for _ in 0..ADOPTED_AT_ONCE {
-            let Some(number) = self.covered.bare.pop_first() else { break };
-            if !self.cover_anew(number, now) {
-                self.covered.bare.insert(number);
+        due.into_iter().for_each(|held| self.send_notice(held.message, GivenUp::Undeliverable, held.id));
+        for _ in 0..MAX_ADOPTIONS {
+            let Some(number) = self.replicated.unreplicated.pop_first() else { break };
+            if !self.replicate_again(number, now) {
+                self.replicated.unreplicated.insert(number);
                 break;
             }
         }
-        for _ in 0..ADOPTED_AT_ONCE {
-            let Some(next) = self.covered.adoptions.pop() else { break };
-            if let Err(again) = self.adopt(next, now, said) {
-                self.covered.adoptions.push(*again);
+        for _ in 0..MAX_ADOPTIONS {
+            let Some(next) = self.replicated.adoptions.pop() else { break };
+            if let Err(again) = self.adopt(next, now, events) {
+                self.replicated.adoptions.push(*again);
                 break;
             }
         }
@@ -330,7 +332,7 @@
 
     /// Moves a message whose replica group no other sender can come to own into a new group. Returns false if
     /// that is not possible now.
-    fn cover_anew(&mut self, number: u32, now: Micros) -> bool {
+    fn replicate_again(&mut self, number: u32, now: Micros) -> bool {
         let Some(live) = self.journal.pending().get(&number).cloned() else { return true };
         let Some((old, since)) = live.replicated.clone() else { return true };
         let left = live.accepted.deadline.saturating_sub(now);
@@ -341,7 +343,9 @@
         let Some(tag) = covering.core.place_rereplicated(live.accepted.body.len(), left) else {
             return false;
         };
-        let Ok(record) = postcard::to_allocvec(&Told::of(&live.accepted, since)) else { return true };
+        let Ok(record) = postcard::to_allocvec(&MessageRecord::of(&live.accepted, since)) else {
+            return true;
+        };
         if let Err(e) = self.journal.append(&[Record::Replicated(number, tag.clone(), since)]) {
             tracing::error!("writing the journal failed: {e}");
             return false;
@@ -358,47 +362,47 @@
         if let Some(covering) = self.parts.takeover.as_mut() {
             covering.core.replicate_all(now, tag.group, tag.item, &known);
         }
-        self.tell(&old, Update::Over, now);
-        self.covered.numbers.remove(&(old.group, old.item));
-        self.covered.numbers.insert((tag.group, tag.item), number);
-        self.covered.anew += 1;
+        self.send_update(&old, Update::Over, now);
+        self.replicated.numbers.remove(&(old.group, old.item));
+        self.replicated.numbers.insert((tag.group, tag.item), number);
+        self.replicated.replicated_again += 1;
         true
     }
 
     fn granted(&mut self, group: ReplicaGroupId, upto: u32) {
         let now = self.clock.now();
         let free = |held: &mut HeldCall| held.group == group && held.upto <= upto;
-        let free: Vec<HeldCall> = self.covered.calls.extract_if(.., free).collect();
+        let free: Vec<HeldCall> = self.replicated.calls.extract_if(.., free).collect();
         let owed = |held: &HeldCall| {
             let live = self.journal.pending().get(&held.call.message.0);
             live.is_some_and(|live| live.given_up.is_none())
         };
         let (free, over): (Vec<HeldCall>, _) = free.into_iter().partition(owed);
-        over.into_iter().for_each(|held| self.not_made(held.call));
+        over.into_iter().for_each(|held| self.report_not_made(held.call));
         let left = |HeldCall { since, call, .. }: HeldCall| {
             let timeout = call.timeout.saturating_sub(now - since);
             PlannedCall { timeout, ..call }
         };
-        self.begin(free.into_iter().map(left).collect(), now);
+        self.start_calls(free.into_iter().map(left).collect(), now);
         let told = |held: &mut HeldNotice| held.group == group && held.upto <= upto;
-        let told: Vec<HeldNotice> = self.covered.notices.extract_if(.., told).collect();
-        told.into_iter().for_each(|held| self.notify(held.message, held.how, held.id));
+        let told: Vec<HeldNotice> = self.replicated.notices.extract_if(.., told).collect();
+        told.into_iter().for_each(|held| self.send_notice(held.message, held.how, held.id));
     }
 
     /// Gives up a message that another sender owns now, or that is over.
-    fn elsewhere(&mut self, place: (ReplicaGroupId, Item), said: &mut Vec<Event>) {
-        let Some(number) = self.covered.numbers.remove(&place) else { return };
-        self.drop_waiting(number);
+    fn drop_lost(&mut self, place: (ReplicaGroupId, Item), events: &mut Vec<Event>) {
+        let Some(number) = self.replicated.numbers.remove(&place) else { return };
+        self.drop_held(number);
         let Some(live) = self.journal.pending().get(&number) else { return };
         let id = live.accepted.id.clone();
         tracing::debug!(id, lot = place.0.number, "message is owned by another sender now, or over");
-        said.push(Event::Withdrawn(MessageId(number)));
-        self.unwritten.push(Record::Closed(number));
-        self.forget(number, &id);
+        events.push(Event::Withdrawn(MessageId(number)));
+        self.pending_records.push(Record::Closed(number));
+        self.release(number, &id);
     }
 
     /// Adopts a message of another sender. Returns it as the error if the journal can't be written.
-    fn adopt(&mut self, from: Adoption, now: Micros, said: &mut Vec<Event>) -> Result<(), Box<Adoption>> {
+    fn adopt(&mut self, from: Adoption, now: Micros, events: &mut Vec<Event>) -> Result<(), Box<Adoption>> {
         let Adoption { told, tag, heard, known } = &from;
         let class = self.names.borrow().class(&told.taken.class);
         let effect = class.and_then(|class| Some(self.settings.classes.get(class)?.effect));
@@ -406,7 +410,7 @@
         if self.held.contains_key(&taken.id) {
             // This sender has the message already by another way, which provides its outcome.
             let tag = tag.clone();
-            self.tell(&tag, Update::Over, now);
+            self.send_update(&tag, Update::Over, now);
             return Ok(());
         }
         let number = self.next_message;
@@ -427,7 +431,7 @@
         let how = match known.given_up {
             None if reach => None,
             // No other sender attempts it any more, and none has.
-            None if once && !known.may_have_run() => Some(GivenUp::Deferred(NO_ROOM_AGAIN)),
+            None if once && !known.may_have_run() => Some(GivenUp::Deferred(RETRY_WHEN_FULL)),
             None => Some(GivenUp::Undeliverable),
             some => some,
         };
@@ -437,47 +441,47 @@
             return Err(Box::new(from));
         }
         self.next_message = number.wrapping_add(1);
-        self.covered.numbers.insert(place, number);
+        self.replicated.numbers.insert(place, number);
         self.held.insert(id.clone(), number);
         if self.parts.takeover.as_ref().is_some_and(|covering| covering.core.is_sole_owner(tag.group)) {
-            self.covered.bare.insert(number);
+            self.replicated.unreplicated.insert(number);
         }
         self.index_adopted(&taken, told.since, tag.epoch, how);
         let attempts = known.attempts.last_key_value().map_or(0, |(last, _)| last + 1);
         let (from, destination) = (tag.group.owner, taken.destination);
         tracing::debug!(id, from, destination, attempts, ?how, "message adopted");
         if let Some(how) = how {
-            self.covered.beyond_reach += u64::from(!reach);
+            self.replicated.beyond_reach += u64::from(!reach);
             self.counters.count_ended(&taken.class, MessageEnd::from(how));
-            self.unsaid.push((number, how, id));
+            self.pending_notices.push((number, how, id));
             return Ok(());
         }
         let Some(live) = self.journal.pending().get(&number).cloned() else { return Ok(()) };
-        self.resumed(number, class.unwrap_or_default(), &live, now, said);
+        self.resume(number, class.unwrap_or_default(), &live, now, events);
         Ok(())
     }
 
     /// Passes a message to the module that the module did not accept itself.
-    pub(super) fn resumed(
+    pub(super) fn resume(
         &mut self,
         number: u32,
         class: usize,
         live: &PendingMessage,
         now: Micros,
-        said: &mut Vec<Event>,
+        events: &mut Vec<Event>,
     ) {
-        self.enter(live.accepted.destination, said);
+        self.load(live.accepted.destination, events);
         let mut may_have_run: Vec<_> = live
             .attempts
             .iter()
             .filter(|attempt| !attempt.never_ran)
-            .map(|attempt| (now.saturating_sub(attempt.at), self.id_of(&attempt.endpoint)))
+            .map(|attempt| (now.saturating_sub(attempt.at), self.endpoint_id(&attempt.endpoint)))
             .collect();
-        may_have_run.extend(self.others_first(live, class));
+        may_have_run.extend(self.first_attempt_elsewhere(live, class));
         let attempts = live.attempts.last().map_or(0, |last| last.number + 1);
         self.attempts.insert(number, attempts);
         let message = self.message(number, class, &live.accepted, now);
-        said.push(Event::Resumed { message, attempts: attempts.into(), may_have_run });
+        events.push(Event::Resumed { message, attempts: attempts.into(), may_have_run });
     }
 
     /// The report on replication, for operators.
@@ -488,11 +492,11 @@
         let mut report = covering.report(self.clock.now());
         let covered = self.journal.pending().values().filter(|live| live.replicated.is_some()).count();
         report["in_hand"] = json!({"covered": covered, "all": self.journal.pending().len(),
-                                   "calls_waiting": self.covered.calls.len(),
-                                   "notices_waiting": self.covered.notices.len(),
-                                   "adoptions_waiting": self.covered.adoptions.len()});
-        report["covered_anew"] = json!(self.covered.anew);
-        report["beyond_reach"] = json!(self.covered.beyond_reach);
+                                   "calls_waiting": self.replicated.calls.len(),
+                                   "notices_waiting": self.replicated.notices.len(),
+                                   "adoptions_waiting": self.replicated.adoptions.len()});
+        report["covered_anew"] = json!(self.replicated.replicated_again);
+        report["beyond_reach"] = json!(self.replicated.beyond_reach);
         Reply::ok(&report)
     }
 }
--- a/src/net/driver/turn.rs
+++ b/src/net/driver/turn.rs
@@ -5,14 +5,14 @@
 
 use myrtleyard::interface::*;
 
-use super::super::calls::{Line, Part};
+use super::super::calls::{CallMessage, Target};
 use super::super::counters::{Gauges, MessageEnd};
 use super::super::handover::SuccessorCommand;
 use super::super::intake::Answer;
 use super::super::journal::{AcceptedMessage, Attempt, GivenUp, PendingMessage, Record, acceptance_records};
 use super::super::parts::status::final_state;
 use super::super::{AttemptEnd, Inbound};
-use super::{Driver, Fresh, NO_ROOM_AGAIN};
+use super::{Driver, NewMessage, RETRY_WHEN_FULL};
 
 /// A call that the decision module asks for, with one message.
 #[derive(Debug, Clone, Copy)]
@@ -35,21 +35,21 @@
 impl Driver {
     /// Runs one iteration: the module decides, the journal is written, then clients are answered and calls
     /// started.
-    pub(super) fn turn(&mut self, said: Vec<Event>) {
+    pub(super) fn turn(&mut self, events: Vec<Event>) {
         let now = self.clock.now();
         let mut actions = Vec::new();
-        self.policy.handle(now, &said, &mut actions);
-        self.withdraw_calls(&said);
-        let mut records = std::mem::take(&mut self.unwritten);
-        let mut fresh = std::mem::take(&mut self.fresh);
+        self.policy.handle(now, &events, &mut actions);
+        self.withdraw_calls(&events);
+        let mut records = std::mem::take(&mut self.pending_records);
+        let mut fresh = std::mem::take(&mut self.new_messages);
         let mut decided = Decided::default();
         for action in actions {
-            self.carry_out(action, &fresh, &mut decided);
+            self.execute(action, &fresh, &mut decided);
         }
         for (number, how) in decided.given_up {
             match fresh.remove(&number) {
                 // Rejected in the iteration that received it: it never enters the journal.
-                Some(fresh) => self.turn_away(number, fresh, how),
+                Some(fresh) => self.reject(number, fresh, how),
                 None => records.extend(self.give_up(number, how)),
             }
         }
@@ -57,29 +57,29 @@
         self.record_taken(&fresh, now, &mut records);
         records.extend(decided.calls.iter().map(|call| self.record_begun(call, now)));
         match self.journal.append(&records) {
-            Ok(()) => self.written(fresh, decided.calls, now),
+            Ok(()) => self.after_write(fresh, decided.calls, now),
             Err(e) => {
                 tracing::error!(
                     "writing the journal failed; no message is accepted and no call started: {e}"
                 );
                 records.truncate(kept);
-                self.withhold(records, fresh, &decided.calls);
+                self.write_failed(records, fresh, &decided.calls);
             }
         }
         self.counters.set_gauges(Gauges {
             current: self.policy.held(),
             cluster_size: self.endpoints_listed(),
             cluster_unhealthy: self.policy.unhealthy_endpoints(),
-            resident: self.working.resident(),
-            forgotten: self.working.forgotten,
+            resident: self.working_set.resident(),
+            forgotten: self.working_set.forgotten,
         });
     }
 
     /// Carries out an action that needs no record; the others are collected in `decided`.
-    fn carry_out(&mut self, action: Action, fresh: &BTreeMap<u32, Fresh>, decided: &mut Decided) {
+    fn execute(&mut self, action: Action, fresh: &BTreeMap<u32, NewMessage>, decided: &mut Decided) {
         match action {
             Action::Attempt { message, endpoint, timeout } => {
-                let attempt = self.attempts_of(message, fresh);
+                let attempt = self.next_attempt(message, fresh);
                 let call = attempt.map(|attempt| PlannedCall { message, attempt, endpoint, timeout });
                 decided.calls.extend(call);
             }
@@ -95,8 +95,8 @@
             }
             Action::Probe(endpoint) => self.probe(endpoint),
             Action::CloseIdle(endpoint) => self.calls.close_idle(endpoint),
-            Action::Watch => self.wanted.watch.notify_one(),
-            Action::FetchList => self.wanted.whole.notify_one(),
+            Action::Watch => self.list_requests.watch.notify_one(),
+            Action::FetchList => self.list_requests.fetch.notify_one(),
             Action::SendNote { to, content } => {
                 if let Some(peers) = &self.peers {
                     peers.send(to, &content);
@@ -110,7 +110,7 @@
     }
 
     fn probe(&self, endpoint: EndpointId) {
-        match self.line(endpoint) {
+        match self.target(endpoint) {
             Some(line) => self.calls.probe(line),
             None => {
                 let outcome = Outcome::ConnectFailed;
@@ -121,8 +121,8 @@
     }
 
     /// Rejects a message that was submitted in this iteration.
-    fn turn_away(&mut self, number: u32, fresh: Fresh, how: GivenUp) {
-        self.forget(number, &fresh.taken.id);
+    fn reject(&mut self, number: u32, fresh: NewMessage, how: GivenUp) {
+        self.release(number, &fresh.taken.id);
         self.counters.count_ended(&fresh.taken.class, how.into());
         let (id, destination) = (&fresh.taken.id, fresh.taken.destination);
         tracing::debug!(id, destination, ?how, "message rejected");
@@ -150,14 +150,14 @@
         tracing::debug!(id, destination, attempts, ?how, "message given up");
         self.counters.count_ended(&live.accepted.class, how.into());
         self.index_ended(number, final_state(how));
-        self.unsaid.push((number, how, id));
+        self.pending_notices.push((number, how, id));
         Some(Record::GivenUp(number, how))
     }
 
-    fn record_taken(&mut self, fresh: &BTreeMap<u32, Fresh>, now: Micros, records: &mut Vec<Record>) {
+    fn record_taken(&mut self, fresh: &BTreeMap<u32, NewMessage>, now: Micros, records: &mut Vec<Record>) {
         for (number, fresh) in fresh {
             records.extend(acceptance_records(*number, &fresh.taken));
-            let tag = self.place(&fresh.taken, now);
+            let tag = self.assign_group(&fresh.taken, now);
             records.extend(tag.map(|tag| Record::Replicated(*number, tag, now)));
         }
     }
@@ -174,20 +174,20 @@
 
     /// The records of this iteration are in the journal: answers clients, notifies the platform and starts
     /// calls.
-    fn written(&mut self, fresh: BTreeMap<u32, Fresh>, calls: Vec<PlannedCall>, now: Micros) {
-        self.index_taken(&fresh, now);
+    fn after_write(&mut self, fresh: BTreeMap<u32, NewMessage>, calls: Vec<PlannedCall>, now: Micros) {
+        self.index_accepted(&fresh, now);
         for (number, fresh) in fresh {
-            self.cover(number, now);
+            self.replicate(number, now);
             let AcceptedMessage { id, class, destination, .. } = &fresh.taken;
             tracing::debug!(id, class, destination, "message accepted");
-            let answer = self.taken_answer(&fresh.taken);
+            let answer = self.accepted_answer(&fresh.taken);
             fresh.answer(answer);
         }
-        for (number, how, id) in std::mem::take(&mut self.unsaid) {
-            self.end_told(number, how, id);
+        for (number, how, id) in std::mem::take(&mut self.pending_notices) {
+            self.notify_when_granted(number, how, id);
         }
-        let calls = self.keep_back(calls, now);
-        self.begin(calls, now);
+        let calls = self.hold_for_grants(calls, now);
+        self.start_calls(calls, now);
         self.with_parts(|parts, out| {
             if let Some(covering) = &mut parts.takeover {
                 covering.flush(now, out);
@@ -200,50 +200,59 @@
 
     /// An accepted message must survive the process: if the journal can't be written, no message is accepted
     /// and no call starts.
-    fn withhold(&mut self, records: Vec<Record>, fresh: BTreeMap<u32, Fresh>, calls: &[PlannedCall]) {
-        self.unwritten = records;
-        calls.iter().for_each(|call| self.not_made(*call));
+    fn write_failed(
+        &mut self,
+        records: Vec<Record>,
+        fresh: BTreeMap<u32, NewMessage>,
+        calls: &[PlannedCall],
+    ) {
+        self.pending_records = records;
+        calls.iter().for_each(|call| self.report_not_made(*call));
         for (number, fresh) in fresh {
-            self.forget(number, &fresh.taken.id);
+            self.release(number, &fresh.taken.id);
             self.counters.count_ended(&fresh.taken.class, MessageEnd::Deferred);
             let _ = self.inbound.send(Inbound::Event(Event::Withdrawn(MessageId(number))));
-            fresh.answer(Answer::Refused(NO_ROOM_AGAIN));
+            fresh.answer(Answer::Refused(RETRY_WHEN_FULL));
         }
     }
 
     /// Ends calls that wait for a connection to an endpoint that is leaving or gone, so that their messages
     /// go elsewhere at once.
-    fn withdraw_calls(&self, said: &[Event]) {
+    fn withdraw_calls(&self, events: &[Event]) {
         let listed = |entries: &[Entry], endpoint, ready| {
             entries.iter().any(|e| e.endpoint == endpoint && (e.listing == Listing::Ready) == ready)
         };
-        for event in said {
+        for event in events {
             match event {
-                Event::List(entries) => self.calls.withdraw(|endpoint| !listed(entries, endpoint, true)),
-                Event::Changes(entries) => self.calls.withdraw(|endpoint| listed(entries, endpoint, false)),
+                Event::List(entries) => {
+                    self.calls.abort_unwritten(|endpoint| !listed(entries, endpoint, true))
+                }
+                Event::Changes(entries) => {
+                    self.calls.abort_unwritten(|endpoint| listed(entries, endpoint, false))
+                }
                 _ => {}
             }
         }
     }
 
     /// Reports to the module that a call was not made.
-    pub(super) fn not_made(&self, call: PlannedCall) {
+    pub(super) fn report_not_made(&self, call: PlannedCall) {
         let outcome = Outcome::Moot { no_slot: false };
         let end = AttemptEnd::unanswered(call.message, call.attempt, call.endpoint, outcome);
         let _ = self.inbound.send(Inbound::CallEnded(vec![end]));
     }
 
     /// Returns the number of the message's next attempt, if the message is in hand.
-    fn attempts_of(&mut self, message: MessageId, fresh: &BTreeMap<u32, Fresh>) -> Option<u16> {
+    fn next_attempt(&mut self, message: MessageId, fresh: &BTreeMap<u32, NewMessage>) -> Option<u16> {
         let known = fresh.contains_key(&message.0) || self.journal.pending().contains_key(&message.0);
         let count = self.attempts.entry(message.0).or_default();
         *count += 1;
         known.then_some(*count - 1)
     }
 
-    pub(super) fn line(&self, endpoint: EndpointId) -> Option<Line> {
+    pub(super) fn target(&self, endpoint: EndpointId) -> Option<Target> {
         let address = self.endpoints.get(&endpoint)?.address?;
-        Some(Line { endpoint, address, route: self.policy.route_of(endpoint)? })
+        Some(Target { endpoint, address, route: self.policy.route_of(endpoint)? })
     }
 
     /// The time by which a keyed message's request must be written: a repeat must reach the endpoint while it
@@ -275,25 +284,29 @@
 
     /// Starts the calls of an iteration. Messages to one endpoint share a call as far as its kind allows.
     /// Their timeouts run from the time of the decision.
-    pub(super) fn begin(&mut self, calls: Vec<PlannedCall>, now: Micros) {
-        for (endpoint, mut parts) in self.bundled(calls, now) {
+    pub(super) fn start_calls(&mut self, calls: Vec<PlannedCall>, now: Micros) {
+        for (endpoint, mut parts) in self.group_into_calls(calls, now) {
             // The message with the latest timeout comes first, since the call lasts that long: it must not be
             // given up while others in the call still wait.
             parts.sort_by_key(|part| std::cmp::Reverse(part.until));
-            match self.line(endpoint) {
+            match self.target(endpoint) {
                 Some(line) => self.calls.start(line, parts),
-                None => self.no_line(endpoint, parts),
+                None => self.report_no_address(endpoint, parts),
             }
         }
     }
 
     /// Groups messages into calls, in the order in which the module asked for them.
-    fn bundled(&mut self, planned: Vec<PlannedCall>, now: Micros) -> Vec<(EndpointId, Vec<Part>)> {
-        let mut calls: Vec<(EndpointId, Vec<Part>)> = Vec::new();
+    fn group_into_calls(
+        &mut self,
+        planned: Vec<PlannedCall>,
+        now: Micros,
+    ) -> Vec<(EndpointId, Vec<CallMessage>)> {
+        let mut calls: Vec<(EndpointId, Vec<CallMessage>)> = Vec::new();
         let mut last: HashMap<EndpointId, usize> = HashMap::new();
         for call in planned {
             let endpoint = call.endpoint;
-            let Some(part) = self.part(&call, now) else { continue };
+            let Some(part) = self.call_message(&call, now) else { continue };
             let known = self.endpoints.get(&endpoint);
             let bundle = known.map_or(1, |known| known.bundle);
             let open = last.get(&endpoint).copied().and_then(|at| calls.get_mut(at));
@@ -309,7 +322,7 @@
     }
 
     /// Returns the message as part of a call, if it is still owed.
-    fn part(&mut self, call: &PlannedCall, now: Micros) -> Option<Part> {
+    fn call_message(&mut self, call: &PlannedCall, now: Micros) -> Option<CallMessage> {
         let PlannedCall { message, attempt, endpoint, timeout } = *call;
         let live = self.journal.pending().get(&message.0)?;
         let until = now + timeout;
@@ -321,13 +334,13 @@
         let AcceptedMessage { id, key, body, .. } = live.accepted.clone();
         let name = self.endpoints.get(&endpoint).map_or("", |known| known.name.as_str());
         tracing::debug!(id, attempt, endpoint = name, "attempt started");
-        Some(Part { message, attempt, id, key, body, until, write_by })
+        Some(CallMessage { message, attempt, id, key, body, until, write_by })
     }
 
     /// An endpoint without a parsable address counts as one that refuses connections.
-    fn no_line(&self, endpoint: EndpointId, parts: Vec<Part>) {
+    fn report_no_address(&self, endpoint: EndpointId, parts: Vec<CallMessage>) {
         let failed = Outcome::ConnectFailed;
-        let end = |part: Part| AttemptEnd::unanswered(part.message, part.attempt, endpoint, failed);
+        let end = |part: CallMessage| AttemptEnd::unanswered(part.message, part.attempt, endpoint, failed);
         let _ = self.inbound.send(Inbound::CallEnded(parts.into_iter().map(end).collect()));
     }
 }
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -28,39 +28,39 @@
 use super::listing::list_version;
 use super::parts::start::ListPacer;
 use super::{BODY_LIMIT, Inbound};
-use list_body::{Arrival, Begun};
+use list_body::{BodyStart, IncomingBody};
 
 /// Timeout of a poll, if all senders poll one discovery, which rejects requests that have waited for 2 s. A
 /// poll that is silent for longer is broken, and what it missed counts as reported 6 s after it fell silent.
-const POLL_WITHIN: Duration = Duration::from_millis(2500);
+const POLL_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Whatever became of a call, what discovery has while it is reachable counts as reported this much later.
-const TOLD_WITHIN: Duration = Duration::from_secs(6);
+const REPORTED_WITHIN: Duration = Duration::from_secs(6);
 /// If all senders poll one discovery, it answers within this time or not at all.
-const ANSWERED_WITHIN: Duration = Duration::from_secs(2);
+const MAX_ANSWER_TIME: Duration = Duration::from_secs(2);
 /// Allowance for the network round trip, timers and the driver's next iteration.
 const POLL_SLACK: Duration = Duration::from_millis(250);
 /// Bounds on the hold time of a watch, whatever the settings say. The longest hold with its slack, silent
 /// twice in a row, is below 6 s; silent once, it is below the 4 s after which an update counts as reported if
 /// discovery has moved.
-const SHORTEST_HOLD: Duration = Duration::from_millis(500);
+const MIN_HOLD_TIME: Duration = Duration::from_millis(500);
 const MAX_HOLD_TIME: Duration = Duration::from_secs(2);
 /// Hold time of a watch at one service for all senders, where one call per second from each would be too much
 /// load. What the service reports counts as reported once it is written.
-const SHARED_HOLD: Duration = Duration::from_secs(20);
+const SHARED_HOLD_TIME: Duration = Duration::from_secs(20);
 /// Maximum delay of a watch's response after its hold time: what the watch misses counts as reported 2 s
 /// after its hold time is over.
 const WATCH_SLACK: Duration = Duration::from_millis(1500);
 /// Pause before a failed watch or notice is retried: a watch counts as continued if it is renewed within 200
 /// ms.
-const AGAIN: Duration = Duration::from_millis(50);
-/// Maximum number of doublings of [`AGAIN`] after refused lists; [`rest_after_refusal`] limits the pause
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum number of doublings of [`RETRY_PAUSE`] after refused lists; [`pause_after_refusal`] limits the pause
 /// before that is reached.
 const MAX_DOUBLINGS: u32 = 10;
 /// Maximum pause after refused short lists from an agent: updates that follow a run of them are delayed by
 /// this much, and calls to an agent cost nothing.
-const MAX_AT_AGENT: Duration = Duration::from_secs(1);
+const MAX_PAUSE_AT_AGENT: Duration = Duration::from_secs(1);
 /// Maximum length of an error text in a log line, in characters.
-const SHOWN: usize = 200;
+const MAX_ERROR_CHARS: usize = 200;
 /// Timeout of a notice, after which it is sent again.
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -86,7 +86,7 @@
             Ok(answer) => Some((conn, answer)),
             // The connection broke while the request was waiting, which counts as a response: an immediate
             // retry would have all senders ask again at the same time.
-            Err(()) if asked.elapsed() > AGAIN => return Err(()),
+            Err(()) if asked.elapsed() > RETRY_PAUSE => return Err(()),
             Err(()) => None,
         },
         None => None,
@@ -122,43 +122,43 @@
 /// The pause after a poll that took `took` and brought no list. It is random between half of the allowed
 /// maximum and all of it, since all senders may have failed together: 300 of them then poll some 110 times a
 /// second at most on average. A change just after the failed poll was sent is reported by the response to the
-/// next poll: both waits, the pause between them and the slack add up to [`TOLD_WITHIN`]. Only the last
+/// next poll: both waits, the pause between them and the slack add up to [`REPORTED_WITHIN`]. Only the last
 /// failure counts, however many came before: discovery may have come back just as the failed poll was sent.
-fn rest_after_failure(took: Duration, luck: f64) -> Duration {
+fn pause_after_failure(took: Duration, random: f64) -> Duration {
     // A long list that is refused may take longer than a poll's timeout; it must not be transferred again
     // immediately.
-    let most = (TOLD_WITHIN - ANSWERED_WITHIN - POLL_SLACK).saturating_sub(took.min(POLL_WITHIN));
-    most.mul_f64(0.5 + luck / 2.0)
+    let max = (REPORTED_WITHIN - MAX_ANSWER_TIME - POLL_SLACK).saturating_sub(took.min(POLL_TIMEOUT));
+    max.mul_f64(0.5 + random / 2.0)
 }
 
 /// The pause after a list that was received and refused, the `refused`th in a row, from a call that took
-/// `took`; `patience` is the timeout of the next call. The pause starts at [`AGAIN`] and doubles: a single
+/// `took`; `call_timeout` is the timeout of the next call. The pause starts at [`RETRY_PAUSE`] and doubles: a single
 /// refusal costs no more than a failed call. A change just after the refused call was sent is reported by the
-/// response to the next one: both waits, the pause between them and the slack add up to [`TOLD_WITHIN`]. A
+/// response to the next one: both waits, the pause between them and the slack add up to [`REPORTED_WITHIN`]. A
 /// call that took longer than its timeout transferred a long list, and what changed at its beginning is
 /// overdue already; there the time counts from its end. For a watch held by a service for all senders, the
 /// longest timeout of a watch at an agent is used instead, since both report what they have immediately.
-fn rest_after_refusal(refused: u32, took: Duration, patience: Duration) -> Duration {
-    let at_agent = patience <= MAX_HOLD_TIME + WATCH_SLACK;
-    let patience = patience.min(MAX_HOLD_TIME + WATCH_SLACK);
-    let short = took <= patience + POLL_SLACK;
+fn pause_after_refusal(refused: u32, took: Duration, call_timeout: Duration) -> Duration {
+    let at_agent = call_timeout <= MAX_HOLD_TIME + WATCH_SLACK;
+    let call_timeout = call_timeout.min(MAX_HOLD_TIME + WATCH_SLACK);
+    let short = took <= call_timeout + POLL_SLACK;
     let spent = if short { took } else { Duration::ZERO };
-    let most = (TOLD_WITHIN - POLL_SLACK).saturating_sub(spent + patience);
-    let most = if short && at_agent { most.min(MAX_AT_AGENT) } else { most };
-    let doubled = AGAIN * (1 << refused.saturating_sub(1).min(MAX_DOUBLINGS));
-    doubled.min(most).max(AGAIN)
+    let max = (REPORTED_WITHIN - POLL_SLACK).saturating_sub(spent + call_timeout);
+    let max = if short && at_agent { max.min(MAX_PAUSE_AT_AGENT) } else { max };
+    let doubled = RETRY_PAUSE * (1 << refused.saturating_sub(1).min(MAX_DOUBLINGS));
+    doubled.min(max).max(RETRY_PAUSE)
 }
 
 /// Requests of the driver to the task that follows the list.
 #[derive(Debug, Default)]
-pub struct Wanted {
+pub struct ListRequests {
     /// Fetch the complete list now.
-    pub whole: Notify,
+    pub fetch: Notify,
     /// Start following the list.
     pub watch: Notify,
     /// Follow the list in this way from now on, since the settings changed; the complete list is fetched
     /// then, too.
-    pub otherwise: RefCell<Option<Following>>,
+    pub new_mode: RefCell<Option<Following>>,
 }
 
 /// How the list is followed.
@@ -172,7 +172,7 @@
     /// By fetching the complete list, with about this pause between fetches. A watch would be answered, and
     /// renewed, by all senders at the same moment at each change, for which discovery has no capacity; and
     /// what changes just after the response to a watch that is not renewed counts as reported all the same.
-    Ask(Duration, fastrand::Rng),
+    Poll(Duration, fastrand::Rng),
 }
 
 impl Following {
@@ -180,23 +180,23 @@
     /// on this machine.
     pub fn new(settings: &Settings, shared: bool, known: u64, seed: u64) -> Self {
         match settings.list_on_request {
-            true => Self::Ask(
+            true => Self::Poll(
                 Duration::from_micros(settings.list_request_round()),
                 fastrand::Rng::with_seed(seed),
             ),
-            false if shared => Self::Watch(known, SHARED_HOLD),
+            false if shared => Self::Watch(known, SHARED_HOLD_TIME),
             false => {
                 let hold = Duration::from_micros(settings.rules.drain_grace / 2);
-                Self::Watch(known, hold.clamp(SHORTEST_HOLD, MAX_HOLD_TIME))
+                Self::Watch(known, hold.clamp(MIN_HOLD_TIME, MAX_HOLD_TIME))
             }
         }
     }
 
     /// The timeout of a call.
-    fn patience(&self) -> Duration {
+    fn call_timeout(&self) -> Duration {
         match self {
             Self::Watch(_, hold) => *hold + (*hold * 2 / 5).min(WATCH_SLACK),
-            Self::Ask(..) => POLL_WITHIN,
+            Self::Poll(..) => POLL_TIMEOUT,
         }
     }
 }
@@ -207,23 +207,23 @@
     discovery: watch::Receiver<SocketAddr>,
     following: Following,
     pace: Option<Rc<ListPacer>>,
-    wanted: Rc<Wanted>,
+    requests: Rc<ListRequests>,
     counters: Rc<Counters>,
     inbound: UnboundedSender<Inbound>,
 ) {
     let address = *discovery.borrow();
-    let (conn, whole, refused, bounds) = (None, false, 0, Bounds::default());
+    let (conn, need_complete, refused, bounds) = (None, false, 0, Bounds::default());
     let follower = Follower {
         discovery,
         following,
         pace,
-        wanted,
+        requests,
         counters,
         inbound,
         bounds,
         conn,
         address,
-        whole,
+        need_complete,
         refused,
     };
     follower.run().await;
@@ -231,7 +231,7 @@
 
 /// The result of a call that was not interrupted.
 #[derive(Debug)]
-enum Brought {
+enum FetchResult {
     /// A list.
     List(List),
     /// A response that started as a list and is not a valid one.
@@ -240,7 +240,7 @@
     Failed(CallFailure),
 }
 
-impl Brought {
+impl FetchResult {
     /// The failure as the pace counts it.
     fn failed(&self) -> Option<CallFailure> {
         match self {
@@ -259,17 +259,21 @@
     request: Request<Full<Bytes>>,
     until: Instant,
     bounds: Bounds,
-) -> Result<Begun, Brought> {
-    let silent = Brought::Failed(CallFailure::NoAnswer);
+) -> Result<BodyStart, FetchResult> {
+    let silent = FetchResult::Failed(CallFailure::NoAnswer);
     let Ok(Ok((mut conn, answer))) = timeout_at(until, answered(conn, address, request)).await else {
         return Err(silent);
     };
     let (head, body) = answer.into_parts();
     if head.status != StatusCode::OK {
         let whole = timeout_at(until, conn.body(body)).await;
-        return Err(if matches!(whole, Ok(Ok(_))) { Brought::Failed(CallFailure::Rejected) } else { silent });
+        return Err(if matches!(whole, Ok(Ok(_))) {
+            FetchResult::Failed(CallFailure::Rejected)
+        } else {
+            silent
+        });
     }
-    Arrival::new(conn, body, until, bounds).begin().await.map_err(Brought::Refused)
+    IncomingBody::new(conn, body, until, bounds).begin().await.map_err(FetchResult::Refused)
 }
 
 /// The state of the task that follows the list.
@@ -277,7 +281,7 @@
     discovery: watch::Receiver<SocketAddr>,
     following: Following,
     pace: Option<Rc<ListPacer>>,
-    wanted: Rc<Wanted>,
+    requests: Rc<ListRequests>,
     counters: Rc<Counters>,
     inbound: UnboundedSender<Inbound>,
     bounds: Bounds,
@@ -285,7 +289,7 @@
     /// The address of the connection; a move of discovery may be noticed in any wait.
     address: SocketAddr,
     /// The complete list is needed, and fetched until it has arrived.
-    whole: bool,
+    need_complete: bool,
     /// Number of lists refused since the last accepted one, at the same address.
     refused: u32,
 }
@@ -293,34 +297,34 @@
 impl Follower {
     /// Runs until the process ends or the driver is gone.
     async fn run(mut self) {
-        if matches!(self.following, Following::Ask(..)) {
-            self.wanted.watch.notified().await;
+        if matches!(self.following, Following::Poll(..)) {
+            self.requests.watch.notified().await;
         }
         loop {
             self.prepare().await;
             let Some(request) = self.request() else { return };
             let asked = Instant::now();
-            let Some(brought) = self.call(request).await else { continue };
-            self.count(&brought);
-            let rest = match &brought {
-                Brought::List(list) => self.rest_after_list(list),
-                Brought::Refused(why) => self.rest_after_refused(why, asked.elapsed()),
-                Brought::Failed(_) => self.rest_after_failed(asked.elapsed()),
+            let Some(result) = self.call(request).await else { continue };
+            self.report_to_pace(&result);
+            let pause = match &result {
+                FetchResult::List(list) => self.list_accepted(list),
+                FetchResult::Refused(why) => self.list_refused(why, asked.elapsed()),
+                FetchResult::Failed(_) => self.call_failed(asked.elapsed()),
             };
-            if !self.tell(brought) {
+            if !self.report(result) {
                 return;
             }
-            self.rest(rest).await;
+            self.pause(pause).await;
         }
     }
 
     /// Waits for the next call's turn, then updates how and where it is made.
     async fn prepare(&mut self) {
-        if let Some(otherwise) = self.wanted.otherwise.take() {
-            self.following = otherwise;
+        if let Some(new_mode) = self.requests.new_mode.take() {
+            self.following = new_mode;
         }
         if let Some(pace) = &self.pace {
-            self.whole |= pace.wait_turn().await;
+            self.need_complete |= pace.wait_turn().await;
         }
         let address = *self.discovery.borrow_and_update();
         if address != self.address {
@@ -332,7 +336,7 @@
     /// Composes the request of the next call.
     fn request(&self) -> Option<Request<Full<Bytes>>> {
         let path = match self.following {
-            Following::Watch(from, hold) if !self.whole => {
+            Following::Watch(from, hold) if !self.need_complete => {
                 format!("/v1/endpoints?from={from}&hold_ms={}", hold.as_millis())
             }
             _ => "/v1/endpoints".to_owned(),
@@ -341,94 +345,95 @@
     }
 
     /// The timeout of the next call.
-    fn patience(&self) -> Duration {
-        let patience = self.following.patience();
+    fn call_timeout(&self) -> Duration {
+        let call_timeout = self.following.call_timeout();
         // The complete list is sent immediately by an agent and by a service.
-        if self.whole { patience.min(POLL_WITHIN) } else { patience }
+        if self.need_complete { call_timeout.min(POLL_TIMEOUT) } else { call_timeout }
     }
 
     /// Makes a call; `None` if it was interrupted because another one is needed immediately.
-    async fn call(&mut self, request: Request<Full<Bytes>>) -> Option<Brought> {
-        let until = Instant::now() + self.patience();
+    async fn call(&mut self, request: Request<Full<Bytes>>) -> Option<FetchResult> {
+        let until = Instant::now() + self.call_timeout();
         let begun = tokio::select! {
             begun = begin(&mut self.conn, self.address, request, until, self.bounds) => begun,
-            () = self.wanted.whole.notified() => {
-                self.whole = true;
+            () = self.requests.fetch.notified() => {
+                self.need_complete = true;
                 return None;
             }
             Ok(()) = self.discovery.changed() => {
-                self.moved();
+                self.discovery_moved();
                 return None;
             }
         };
         match begun {
-            Ok(Begun::Short(list, conn)) => Some(self.came(list, conn).await),
-            Ok(Begun::Long(long)) => self.long(long).await,
-            Err(brought) => Some(brought),
+            Ok(BodyStart::Short(list, conn)) => Some(self.received(list, conn).await),
+            Ok(BodyStart::Long(long)) => self.read_long_list(long).await,
+            Err(result) => Some(result),
         }
     }
 
     /// Reads a long list; `None` if discovery moves meanwhile. A request for the complete list waits for its
     /// end: otherwise a list whose transfer takes longer than the interval of such requests would never
     /// arrive.
-    async fn long(&mut self, long: list_body::Long) -> Option<Brought> {
+    async fn read_long_list(&mut self, long: list_body::Long) -> Option<FetchResult> {
         let read = tokio::select! {
             read = long.read() => read,
             Ok(()) = self.discovery.changed() => {
-                self.moved();
+                self.discovery_moved();
                 return None;
             }
         };
         match read {
-            Ok((list, conn)) => Some(self.came(list, conn).await),
-            Err(why) => Some(Brought::Refused(why)),
+            Ok((list, conn)) => Some(self.received(list, conn).await),
+            Err(why) => Some(FetchResult::Refused(why)),
         }
     }
 
     /// A complete list was received on this connection, which is kept if it can be reused.
-    async fn came(&mut self, list: List, mut conn: Conn) -> Brought {
+    async fn received(&mut self, list: List, mut conn: Conn) -> FetchResult {
         if conn.usable().await {
             self.conn = Some(conn);
         }
-        Brought::List(list)
+        FetchResult::List(list)
     }
 
     /// Discovery has moved.
-    fn moved(&mut self) {
+    fn discovery_moved(&mut self) {
         self.conn = None;
         self.pace.iter().for_each(|pace| pace.service_moved());
     }
 
     /// Reports the result of a call to the pace.
-    fn count(&self, brought: &Brought) {
+    fn report_to_pace(&self, result: &FetchResult) {
         let (Some(pace), Following::Watch(from, _)) = (&self.pace, &self.following) else { return };
-        pace.call_ended(match (brought, brought.failed()) {
-            (Brought::List(list), _) => Ok(list_version(list).0 != *from),
+        pace.call_ended(match (result, result.failed()) {
+            (FetchResult::List(list), _) => Ok(list_version(list).0 != *from),
             (_, failed) => Err(failed.unwrap_or(CallFailure::Rejected)),
         });
     }
 
     /// Records an accepted list. Returns the pause before the next call.
-    fn rest_after_list(&mut self, list: &List) -> Duration {
+    fn list_accepted(&mut self, list: &List) -> Duration {
         let (index, endpoints) = list_version(list);
         self.counters.count_list_accepted(index, endpoints);
-        (self.whole, self.refused) = (false, 0);
+        (self.need_complete, self.refused) = (false, 0);
         match &mut self.following {
             Following::Watch(from, _) => {
                 // The versions were restarted, and the updates in between are not in these changes.
-                self.whole = endpoints.is_none() && index < *from;
+                self.need_complete = endpoints.is_none() && index < *from;
                 *from = index;
                 Duration::ZERO
             }
-            Following::Ask(rest, rng) => rest.mul_f64(0.86 + 0.28 * rng.f64()),
+            Following::Poll(pause, rng) => pause.mul_f64(0.86 + 0.28 * rng.f64()),
         }
     }
 
     /// Records a refused list, from a call that took `took`. Returns the pause before the next call.
-    fn rest_after_refused(&mut self, why: &ListError, took: Duration) -> Duration {
+    fn list_refused(&mut self, why: &ListError, took: Duration) -> Duration {
         let (code, remedy) = (why.code(), why.remedy());
         let refused = self.counters.count_list_refused(code);
-        let shown: String = why.to_string().replace(['\n', '\r'], " ").chars().take(SHOWN).collect();
+        let shown: String =
+            why.to_string().replace(['\n', '\r'], " ").chars().take(MAX_ERROR_CHARS).collect();
         tracing::warn!(
             code,
             remedy,
@@ -436,41 +441,41 @@
             "a list of endpoints is refused, the previous one stays in force: {shown}"
         );
         // The complete list may be longer than a list of changes.
-        self.whole |= matches!(why, ListError::Changes(_));
-        if matches!(self.following, Following::Ask(..)) {
-            return self.rest_after_failed(took);
+        self.need_complete |= matches!(why, ListError::Changes(_));
+        if matches!(self.following, Following::Poll(..)) {
+            return self.call_failed(took);
         }
         self.conn = None;
         self.refused = self.refused.saturating_add(1);
-        rest_after_refusal(self.refused, took, self.patience())
+        pause_after_refusal(self.refused, took, self.call_timeout())
     }
 
     /// Records a call that failed after `took`. Returns the pause before the next one.
-    fn rest_after_failed(&mut self, took: Duration) -> Duration {
+    fn call_failed(&mut self, took: Duration) -> Duration {
         self.conn = None;
         match &mut self.following {
-            Following::Watch(..) => AGAIN,
-            Following::Ask(_, rng) => rest_after_failure(took, rng.f64()),
+            Following::Watch(..) => RETRY_PAUSE,
+            Following::Poll(_, rng) => pause_after_failure(took, rng.f64()),
         }
     }
 
     /// Reports the result of a call to the driver. Returns false if the driver is gone.
-    fn tell(&self, brought: Brought) -> bool {
-        let said = match brought {
-            Brought::List(list) => Inbound::ListReceived(list),
+    fn report(&self, result: FetchResult) -> bool {
+        let said = match result {
+            FetchResult::List(list) => Inbound::ListReceived(list),
             // A failed poll is not reported: the module's retry rule is made for the simulator's adapter,
             // where the next poll may come later. Here this task polls again by itself.
-            _ if matches!(self.following, Following::Ask(..)) => return true,
+            _ if matches!(self.following, Following::Poll(..)) => return true,
             _ => Inbound::Event(Event::ListFailed),
         };
         self.inbound.send(said).is_ok()
     }
 
     /// Pauses, unless a call is needed earlier.
-    async fn rest(&mut self, rest: Duration) {
+    async fn pause(&mut self, pause: Duration) {
         tokio::select! {
-            () = tokio::time::sleep(rest) => {}
-            () = self.wanted.whole.notified() => self.whole = true,
+            () = tokio::time::sleep(pause) => {}
+            () = self.requests.fetch.notified() => self.need_complete = true,
             Ok(()) = self.discovery.changed() => self.conn = None,
         }
     }
@@ -514,7 +519,7 @@
 ) {
     let mut owed: BTreeMap<MessageId, Vec<u8>> = BTreeMap::new();
     let mut conn: Option<Conn> = None;
-    let mut most = usize::MAX;
+    let mut max = usize::MAX;
     loop {
         if owed.is_empty() {
             let Some(notice) = notices.recv().await else { return };
@@ -528,7 +533,7 @@
         }
         let address = *discovery.borrow_and_update();
         let (mut body, mut told) = (Vec::new(), Vec::new());
-        for (message, line) in owed.iter().take(most) {
+        for (message, line) in owed.iter().take(max) {
             if !body.is_empty() && body.len() + line.len() > BODY_LIMIT {
                 break;
             }
@@ -543,13 +548,13 @@
         match timeout(NOTICE_TIMEOUT, ask(&mut conn, address, request)).await {
             Ok(Ok((StatusCode::NO_CONTENT, _))) => {
                 owed.retain(|message, _| !told.contains(message));
-                most = usize::MAX;
+                max = usize::MAX;
                 if inbound.send(Inbound::NoticesAcknowledged(told)).is_err() {
                     return;
                 }
             }
             // One line that the platform can't read must not block the others.
-            Ok(Ok((StatusCode::BAD_REQUEST, _))) if told.len() > 1 => most = 1,
+            Ok(Ok((StatusCode::BAD_REQUEST, _))) if told.len() > 1 => max = 1,
             Ok(Ok((StatusCode::BAD_REQUEST, _))) => {
                 tracing::warn!("the platform rejected a notice as malformed; the notice is dropped");
                 owed.retain(|message, _| !told.contains(message));
@@ -557,7 +562,7 @@
             }
             _ => {
                 conn = None;
-                tokio::time::sleep(AGAIN).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
     }
