--- a/src/net/platform/list_body.rs
+++ b/src/net/platform/list_body.rs
@@ -1,5 +1,5 @@
 //! Reads the body of a list while it arrives: a short one in place, a longer one on a blocking thread, so
-//! that the event loop neither parses its text nor holds more than [`WAITING`] chunks of it.
+//! that the event loop neither parses its text nor holds more than [`MAX_QUEUED`] chunks of it.
 
 use std::io::{self, Read};
 use std::time::Duration;
@@ -20,10 +20,10 @@
 pub const MIN_RATE: u64 = 4_000_000;
 /// Maximum number of chunks queued for the thread. A chunk is the result of one read of the connection: some
 /// 400 KiB at most.
-const WAITING: usize = 8;
+const MAX_QUEUED: usize = 8;
 
 /// A body in transfer, with its connection.
-pub struct Arrival {
+pub struct IncomingBody {
     conn: Conn,
     body: Incoming,
     /// When the call's timeout is over.
@@ -34,7 +34,7 @@
 }
 
 /// A body after its first [`INLINE`] bytes.
-pub enum Begun {
+pub enum BodyStart {
     /// It ended within them: the list, and the connection.
     Short(List, Conn),
     /// It is longer.
@@ -43,11 +43,11 @@
 
 /// A body that is longer than [`INLINE`].
 pub struct Long {
-    arrival: Arrival,
+    body: IncomingBody,
     first: Bytes,
 }
 
-impl Arrival {
+impl IncomingBody {
     /// A body that must be complete by `until`, plus the time that [`MIN_RATE`] grants to a long one.
     pub fn new(conn: Conn, body: Incoming, until: Instant, bounds: Bounds) -> Self {
         Self { conn, body, until, bounds, received: 0 }
@@ -57,16 +57,16 @@
     ///
     /// # Errors
     /// Fails when the body is truncated, arrives too slowly, or is not a list within the bounds.
-    pub async fn begin(mut self) -> Result<Begun, ListError> {
+    pub async fn begin(mut self) -> Result<BodyStart, ListError> {
         let mut text = Vec::new();
-        while let Some(piece) = self.piece().await? {
-            text.extend_from_slice(&piece);
+        while let Some(chunk) = self.chunk().await? {
+            text.extend_from_slice(&chunk);
             if text.len() > INLINE {
-                return Ok(Begun::Long(Long { arrival: self, first: text.into() }));
+                return Ok(BodyStart::Long(Long { body: self, first: text.into() }));
             }
         }
         let list = reader::read(text.as_slice(), &self.bounds)?;
-        Ok(Begun::Short(list, self.conn))
+        Ok(BodyStart::Short(list, self.conn))
     }
 
     /// The time by which the next bytes must arrive.
@@ -76,14 +76,14 @@
     }
 
     /// The next bytes, or `None` at the end.
-    async fn piece(&mut self) -> Result<Option<Bytes>, ListError> {
-        let piece = timeout_at(self.deadline(), self.conn.piece(&mut self.body)).await;
-        let Ok(Ok(piece)) = piece else { return Err(ListError::Truncated(self.received)) };
-        self.received += piece.as_ref().map_or(0, |piece| piece.len() as u64);
+    async fn chunk(&mut self) -> Result<Option<Bytes>, ListError> {
+        let chunk = timeout_at(self.deadline(), self.conn.next_chunk(&mut self.body)).await;
+        let Ok(Ok(chunk)) = chunk else { return Err(ListError::Truncated(self.received)) };
+        self.received += chunk.as_ref().map_or(0, |chunk| chunk.len() as u64);
         if self.received > self.bounds.bytes {
             return Err(ListError::Bytes(self.bounds.bytes));
         }
-        Ok(piece)
+        Ok(chunk)
     }
 }
 
@@ -94,60 +94,60 @@
     /// # Errors
     /// Fails when the body is truncated, arrives too slowly, or is not a list within the bounds.
     pub async fn read(mut self) -> Result<(List, Conn), ListError> {
-        let (pieces, waiting) = channel(WAITING);
-        let bounds = self.arrival.bounds;
-        let thread = tokio::task::spawn_blocking(move || reader::read(Text::new(waiting), &bounds));
-        let passed_on = self.pass_on(&pieces).await?;
+        let (chunks, waiting) = channel(MAX_QUEUED);
+        let bounds = self.body.bounds;
+        let thread = tokio::task::spawn_blocking(move || reader::read(BodyText::new(waiting), &bounds));
+        let passed_on = self.pass_on(&chunks).await?;
         // The channel must stay open until the thread has ended, which takes a closed channel for a truncated
         // body.
         let list = thread.await.map_err(|why| ListError::Malformed(why.to_string()))??;
         if !passed_on {
             return Err(ListError::Malformed("there is text after the end of the list".to_owned()));
         }
-        Ok((list, self.arrival.conn))
+        Ok((list, self.body.conn))
     }
 
     /// Passes the body on to the thread. Returns whether the thread accepted all of it.
-    async fn pass_on(&mut self, pieces: &Sender<Piece>) -> Result<bool, ListError> {
+    async fn pass_on(&mut self, chunks: &Sender<Chunk>) -> Result<bool, ListError> {
         let mut next = Some(std::mem::take(&mut self.first));
         while let Some(text) = next {
-            if !self.give(pieces, Piece::Text(text)).await {
+            if !self.send_chunk(chunks, Chunk::Text(text)).await {
                 return Ok(false);
             }
             // Data that has already arrived must not keep the event loop from its other tasks.
             yield_now().await;
-            next = self.arrival.piece().await?;
+            next = self.body.chunk().await?;
         }
-        Ok(self.give(pieces, Piece::End).await)
+        Ok(self.send_chunk(chunks, Chunk::End).await)
     }
 
     /// Sends a chunk to the thread, and returns whether the thread accepted it. Time spent waiting for queue
     /// capacity extends the body's deadline.
-    async fn give(&mut self, pieces: &Sender<Piece>, piece: Piece) -> bool {
+    async fn send_chunk(&mut self, chunks: &Sender<Chunk>, chunk: Chunk) -> bool {
         let begun = Instant::now();
-        let taken = pieces.send(piece).await.is_ok();
-        self.arrival.until += begun.elapsed();
+        let taken = chunks.send(chunk).await.is_ok();
+        self.body.until += begun.elapsed();
         taken
     }
 }
 
 /// A message to the thread.
-enum Piece {
+enum Chunk {
     Text(Bytes),
     End,
 }
 
 /// The text of a body, as the thread reads it.
-struct Text {
-    pieces: Receiver<Piece>,
+struct BodyText {
+    chunks: Receiver<Chunk>,
     /// The rest of the last chunk.
     left: Bytes,
     ended: bool,
 }
 
-impl Text {
-    fn new(pieces: Receiver<Piece>) -> Self {
-        Self { pieces, left: Bytes::new(), ended: false }
+impl BodyText {
+    fn new(chunks: Receiver<Chunk>) -> Self {
+        Self { chunks, left: Bytes::new(), ended: false }
     }
 
     /// Waits for the next chunk.
@@ -155,17 +155,17 @@
     /// # Errors
     /// Fails when the sender is gone before the body's end, even if chunks are queued.
     fn next(&mut self) -> io::Result<()> {
-        let piece = if self.pieces.is_closed() { None } else { self.pieces.blocking_recv() };
-        match piece {
-            Some(Piece::Text(text)) => self.left = text,
-            Some(Piece::End) => self.ended = true,
+        let chunk = if self.chunks.is_closed() { None } else { self.chunks.blocking_recv() };
+        match chunk {
+            Some(Chunk::Text(text)) => self.left = text,
+            Some(Chunk::End) => self.ended = true,
             None => return Err(io::ErrorKind::UnexpectedEof.into()),
         }
         Ok(())
     }
 }
 
-impl Read for Text {
+impl Read for BodyText {
     fn read(&mut self, to: &mut [u8]) -> io::Result<usize> {
         while self.left.is_empty() && !self.ended {
             self.next()?;
--- a/src/net/platform/list_body/tests.rs
+++ b/src/net/platform/list_body/tests.rs
@@ -5,24 +5,24 @@
 /// The thread must end when its channel is closed, without reading the chunks that are still queued.
 #[test]
 fn a_text_whose_sender_is_gone_is_cut_at_once() {
-    let (pieces, waiting) = channel(WAITING);
-    let mut text = Text::new(waiting);
+    let (chunks, waiting) = channel(MAX_QUEUED);
+    let mut text = BodyText::new(waiting);
     for _ in 0..3 {
-        assert!(pieces.try_send(Piece::Text(Bytes::from_static(b"abc"))).is_ok());
+        assert!(chunks.try_send(Chunk::Text(Bytes::from_static(b"abc"))).is_ok());
     }
     let mut two = [0; 2];
     assert_eq!(text.read(&mut two).ok(), Some(2));
-    drop(pieces);
+    drop(chunks);
     assert_eq!(text.read(&mut two).ok(), Some(1), "the rest of the chunk");
     assert_eq!(text.read(&mut two).map_err(|e| e.kind()), Err(ErrorKind::UnexpectedEof));
 }
 
 #[test]
 fn a_text_has_an_end_only_where_it_is_told() {
-    let (pieces, waiting) = channel(WAITING);
-    let mut text = Text::new(waiting);
-    for piece in [Piece::Text(Bytes::new()), Piece::Text(Bytes::from_static(b"abc")), Piece::End] {
-        assert!(pieces.try_send(piece).is_ok());
+    let (chunks, waiting) = channel(MAX_QUEUED);
+    let mut text = BodyText::new(waiting);
+    for chunk in [Chunk::Text(Bytes::new()), Chunk::Text(Bytes::from_static(b"abc")), Chunk::End] {
+        assert!(chunks.try_send(chunk).is_ok());
     }
     let mut whole = String::new();
     assert_eq!(text.read_to_string(&mut whole).ok(), Some(3));
--- a/src/net/platform/tests.rs
+++ b/src/net/platform/tests.rs
@@ -10,23 +10,23 @@
 use super::list_body::{INLINE, MIN_RATE};
 use super::*;
 
-const PATIENCE: Duration = Duration::from_secs(15);
+const TEST_TIMEOUT: Duration = Duration::from_secs(15);
 
 struct Agent(TcpListener, UnboundedReceiver<Inbound>);
 
 impl Agent {
     /// Starts a follower; the second field receives what the driver is told.
-    async fn new(following: Following, wanted: Rc<Wanted>) -> io::Result<Self> {
+    async fn new(following: Following, requests: Rc<ListRequests>) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let (inbound, heard) = unbounded_channel();
         let (_, discovery) = watch::channel(listener.local_addr()?);
-        tokio::task::spawn_local(follow(discovery, following, None, wanted, Rc::default(), inbound));
+        tokio::task::spawn_local(follow(discovery, following, None, requests, Rc::default(), inbound));
         Ok(Self(listener, heard))
     }
 
     /// Accepts the next connection, and returns it with the path of its request.
     async fn asked(&self) -> io::Result<(TcpStream, String)> {
-        let (mut stream, _) = timeout(PATIENCE, self.0.accept()).await??;
+        let (mut stream, _) = timeout(TEST_TIMEOUT, self.0.accept()).await??;
         let path = asked(&mut stream).await?;
         Ok((stream, path))
     }
@@ -36,7 +36,7 @@
     let mut text = String::new();
     while !text.ends_with("\r\n\r\n") {
         let mut bytes = [0; 512];
-        let n = timeout(PATIENCE, stream.read(&mut bytes)).await??;
+        let n = timeout(TEST_TIMEOUT, stream.read(&mut bytes)).await??;
         assert!(n > 0, "connection closed after {text}");
         text += &String::from_utf8_lossy(&bytes[..n]);
     }
@@ -62,14 +62,14 @@
             assert_eq!(path, "/v1/endpoints?from=1&hold_ms=1000", "before {answer}");
             stream.write_all(answer.as_bytes()).await?;
             kept.push(stream);
-            let heard = timeout(PATIENCE, agent.1.recv()).await?;
+            let heard = timeout(TEST_TIMEOUT, agent.1.recv()).await?;
             assert!(matches!(heard, Some(Inbound::Event(Event::ListFailed))), "{answer}: {heard:?}");
         }
         let (mut stream, _) = agent.asked().await?;
         let list = "{\r\n  \"index\": 7,\r\n  \"snapshot\": true,\r\n  \"endpoints\": [\r\n  ]\r\n}\r\n";
         let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{list}", list.len());
         stream.write_all(answer.as_bytes()).await?;
-        let heard = timeout(PATIENCE, agent.1.recv()).await?;
+        let heard = timeout(TEST_TIMEOUT, agent.1.recv()).await?;
         assert!(
             matches!(heard, Some(Inbound::ListReceived(List::Entries(ListBody { index: 7, .. })))),
             "{heard:?}"
@@ -86,10 +86,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_poll_that_brings_no_list_is_made_again_in_time_however_often_it_fails() -> io::Result<()> {
     let run = async {
-        let wanted = Rc::new(Wanted::default());
-        wanted.watch.notify_one();
-        let following = Following::Ask(Duration::from_secs(3600), fastrand::Rng::with_seed(1));
-        let agent = Agent::new(following, wanted).await?;
+        let requests = Rc::new(ListRequests::default());
+        requests.watch.notify_one();
+        let following = Following::Poll(Duration::from_secs(3600), fastrand::Rng::with_seed(1));
+        let agent = Agent::new(following, requests).await?;
         let mut kept = Vec::new();
         let (mut stream, path) = agent.asked().await?;
         assert_eq!(path, "/v1/endpoints");
@@ -138,10 +138,10 @@
         let address = TcpListener::bind("127.0.0.1:0").await?.local_addr()?;
         let (inbound, _heard) = unbounded_channel();
         let (_moves, discovery) = watch::channel(address);
-        let wanted = Rc::new(Wanted::default());
-        wanted.watch.notify_one();
-        let following = Following::Ask(Duration::from_secs(3600), fastrand::Rng::with_seed(2));
-        tokio::task::spawn_local(follow(discovery, following, None, wanted, Rc::default(), inbound));
+        let requests = Rc::new(ListRequests::default());
+        requests.watch.notify_one();
+        let following = Following::Poll(Duration::from_secs(3600), fastrand::Rng::with_seed(2));
+        tokio::task::spawn_local(follow(discovery, following, None, requests, Rc::default(), inbound));
         tokio::time::sleep(Duration::from_secs(20)).await;
         let listener = TcpListener::bind(address).await?;
         timeout(Duration::from_secs(4), listener.accept()).await??;
@@ -155,10 +155,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_that_crosses_the_close_of_a_kept_connection_is_made_again_at_once() -> io::Result<()> {
     let run = async {
-        let wanted = Rc::new(Wanted::default());
-        wanted.watch.notify_one();
-        let following = Following::Ask(Duration::from_secs(5), fastrand::Rng::with_seed(3));
-        let mut agent = Agent::new(following, wanted).await?;
+        let requests = Rc::new(ListRequests::default());
+        requests.watch.notify_one();
+        let following = Following::Poll(Duration::from_secs(5), fastrand::Rng::with_seed(3));
+        let mut agent = Agent::new(following, requests).await?;
         let (mut stream, _) = agent.asked().await?;
         let list = "{\"index\":7,\"snapshot\":true,\"endpoints\":[]}";
         let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{list}", list.len());
@@ -214,28 +214,28 @@
 fn what_is_missed_is_known_before_it_binds() {
     let grace = Duration::from_secs(2);
     let watch = Following::Watch(1, grace / 2);
-    assert!(watch.patience() + AGAIN + Duration::from_millis(250) < grace);
+    assert!(watch.call_timeout() + RETRY_PAUSE + Duration::from_millis(250) < grace);
     let long = Duration::from_secs(10);
     assert!(
-        rest_after_failure(long, 0.0) >= Duration::from_millis(600),
+        pause_after_failure(long, 0.0) >= Duration::from_millis(600),
         "a long list is fetched again immediately"
     );
-    for took in [Duration::ZERO, ANSWERED_WITHIN, POLL_WITHIN] {
-        let (least, most) = (rest_after_failure(took, 0.0), rest_after_failure(took, 1.0));
+    for took in [Duration::ZERO, MAX_ANSWER_TIME, POLL_TIMEOUT] {
+        let (min, max) = (pause_after_failure(took, 0.0), pause_after_failure(took, 1.0));
         assert!(
-            took + most + Duration::from_secs(2) < Duration::from_secs(6),
+            took + max + Duration::from_secs(2) < Duration::from_secs(6),
             "the next poll is too late after {took:?}"
         );
         assert!(
-            least >= Duration::from_millis(600) && most == least * 2,
+            min >= Duration::from_millis(600) && max == min * 2,
             "all senders poll at the same time after {took:?}"
         );
     }
     // The longest hold time, silent twice in a row; and silent once, where discovery has moved and 4 s are
     // left.
     let longest = Following::Watch(1, MAX_HOLD_TIME);
-    assert!((longest.patience() + AGAIN) * 2 < Duration::from_secs(6));
-    assert!(longest.patience() + AGAIN < Duration::from_secs(4));
+    assert!((longest.call_timeout() + RETRY_PAUSE) * 2 < Duration::from_secs(6));
+    assert!(longest.call_timeout() + RETRY_PAUSE < Duration::from_secs(4));
 }
 
 /// A complete list with this number of entries.
@@ -273,13 +273,13 @@
         discovery,
         following,
         pace: None,
-        wanted: Rc::default(),
+        requests: Rc::default(),
         counters: counters.clone(),
         inbound,
         bounds,
         conn: None,
         address,
-        whole: false,
+        need_complete: false,
         refused: 0,
     };
     tokio::task::spawn_local(follower.run());
@@ -294,7 +294,7 @@
 
 /// A watch with a hold time of half a second; its timeout is 700 ms.
 fn short_watch() -> Following {
-    Following::Watch(1, SHORTEST_HOLD)
+    Following::Watch(1, MIN_HOLD_TIME)
 }
 
 /// A list over 1 MiB was never accepted, and its watch ended with it.
@@ -313,7 +313,7 @@
         assert!(matches!(heard.recv().await, Some(Inbound::Event(Event::ListFailed))));
         for (index, endpoints) in [(2, 10), (3, 10_000), (4, 1500), (5, 20_000)] {
             stream.write_all(answer(&list(index, endpoints)).as_bytes()).await?;
-            let listed = timeout(PATIENCE, heard.recv()).await?;
+            let listed = timeout(TEST_TIMEOUT, heard.recv()).await?;
             let Some(Inbound::ListReceived(listed)) = listed else { panic!("{endpoints}: {listed:?}") };
             assert_eq!(list_version(&listed), (index, Some(endpoints)));
             assert_eq!(counted(&counters)["endpoints"], endpoints);
@@ -337,15 +337,15 @@
         let agent = Agent(listener, unbounded_channel().1);
         let (mut stream, _) = agent.asked().await?;
         let text = answer(&list(2, 60_000));
-        let piece = MIN_RATE as usize / 2;
-        assert!(text.len() > 3 * piece, "{} bytes", text.len());
+        let chunk = MIN_RATE as usize / 2;
+        assert!(text.len() > 3 * chunk, "{} bytes", text.len());
         let began = Instant::now();
-        for piece in text.as_bytes().chunks(piece) {
-            stream.write_all(piece).await?;
+        for chunk in text.as_bytes().chunks(chunk) {
+            stream.write_all(chunk).await?;
             tokio::time::sleep(Duration::from_millis(300)).await;
         }
-        assert!(began.elapsed() > short_watch().patience());
-        let listed = timeout(PATIENCE, heard.recv()).await?;
+        assert!(began.elapsed() > short_watch().call_timeout());
+        let listed = timeout(TEST_TIMEOUT, heard.recv()).await?;
         assert!(
             matches!(&listed, Some(Inbound::ListReceived(list)) if list_version(list) == (2, Some(60_000)))
         );
@@ -422,8 +422,8 @@
                 let began = Instant::now();
                 stream.write_all(answer("{\"inde").as_bytes()).await?;
                 stream = agent.asked().await?.0;
-                let (after, least) = (began.elapsed(), AGAIN * (1 << refused));
-                assert!(after >= least && after < least + Duration::from_millis(150), "{refused}: {after:?}");
+                let (after, min) = (began.elapsed(), RETRY_PAUSE * (1 << refused));
+                assert!(after >= min && after < min + Duration::from_millis(150), "{refused}: {after:?}");
             }
             stream.write_all(answer(&list(index, 3)).as_bytes()).await?;
             asked(&mut stream).await?;
@@ -456,8 +456,8 @@
             });
             agent.asked().await?;
             let after = began.elapsed();
-            let most = short_watch().patience() + AGAIN + Duration::from_millis(250);
-            assert!(after < most, "next call {after:?} after {first} bytes");
+            let max = short_watch().call_timeout() + RETRY_PAUSE + Duration::from_millis(250);
+            assert!(after < max, "next call {after:?} after {first} bytes");
             assert_eq!(counted(&counters)["last_error"], "list.cut");
         }
         Ok(())
@@ -476,10 +476,10 @@
             let agent = Agent(listener, unbounded_channel().1);
             let (mut stream, _) = agent.asked().await?;
             stream.write_all(head(usize::MAX >> 1).as_bytes()).await?;
-            let piece = text.repeat((1 << 16) / text.len());
+            let chunk = text.repeat((1 << 16) / text.len());
             let mut written = 0;
-            while stream.write_all(&piece).await.is_ok() {
-                written += piece.len();
+            while stream.write_all(&chunk).await.is_ok() {
+                written += chunk.len();
                 assert!(written < 64 << 20, "the body is read beyond its limit");
             }
             agent.asked().await?;
@@ -516,7 +516,7 @@
         assert_eq!(path, "/v1/endpoints?from=1&hold_ms=2000");
         assert!(heard.try_recv().is_err() && counted(&counters).is_null());
         stream.write_all(answer(&list(9, 1)).as_bytes()).await?;
-        let listed = timeout(PATIENCE, heard.recv()).await?;
+        let listed = timeout(TEST_TIMEOUT, heard.recv()).await?;
         assert!(matches!(&listed, Some(Inbound::ListReceived(list)) if list_version(list) == (9, Some(1))));
         Ok(())
     };
@@ -527,17 +527,17 @@
 #[tokio::test]
 async fn a_wish_for_the_whole_list_waits_for_a_long_one() -> io::Result<()> {
     let run = async {
-        let wanted = Rc::new(Wanted::default());
-        let mut agent = Agent::new(Following::Watch(1, MAX_HOLD_TIME), wanted.clone()).await?;
+        let requests = Rc::new(ListRequests::default());
+        let mut agent = Agent::new(Following::Watch(1, MAX_HOLD_TIME), requests.clone()).await?;
         let (mut stream, _) = agent.asked().await?;
         let text = answer(&list(2, 5000));
         let (first, last) = text.as_bytes().split_at(text.len() - 1);
         stream.write_all(first).await?;
         tokio::time::sleep(Duration::from_millis(100)).await;
-        wanted.whole.notify_one();
+        requests.fetch.notify_one();
         tokio::time::sleep(Duration::from_millis(100)).await;
         stream.write_all(last).await?;
-        let listed = timeout(PATIENCE, agent.1.recv()).await?;
+        let listed = timeout(TEST_TIMEOUT, agent.1.recv()).await?;
         assert!(
             matches!(&listed, Some(Inbound::ListReceived(list)) if list_version(list) == (2, Some(5000)))
         );
@@ -551,31 +551,34 @@
 /// sent must be reported within 6 s.
 #[test]
 fn the_rest_after_refused_lists_is_bounded_by_when_news_counts_as_told() {
-    for hold in [SHORTEST_HOLD, Duration::from_secs(1), MAX_HOLD_TIME] {
-        let patience = Following::Watch(1, hold).patience();
-        for took in [Duration::ZERO, hold, patience] {
+    for hold in [MIN_HOLD_TIME, Duration::from_secs(1), MAX_HOLD_TIME] {
+        let call_timeout = Following::Watch(1, hold).call_timeout();
+        for took in [Duration::ZERO, hold, call_timeout] {
             assert_eq!(
-                rest_after_refusal(1, took, patience),
-                AGAIN,
+                pause_after_refusal(1, took, call_timeout),
+                RETRY_PAUSE,
                 "a single refusal costs no more than a failed call"
             );
             for refused in [2, 5, 8, 100, u32::MAX] {
-                let rest = rest_after_refusal(refused, took, patience);
+                let pause = pause_after_refusal(refused, took, call_timeout);
                 assert!(
-                    rest >= AGAIN && took + rest + patience + POLL_SLACK <= TOLD_WITHIN,
-                    "{refused}: {rest:?}"
+                    pause >= RETRY_PAUSE && took + pause + call_timeout + POLL_SLACK <= REPORTED_WITHIN,
+                    "{refused}: {pause:?}"
                 );
             }
         }
         // However many were refused before, the agent's first good list is fetched soon.
-        assert!(rest_after_refusal(u32::MAX, patience, patience) <= MAX_AT_AGENT);
+        assert!(pause_after_refusal(u32::MAX, call_timeout, call_timeout) <= MAX_PAUSE_AT_AGENT);
         // The transfer took longer than the call's timeout: the time counts from its end.
-        let rest = rest_after_refusal(100, Duration::from_secs(30), patience);
-        assert!(rest + patience + POLL_SLACK <= TOLD_WITHIN && rest > Duration::from_secs(2), "{rest:?}");
+        let pause = pause_after_refusal(100, Duration::from_secs(30), call_timeout);
+        assert!(
+            pause + call_timeout + POLL_SLACK <= REPORTED_WITHIN && pause > Duration::from_secs(2),
+            "{pause:?}"
+        );
     }
-    let shared = Following::Watch(1, SHARED_HOLD).patience();
+    let shared = Following::Watch(1, SHARED_HOLD_TIME).call_timeout();
     assert!(
-        rest_after_refusal(100, Duration::ZERO, shared) > Duration::from_secs(2),
+        pause_after_refusal(100, Duration::ZERO, shared) > Duration::from_secs(2),
         "the pause at a service is too short"
     );
 }
@@ -589,7 +592,7 @@
         let changes = list(2, CHANGES + 1).replacen("\"snapshot\":true", "\"snapshot\":false", 1);
         // The follower may have stopped reading before the end.
         let _ = stream.write_all(answer(&changes).as_bytes()).await;
-        let heard = timeout(PATIENCE, agent.1.recv()).await?;
+        let heard = timeout(TEST_TIMEOUT, agent.1.recv()).await?;
         assert!(matches!(heard, Some(Inbound::Event(Event::ListFailed))), "{heard:?}");
         let (mut stream, path) = agent.asked().await?;
         assert_eq!(path, "/v1/endpoints");
