--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -116,9 +116,9 @@
 impl AsyncRead for CountedStream {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         if self.traffic.check_idle.take()
-            && let Some(peek_idle) = self.peek_idle()
+            && let Some(end) = self.peek_idle()
         {
-            return Poll::Ready(peek_idle);
+            return Poll::Ready(end);
         }
         let before = buf.filled().len();
         let poll = Pin::new(&mut self.stream).poll_read(cx, buf);
@@ -378,8 +378,8 @@
     /// The outcome of a call whose response is incomplete: for a single message, a status line with 200 is
     /// enough for a delivery.
     fn outcome_without_response(&self, outcome: Outcome) -> Outcome {
-        let told = self.traffic.borrow().as_ref().is_some_and(|traffic| traffic.has_ok_status());
-        if told && self.messages.get() == 1 { Outcome::Delivered } else { outcome }
+        let reported = self.traffic.borrow().as_ref().is_some_and(|traffic| traffic.has_ok_status());
+        if reported && self.messages.get() == 1 { Outcome::Delivered } else { outcome }
     }
 
     /// Composes the request, at the time when it can be written; `None` if no message is left.
@@ -644,7 +644,7 @@
         let until = now + Duration::from_micros(wait);
         let mut waits = self.waits.borrow_mut();
         waits.retain(|_, until| *until > now);
-        waits.entry(route).and_modify(|told| *told = until.max(*told)).or_insert(until);
+        waits.entry(route).and_modify(|reported| *reported = until.max(*reported)).or_insert(until);
     }
 
     fn is_held(&self, route: RouteId) -> bool {
@@ -759,9 +759,9 @@
         }
         if state.messages.get() > 1 && head.status == StatusCode::OK {
             let body = conn.0.body(body).await.map_err(|()| Outcome::Reset)?;
-            let told: Vec<BatchEnd> = serde_json::from_slice(&body).unwrap_or_default();
+            let reported: Vec<BatchEnd> = serde_json::from_slice(&body).unwrap_or_default();
             let states: HashMap<&str, &str> =
-                told.iter().map(|end| (end.id.as_str(), end.state.as_str())).collect();
+                reported.iter().map(|end| (end.id.as_str(), end.state.as_str())).collect();
             let end = |p: &CallMessage| match states.get(p.id.as_str()).copied() {
                 Some("ok") => (Outcome::Delivered, false),
                 Some("later") => (Outcome::Full(wait), false),
--- a/src/net/calls/tests.rs
+++ b/src/net/calls/tests.rs
@@ -154,9 +154,9 @@
         let (mut stream, _) = world.listener.accept().await?;
         read(&mut stream).await?;
         stream.write_all(b"HTTP/1.1 200 OK\r\nretry-after: 60\r\ncontent-length: 26\r\n\r\n[{").await?;
-        let told = timeout(TEST_TIMEOUT, world.events.recv()).await?;
+        let reported = timeout(TEST_TIMEOUT, world.events.recv()).await?;
         let wait = Event::RetryAfter { endpoint: world.target.endpoint, wait: 60_000_000 };
-        assert!(matches!(&told, Some(Inbound::Event(event)) if *event == wait), "{told:?}");
+        assert!(matches!(&reported, Some(Inbound::Event(event)) if *event == wait), "{reported:?}");
         // It applies even before the call is over.
         world.calls.start(world.target, vec![part(3)]);
         assert_eq!(world.ends().await, [(3, NEVER_RAN)]);
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -58,7 +58,7 @@
 
 /// A message submitted within this iteration; it is not in the journal yet.
 struct NewMessage {
-    taken: AcceptedMessage,
+    message: AcceptedMessage,
     /// The clients that wait for the answer: more than one if a client submitted the message again.
     answers: Vec<oneshot::Sender<Answer>>,
 }
@@ -507,7 +507,7 @@
         };
         let effect = self.settings.classes.get(class).map(|class| class.effect);
         let taken = AcceptedMessage { effect, ..taken };
-        let pending: u64 = self.new_messages.values().map(|fresh| Journal::reservation(&fresh.taken)).sum();
+        let pending: u64 = self.new_messages.values().map(|fresh| Journal::reservation(&fresh.message)).sum();
         if !self.journal.has_capacity(&taken, pending) {
             self.counters.count_ended(&taken.class, MessageEnd::Deferred);
             let _ = answer.send(Answer::Refused(RETRY_WHEN_FULL));
@@ -518,7 +518,7 @@
         self.load(taken.destination, events);
         events.push(Event::Accepted(self.message(number, class, &taken, self.clock.now())));
         self.held.insert(taken.id.clone(), number);
-        self.new_messages.insert(number, NewMessage { taken, answers: vec![answer] });
+        self.new_messages.insert(number, NewMessage { message: taken, answers: vec![answer] });
     }
 
     fn attempt_ended(&mut self, end: AttemptEnd) -> Event {
--- a/src/net/driver/residency.rs
+++ b/src/net/driver/residency.rs
@@ -41,7 +41,7 @@
 impl Driver {
     /// Processes a complete list or changes of it from discovery.
     pub(super) fn handle_list(&mut self, list: List, events: &mut Vec<Event>) {
-        let was_beyond = self.working_set.long_list;
+        let was_long = self.working_set.long_list;
         let event = match list {
             List::Entries(body) if body.snapshot => self.handle_complete_list(body),
             List::Entries(body) if self.working_set.long_list => self.apply_changes(body),
@@ -57,7 +57,7 @@
             List::Table { index, table } => self.replace_table(index, table),
         };
         events.push(event);
-        if self.working_set.long_list && !was_beyond {
+        if self.working_set.long_list && !was_long {
             self.load_for_held(events);
         }
     }
@@ -94,7 +94,7 @@
     pub(super) fn load_for_held(&mut self, events: &mut Vec<Event>) {
         let live = self.journal.pending().values().filter(|live| live.given_up.is_none());
         let held = live.map(|live| live.accepted.destination);
-        let fresh = self.new_messages.values().map(|fresh| fresh.taken.destination);
+        let fresh = self.new_messages.values().map(|fresh| fresh.message.destination);
         let destinations: BTreeSet<u32> = held.chain(fresh).collect();
         for destination in destinations {
             self.load(destination, events);
@@ -129,7 +129,7 @@
     /// Applies changes of a long list: all of them to the table, those of resident destinations to the
     /// module.
     fn apply_changes(&mut self, body: ListBody) -> Event {
-        let mut told = Vec::new();
+        let mut resident_changes = Vec::new();
         let mut failed = None;
         for listing in last_of_each_name(body.endpoints) {
             // A change that exceeds the table's capacity still takes effect for resident destinations.
@@ -141,21 +141,21 @@
             let known = self.ids.get(&listing.name).and_then(|id| self.endpoints.get(id));
             let before = known.map(|known| known.group);
             if self.working_set.is_resident(listing.group) {
-                told.push(listing);
+                resident_changes.push(listing);
             } else if let Some(group) = before {
                 // It moved to a destination that is not resident: for the module it is gone.
-                told.push(Listing { group, status: STATUS_LEFT.to_owned(), ..listing });
+                resident_changes.push(Listing { group, status: STATUS_LEFT.to_owned(), ..listing });
             }
         }
         if let Some(why) = &failed {
             let (code, remedy) = (why.code(), why.remedy());
             tracing::error!(code, remedy, "a change of the list of endpoints can't be applied: {why}");
         }
-        let worn = self.working_set.table.as_ref().is_some_and(|table| table.needs_rebuild());
-        if worn || failed.is_some() {
+        let needs_rebuild = self.working_set.table.as_ref().is_some_and(|table| table.needs_rebuild());
+        if needs_rebuild || failed.is_some() {
             self.working_set.refetch_due = true;
         }
-        self.apply_listing(ListBody { index: body.index, snapshot: false, endpoints: told })
+        self.apply_listing(ListBody { index: body.index, snapshot: false, endpoints: resident_changes })
     }
 
     /// Fetches the complete list if the table has accumulated many changes or failed to apply one, unless
@@ -244,7 +244,7 @@
     }
 
     /// Evicts destinations that were idle for long and that nothing depends on.
-    pub(super) fn leave(&mut self) {
+    pub(super) fn evict_idle(&mut self) {
         if self.working_set.table.is_none() {
             return;
         }
@@ -254,26 +254,26 @@
             return;
         }
         self.working_set.evict_at = now + EVICT_INTERVAL;
-        let mut left: HashMap<u32, (Vec<(RouteId, Route)>, bool)> = HashMap::new();
+        let mut evicted: HashMap<u32, (Vec<(RouteId, Route)>, bool)> = HashMap::new();
         for destination in self.working_set.idle(now) {
-            let outlook = self.policy.destination_summary(DestinationId(destination), usize::MAX);
+            let summary = self.policy.destination_summary(DestinationId(destination), usize::MAX);
             let binds =
-                outlook.routes.iter().any(|route| route.cold_share.is_some() || route.blocked_until > now);
+                summary.routes.iter().any(|route| route.cold_share.is_some() || route.blocked_until > now);
             match self.policy.evict(DestinationId(destination), now) {
-                Some(routes) => drop(left.insert(destination, (routes, binds))),
+                Some(routes) => drop(evicted.insert(destination, (routes, binds))),
                 None => self.working_set.keep(destination, now),
             }
         }
-        if left.is_empty() {
+        if evicted.is_empty() {
             return;
         }
-        let gone = self.endpoints.extract_if(|_, known| left.contains_key(&known.group));
+        let gone = self.endpoints.extract_if(|_, known| evicted.contains_key(&known.group));
         let gone: HashMap<EndpointId, KnownEndpoint> = gone.collect();
         for (id, known) in &gone {
             self.ids.remove(&known.name);
             self.calls.close_idle(*id);
         }
-        for (destination, (routes, binds)) in left {
+        for (destination, (routes, binds)) in evicted {
             let name = |((_, endpoint), route): (RouteId, Route)| match endpoint {
                 Some(id) => Some((Some(gone.get(&id)?.name.clone()), route)),
                 None => Some((None, route)),
--- a/src/net/driver/service.rs
+++ b/src/net/driver/service.rs
@@ -68,9 +68,9 @@
     let (service_state, state_watch) = watch::channel(ServiceState::Starting);
     let counters = Rc::new(Counters::default());
     counters.register_classes(&config.names);
-    let called_at = open_mgmt(&config, &state_watch, &counters, in_force, &inbound).await?;
-    let own_sockets = RESERVED_DESCRIPTORS + called_at.map_or(0, |_| mgmt::PLACES);
-    let places = (config.sockets.saturating_sub(own_sockets) / 2).max(1);
+    let mgmt_address = open_mgmt(&config, &state_watch, &counters, in_force, &inbound).await?;
+    let own_sockets = RESERVED_DESCRIPTORS + mgmt_address.map_or(0, |_| mgmt::PLACES);
+    let max_connections = (config.sockets.saturating_sub(own_sockets) / 2).max(1);
     let (claim, predecessor) = claim(&config, inherited.is_some()).await?;
     let (name, folder, listen, seed) =
         (config.name.clone(), config.state.clone(), config.listen, config.seed);
@@ -78,33 +78,44 @@
         Some(predecessor) => Clock::new().advanced_to(predecessor.state.now),
         None => Clock::new(),
     };
-    let (notices, owed) = unbounded_channel();
+    let (notices, queued_notices) = unbounded_channel();
     let channels = Channels { inbound: inbound.clone(), notices, service_state, state_watch, counters };
-    let (mut driver, known) = Driver::open(config, places, clock, channels).await?;
+    let (mut driver, initial_list) = Driver::open(config, max_connections, clock, channels).await?;
     let (first, followed) = match predecessor {
         Some(predecessor) => {
             let (first, followed) = driver.take_over(predecessor, inbound.clone(), seed);
             (first, Some(followed))
         }
-        None => (driver.start(known), None),
+        None => (driver.start(initial_list), None),
     };
     driver.turn(first);
 
     // Clients waiting at an inherited socket are served by the processes that share it after this one has
     // ended.
-    let own_door = inherited.is_none();
+    let owns_listener = inherited.is_none();
     let (listener, address) = open_listener(inherited, listen).await?;
     driver.service_state.send_replace(ServiceState::InService);
-    let mut tasks = driver.spawn_tasks(&listener, discovery, owed, seed);
+    let mut tasks = driver.spawn_tasks(&listener, discovery, queued_notices, seed);
     if claim.is_some() {
         // One handover at a time: what the previous process still reports is passed on to this process alone.
-        tasks.push(tokio::task::spawn_local(succeed(folder.clone(), inbound, followed)));
+        tasks.push(tokio::task::spawn_local(await_successor(folder.clone(), inbound, followed)));
     }
     let in_hand = driver.journal.pending().len();
-    let called_at = called_at.map_or_else(String::new, |at| format!(", operators call at {at}"));
-    tracing::info!("{name} is ready on {address} with {in_hand} messages in hand{called_at}");
-    let door = own_door.then_some(listener);
-    Service { driver, events, tasks, folder, claim, door, places, turned: Instant::now() }.serve().await;
+    let mgmt_address = mgmt_address.map_or_else(String::new, |at| format!(", operators call at {at}"));
+    tracing::info!("{name} is ready on {address} with {in_hand} messages in hand{mgmt_address}");
+    let own_listener = owns_listener.then_some(listener);
+    Service {
+        driver,
+        events,
+        tasks,
+        folder,
+        claim,
+        own_listener,
+        max_connections,
+        iteration_began: Instant::now(),
+    }
+    .serve()
+    .await;
     Ok(())
 }
 
@@ -154,7 +165,7 @@
 }
 
 /// Waits for the next process to ask for the state folder, once `first` has ended.
-async fn succeed(folder: PathBuf, inbound: UnboundedSender<Inbound>, first: Option<JoinHandle<()>>) {
+async fn await_successor(folder: PathBuf, inbound: UnboundedSender<Inbound>, first: Option<JoinHandle<()>>) {
     if let Some(first) = first {
         let _ = first.await;
     }
@@ -171,7 +182,7 @@
     /// yet. Also returns the list of endpoints to start from.
     async fn open(
         config: Config,
-        places: usize,
+        max_connections: usize,
         clock: Clock,
         channels: Channels,
     ) -> Result<(Self, List), StartError> {
@@ -182,10 +193,10 @@
         let peers = Peers::open(&config, inbound.clone()).await.map_err(StartError::Peers)?;
         let parts = Parts::open(&config, &config.state, clock.now());
         let names = Rc::new(RefCell::new(config.names));
-        let limits = limits(&config.settings, &names.borrow(), places);
+        let limits = limits(&config.settings, &names.borrow(), max_connections);
         let mut driver = Self {
             clock,
-            connections: places,
+            connections: max_connections,
             next_message: journal.pending().keys().next_back().map_or(0, |last| last.wrapping_add(1)),
             journal,
             calls: Calls::new(limits, counters.clone(), inbound.clone()),
@@ -232,7 +243,7 @@
         &self,
         listener: &Rc<TcpListener>,
         discovery: watch::Receiver<SocketAddr>,
-        owed: UnboundedReceiver<Notice>,
+        queued_notices: UnboundedReceiver<Notice>,
         seed: u64,
     ) -> Vec<JoinHandle<()>> {
         let following = platform::Following::new(&self.settings, self.shared_list_service, self.index, seed);
@@ -242,7 +253,7 @@
         let inbound = self.inbound.clone();
         vec![
             tokio::task::spawn_local(self.intake.clone().listen(listener.clone(), self.connections)),
-            tokio::task::spawn_local(platform::notices(discovery.clone(), owed, inbound.clone())),
+            tokio::task::spawn_local(platform::notices(discovery.clone(), queued_notices, inbound.clone())),
             tokio::task::spawn_local(platform::follow(discovery, following, pace, wanted, counters, inbound)),
         ]
     }
@@ -295,11 +306,11 @@
     folder: PathBuf,
     claim: Option<FolderLock>,
     /// The clients' listener, unless it is shared with other processes.
-    door: Option<Rc<TcpListener>>,
+    own_listener: Option<Rc<TcpListener>>,
     /// Maximum number of client connections.
-    places: usize,
+    max_connections: usize,
     /// When the last iteration began.
-    turned: Instant,
+    iteration_began: Instant,
 }
 
 impl Service {
@@ -322,7 +333,7 @@
                 && let Some(offered) = self.offer(stream).await
                 && let Some(claim) = self.claim.take()
             {
-                return self.leave(offered, claim).await;
+                return self.hand_over(offered, claim).await;
             }
         }
     }
@@ -336,8 +347,8 @@
             () = tokio::time::sleep_until(due) => None,
         };
         let period = Duration::from_micros(self.driver.settings.period);
-        tokio::time::sleep_until(self.turned + period).await;
-        self.turned = Instant::now();
+        tokio::time::sleep_until(self.iteration_began + period).await;
+        self.iteration_began = Instant::now();
         first
     }
 
@@ -356,13 +367,13 @@
         if !events.is_empty() || !driver.pending_records.is_empty() || !driver.pending_notices.is_empty() {
             driver.turn(events);
         }
-        driver.leave();
+        driver.evict_idle();
     }
 
     /// Whether the process ends now. Clients that still wait to be accepted are served first.
     async fn end(&mut self) -> bool {
-        if let Some(door) = &self.door {
-            self.driver.intake.admit_backlog(door, self.places).await;
+        if let Some(listener) = &self.own_listener {
+            self.driver.intake.admit_backlog(listener, self.max_connections).await;
         }
         let ends = self.driver.may_end(self.driver.intake.open());
         if ends {
@@ -385,7 +396,7 @@
                 self.tasks.retain(|task| !task.is_finished());
                 let rest = tokio::task::spawn_local(tokio::time::sleep(OFFER_RETRY_PAUSE));
                 let inbound = self.driver.inbound.clone();
-                let next = succeed(self.folder.clone(), inbound, Some(rest));
+                let next = await_successor(self.folder.clone(), inbound, Some(rest));
                 self.tasks.push(tokio::task::spawn_local(next));
                 None
             }
@@ -393,7 +404,7 @@
     }
 
     /// Releases the state folder to the new process, and stays for calls and client requests in progress.
-    async fn leave(self, offered: PreparedHandover, claim: FolderLock) {
+    async fn hand_over(self, offered: PreparedHandover, claim: FolderLock) {
         for task in self.tasks {
             task.abort();
             let _ = task.await;
--- a/src/net/driver/status_index.rs
+++ b/src/net/driver/status_index.rs
@@ -37,7 +37,7 @@
     pub(super) fn index_accepted(&mut self, fresh: &BTreeMap<u32, NewMessage>, now: Micros) {
         let Some(indexing) = &mut self.parts.status else { return };
         for fresh in fresh.values() {
-            indexing.message_accepted(&fresh.taken, now, 0);
+            indexing.message_accepted(&fresh.message, now, 0);
         }
         if !fresh.is_empty() {
             indexing.store(now);
--- a/src/net/driver/takeover.rs
+++ b/src/net/driver/takeover.rs
@@ -55,7 +55,7 @@
 
 /// A message that waits to be adopted.
 struct Adoption {
-    told: MessageRecord,
+    record: MessageRecord,
     tag: ReplicaTag,
     /// Attempts of its first owner that the backups do not know of started at this time or later.
     heard: Micros,
@@ -116,16 +116,16 @@
         self.send_update(&tag, Update::Record(record), now);
     }
 
-    fn send_update(&mut self, tag: &ReplicaTag, fact: Update, now: Micros) -> Option<u32> {
-        self.parts.takeover.as_mut()?.core.replicate(now, tag.group, tag.item, fact)
+    fn send_update(&mut self, tag: &ReplicaTag, update: Update, now: Micros) -> Option<u32> {
+        self.parts.takeover.as_mut()?.core.replicate(now, tag.group, tag.item, update)
     }
 
     /// Sends the backups an update of a replicated message.
-    pub(super) fn update_backups(&mut self, number: u32, fact: Update) {
+    pub(super) fn update_backups(&mut self, number: u32, update: Update) {
         let live = self.journal.pending().get(&number);
         if let Some((tag, _)) = live.and_then(|live| live.replicated.clone()) {
-            let over = fact == Update::Over;
-            self.send_update(&tag, fact, self.clock.now());
+            let over = update == Update::Over;
+            self.send_update(&tag, update, self.clock.now());
             if over {
                 self.replicated.numbers.remove(&(tag.group, tag.item));
                 self.drop_held(number);
@@ -255,8 +255,8 @@
     /// Carries out what followed from other senders' datagrams and from elapsed time.
     pub(super) fn handle_takeover(&mut self, events: &mut Vec<Event>) {
         let Some(covering) = self.parts.takeover.as_mut() else { return };
-        for come in covering.core.take_events() {
-            match come {
+        for event in covering.core.take_events() {
+            match event {
                 GroupEvent::Granted { group, upto } => self.granted(group, upto),
                 GroupEvent::Adopt { group, epoch, backups, last_heard: heard, items } => {
                     tracing::info!(
@@ -269,7 +269,7 @@
                     for (item, known) in items {
                         let record = known.record.as_deref().unwrap_or_default();
                         let tag = ReplicaTag { group, epoch, item, backups: backups.clone() };
-                        let Ok(told) = postcard::from_bytes::<MessageRecord>(record) else {
+                        let Ok(record) = postcard::from_bytes::<MessageRecord>(record) else {
                             tracing::error!(
                                 lot = group.number,
                                 item,
@@ -278,10 +278,10 @@
                             self.send_update(&tag, Update::Over, self.clock.now());
                             continue;
                         };
-                        let heard = heard.max(told.since);
-                        self.replicated.adoptions.push(Adoption { told, tag, heard, known });
+                        let heard = heard.max(record.since);
+                        self.replicated.adoptions.push(Adoption { record, tag, heard, known });
                     }
-                    self.replicated.adoptions.sort_by_key(|a| std::cmp::Reverse(a.told.taken.deadline));
+                    self.replicated.adoptions.sort_by_key(|a| std::cmp::Reverse(a.record.taken.deadline));
                 }
                 GroupEvent::SoleOwner(group) => {
                     let (from, to) = ((group, Item::MIN), (group, Item::MAX));
@@ -384,9 +384,9 @@
             PlannedCall { timeout, ..call }
         };
         self.start_calls(free.into_iter().map(left).collect(), now);
-        let told = |held: &mut HeldNotice| held.group == group && held.upto <= upto;
-        let told: Vec<HeldNotice> = self.replicated.notices.extract_if(.., told).collect();
-        told.into_iter().for_each(|held| self.send_notice(held.message, held.how, held.id));
+        let granted = |held: &mut HeldNotice| held.group == group && held.upto <= upto;
+        let granted: Vec<HeldNotice> = self.replicated.notices.extract_if(.., granted).collect();
+        granted.into_iter().for_each(|held| self.send_notice(held.message, held.how, held.id));
     }
 
     /// Gives up a message that another sender owns now, or that is over.
@@ -403,10 +403,10 @@
 
     /// Adopts a message of another sender. Returns it as the error if the journal can't be written.
     fn adopt(&mut self, from: Adoption, now: Micros, events: &mut Vec<Event>) -> Result<(), Box<Adoption>> {
-        let Adoption { told, tag, heard, known } = &from;
-        let class = self.names.borrow().class(&told.taken.class);
+        let Adoption { record, tag, heard, known } = &from;
+        let class = self.names.borrow().class(&record.taken.class);
         let effect = class.and_then(|class| Some(self.settings.classes.get(class)?.effect));
-        let taken = AcceptedMessage { owner: told.owner.clone(), effect, ..told.taken.clone() };
+        let taken = AcceptedMessage { owner: record.owner.clone(), effect, ..record.taken.clone() };
         if self.held.contains_key(&taken.id) {
             // This sender has the message already by another way, which provides its outcome.
             let tag = tag.clone();
@@ -446,7 +446,7 @@
         if self.parts.takeover.as_ref().is_some_and(|covering| covering.core.is_sole_owner(tag.group)) {
             self.replicated.unreplicated.insert(number);
         }
-        self.index_adopted(&taken, told.since, tag.epoch, how);
+        self.index_adopted(&taken, record.since, tag.epoch, how);
         let attempts = known.attempts.last_key_value().map_or(0, |(last, _)| last + 1);
         let (from, destination) = (tag.group.owner, taken.destination);
         tracing::debug!(id, from, destination, attempts, ?how, "message adopted");
--- a/src/net/driver/turn.rs
+++ b/src/net/driver/turn.rs
@@ -54,7 +54,7 @@
             }
         }
         let kept = records.len();
-        self.record_taken(&fresh, now, &mut records);
+        self.record_accepted(&fresh, now, &mut records);
         records.extend(decided.calls.iter().map(|call| self.record_begun(call, now)));
         match self.journal.append(&records) {
             Ok(()) => self.after_write(fresh, decided.calls, now),
@@ -122,9 +122,9 @@
 
     /// Rejects a message that was submitted in this iteration.
     fn reject(&mut self, number: u32, fresh: NewMessage, how: GivenUp) {
-        self.release(number, &fresh.taken.id);
-        self.counters.count_ended(&fresh.taken.class, how.into());
-        let (id, destination) = (&fresh.taken.id, fresh.taken.destination);
+        self.release(number, &fresh.message.id);
+        self.counters.count_ended(&fresh.message.class, how.into());
+        let (id, destination) = (&fresh.message.id, fresh.message.destination);
         tracing::debug!(id, destination, ?how, "message rejected");
         fresh.answer(match how {
             GivenUp::Deferred(again) => Answer::Refused(again),
@@ -154,10 +154,10 @@
         Some(Record::GivenUp(number, how))
     }
 
-    fn record_taken(&mut self, fresh: &BTreeMap<u32, NewMessage>, now: Micros, records: &mut Vec<Record>) {
+    fn record_accepted(&mut self, fresh: &BTreeMap<u32, NewMessage>, now: Micros, records: &mut Vec<Record>) {
         for (number, fresh) in fresh {
-            records.extend(acceptance_records(*number, &fresh.taken));
-            let tag = self.assign_group(&fresh.taken, now);
+            records.extend(acceptance_records(*number, &fresh.message));
+            let tag = self.assign_group(&fresh.message, now);
             records.extend(tag.map(|tag| Record::Replicated(*number, tag, now)));
         }
     }
@@ -178,9 +178,9 @@
         self.index_accepted(&fresh, now);
         for (number, fresh) in fresh {
             self.replicate(number, now);
-            let AcceptedMessage { id, class, destination, .. } = &fresh.taken;
+            let AcceptedMessage { id, class, destination, .. } = &fresh.message;
             tracing::debug!(id, class, destination, "message accepted");
-            let answer = self.accepted_answer(&fresh.taken);
+            let answer = self.accepted_answer(&fresh.message);
             fresh.answer(answer);
         }
         for (number, how, id) in std::mem::take(&mut self.pending_notices) {
@@ -209,8 +209,8 @@
         self.pending_records = records;
         calls.iter().for_each(|call| self.report_not_made(*call));
         for (number, fresh) in fresh {
-            self.release(number, &fresh.taken.id);
-            self.counters.count_ended(&fresh.taken.class, MessageEnd::Deferred);
+            self.release(number, &fresh.message.id);
+            self.counters.count_ended(&fresh.message.class, MessageEnd::Deferred);
             let _ = self.inbound.send(Inbound::Event(Event::Withdrawn(MessageId(number))));
             fresh.answer(Answer::Refused(RETRY_WHEN_FULL));
         }
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -70,7 +70,7 @@
 ///
 /// # Errors
 /// Fails when no connection is made, or it breaks before the head of the response.
-async fn answered(
+async fn send_request(
     kept: &mut Option<Conn>,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -80,18 +80,18 @@
         Some(mut conn) => conn.still_usable().await.then_some(conn),
         None => None,
     };
-    let asked = Instant::now();
-    let crossed = match usable {
+    let sent_at = Instant::now();
+    let on_kept = match usable {
         Some(mut conn) => match conn.send(request.clone()).await {
             Ok(answer) => Some((conn, answer)),
             // The connection broke while the request was waiting, which counts as a response: an immediate
             // retry would have all senders ask again at the same time.
-            Err(()) if asked.elapsed() > RETRY_PAUSE => return Err(()),
+            Err(()) if sent_at.elapsed() > RETRY_PAUSE => return Err(()),
             Err(()) => None,
         },
         None => None,
     };
-    match crossed {
+    match on_kept {
         Some(answered) => Ok(answered),
         None => {
             let mut conn = Conn::open(address).await.map_err(|_| ())?;
@@ -105,12 +105,12 @@
 ///
 /// # Errors
 /// Fails when no connection is made, or the response is truncated or too long.
-async fn ask(
+async fn exchange(
     kept: &mut Option<Conn>,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
 ) -> Result<(StatusCode, Bytes), ()> {
-    let (mut conn, answer) = answered(kept, address, request).await?;
+    let (mut conn, answer) = send_request(kept, address, request).await?;
     let (head, body) = answer.into_parts();
     let body = conn.body(body).await?;
     if conn.usable().await {
@@ -119,30 +119,30 @@
     Ok((head.status, body))
 }
 
-/// The pause after a poll that took `took` and brought no list. It is random between half of the allowed
+/// The pause after a poll that took `elapsed` and brought no list. It is random between half of the allowed
 /// maximum and all of it, since all senders may have failed together: 300 of them then poll some 110 times a
 /// second at most on average. A change just after the failed poll was sent is reported by the response to the
 /// next poll: both waits, the pause between them and the slack add up to [`REPORTED_WITHIN`]. Only the last
 /// failure counts, however many came before: discovery may have come back just as the failed poll was sent.
-fn pause_after_failure(took: Duration, random: f64) -> Duration {
+fn pause_after_failure(elapsed: Duration, random: f64) -> Duration {
     // A long list that is refused may take longer than a poll's timeout; it must not be transferred again
     // immediately.
-    let max = (REPORTED_WITHIN - MAX_ANSWER_TIME - POLL_SLACK).saturating_sub(took.min(POLL_TIMEOUT));
+    let max = (REPORTED_WITHIN - MAX_ANSWER_TIME - POLL_SLACK).saturating_sub(elapsed.min(POLL_TIMEOUT));
     max.mul_f64(0.5 + random / 2.0)
 }
 
 /// The pause after a list that was received and refused, the `refused`th in a row, from a call that took
-/// `took`; `call_timeout` is the timeout of the next call. The pause starts at [`RETRY_PAUSE`] and doubles: a single
+/// `elapsed`; `call_timeout` is the timeout of the next call. The pause starts at [`RETRY_PAUSE`] and doubles: a single
 /// refusal costs no more than a failed call. A change just after the refused call was sent is reported by the
 /// response to the next one: both waits, the pause between them and the slack add up to [`REPORTED_WITHIN`]. A
 /// call that took longer than its timeout transferred a long list, and what changed at its beginning is
 /// overdue already; there the time counts from its end. For a watch held by a service for all senders, the
 /// longest timeout of a watch at an agent is used instead, since both report what they have immediately.
-fn pause_after_refusal(refused: u32, took: Duration, call_timeout: Duration) -> Duration {
+fn pause_after_refusal(refused: u32, elapsed: Duration, call_timeout: Duration) -> Duration {
     let at_agent = call_timeout <= MAX_HOLD_TIME + WATCH_SLACK;
     let call_timeout = call_timeout.min(MAX_HOLD_TIME + WATCH_SLACK);
-    let short = took <= call_timeout + POLL_SLACK;
-    let spent = if short { took } else { Duration::ZERO };
+    let short = elapsed <= call_timeout + POLL_SLACK;
+    let spent = if short { elapsed } else { Duration::ZERO };
     let max = (REPORTED_WITHIN - POLL_SLACK).saturating_sub(spent + call_timeout);
     let max = if short && at_agent { max.min(MAX_PAUSE_AT_AGENT) } else { max };
     let doubled = RETRY_PAUSE * (1 << refused.saturating_sub(1).min(MAX_DOUBLINGS));
@@ -253,7 +253,7 @@
 }
 
 /// Makes a call, and waits for the first bytes of its list.
-async fn begin(
+async fn begin_call(
     conn: &mut Option<Conn>,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -261,7 +261,7 @@
     bounds: Bounds,
 ) -> Result<BodyStart, FetchResult> {
     let silent = FetchResult::Failed(CallFailure::NoAnswer);
-    let Ok(Ok((mut conn, answer))) = timeout_at(until, answered(conn, address, request)).await else {
+    let Ok(Ok((mut conn, answer))) = timeout_at(until, send_request(conn, address, request)).await else {
         return Err(silent);
     };
     let (head, body) = answer.into_parts();
@@ -303,13 +303,13 @@
         loop {
             self.prepare().await;
             let Some(request) = self.request() else { return };
-            let asked = Instant::now();
+            let sent_at = Instant::now();
             let Some(result) = self.call(request).await else { continue };
             self.report_to_pace(&result);
             let pause = match &result {
                 FetchResult::List(list) => self.list_accepted(list),
-                FetchResult::Refused(why) => self.list_refused(why, asked.elapsed()),
-                FetchResult::Failed(_) => self.call_failed(asked.elapsed()),
+                FetchResult::Refused(why) => self.list_refused(why, sent_at.elapsed()),
+                FetchResult::Failed(_) => self.call_failed(sent_at.elapsed()),
             };
             if !self.report(result) {
                 return;
@@ -355,7 +355,7 @@
     async fn call(&mut self, request: Request<Full<Bytes>>) -> Option<FetchResult> {
         let until = Instant::now() + self.call_timeout();
         let begun = tokio::select! {
-            begun = begin(&mut self.conn, self.address, request, until, self.bounds) => begun,
+            begun = begin_call(&mut self.conn, self.address, request, until, self.bounds) => begun,
             () = self.requests.fetch.notified() => {
                 self.need_complete = true;
                 return None;
@@ -428,8 +428,8 @@
         }
     }
 
-    /// Records a refused list, from a call that took `took`. Returns the pause before the next call.
-    fn list_refused(&mut self, why: &ListError, took: Duration) -> Duration {
+    /// Records a refused list, from a call that took `elapsed`. Returns the pause before the next call.
+    fn list_refused(&mut self, why: &ListError, elapsed: Duration) -> Duration {
         let (code, remedy) = (why.code(), why.remedy());
         let refused = self.counters.count_list_refused(code);
         let shown: String =
@@ -443,32 +443,32 @@
         // The complete list may be longer than a list of changes.
         self.need_complete |= matches!(why, ListError::Changes(_));
         if matches!(self.following, Following::Poll(..)) {
-            return self.call_failed(took);
+            return self.call_failed(elapsed);
         }
         self.conn = None;
         self.refused = self.refused.saturating_add(1);
-        pause_after_refusal(self.refused, took, self.call_timeout())
+        pause_after_refusal(self.refused, elapsed, self.call_timeout())
     }
 
-    /// Records a call that failed after `took`. Returns the pause before the next one.
-    fn call_failed(&mut self, took: Duration) -> Duration {
+    /// Records a call that failed after `elapsed`. Returns the pause before the next one.
+    fn call_failed(&mut self, elapsed: Duration) -> Duration {
         self.conn = None;
         match &mut self.following {
             Following::Watch(..) => RETRY_PAUSE,
-            Following::Poll(_, rng) => pause_after_failure(took, rng.f64()),
+            Following::Poll(_, rng) => pause_after_failure(elapsed, rng.f64()),
         }
     }
 
     /// Reports the result of a call to the driver. Returns false if the driver is gone.
     fn report(&self, result: FetchResult) -> bool {
-        let said = match result {
+        let notification = match result {
             FetchResult::List(list) => Inbound::ListReceived(list),
             // A failed poll is not reported: the module's retry rule is made for the simulator's adapter,
             // where the next poll may come later. Here this task polls again by itself.
             _ if matches!(self.following, Following::Poll(..)) => return true,
             _ => Inbound::Event(Event::ListFailed),
         };
-        self.inbound.send(said).is_ok()
+        self.inbound.send(notification).is_ok()
     }
 
     /// Pauses, unless a call is needed earlier.
@@ -500,7 +500,7 @@
     again_ms: Option<u64>,
 }
 
-fn line(notice: &Notice) -> Vec<u8> {
+fn notice_line(notice: &Notice) -> Vec<u8> {
     let (status, again) = match notice.how {
         GivenUp::Deferred(again) => ("deferred", Some(again.div_ceil(1000)).filter(|ms| *ms > 0)),
         GivenUp::Undeliverable => ("undeliverable", None),
@@ -517,48 +517,48 @@
     mut notices: UnboundedReceiver<Notice>,
     inbound: UnboundedSender<Inbound>,
 ) {
-    let mut owed: BTreeMap<MessageId, Vec<u8>> = BTreeMap::new();
+    let mut unsent: BTreeMap<MessageId, Vec<u8>> = BTreeMap::new();
     let mut conn: Option<Conn> = None;
     let mut max = usize::MAX;
     loop {
-        if owed.is_empty() {
+        if unsent.is_empty() {
             let Some(notice) = notices.recv().await else { return };
-            owed.insert(notice.message, line(&notice));
+            unsent.insert(notice.message, notice_line(&notice));
         }
         while let Ok(notice) = notices.try_recv() {
-            owed.insert(notice.message, line(&notice));
+            unsent.insert(notice.message, notice_line(&notice));
         }
         if discovery.has_changed().unwrap_or(false) {
             conn = None;
         }
         let address = *discovery.borrow_and_update();
-        let (mut body, mut told) = (Vec::new(), Vec::new());
-        for (message, line) in owed.iter().take(max) {
+        let (mut body, mut sent) = (Vec::new(), Vec::new());
+        for (message, line) in unsent.iter().take(max) {
             if !body.is_empty() && body.len() + line.len() > BODY_LIMIT {
                 break;
             }
             body.extend(line);
-            told.push(*message);
+            sent.push(*message);
         }
         let request = Request::post("/reports")
             .header("host", address.to_string())
             .header("content-type", "application/json")
             .body(Full::new(Bytes::from(body)));
         let Ok(request) = request else { return };
-        match timeout(NOTICE_TIMEOUT, ask(&mut conn, address, request)).await {
+        match timeout(NOTICE_TIMEOUT, exchange(&mut conn, address, request)).await {
             Ok(Ok((StatusCode::NO_CONTENT, _))) => {
-                owed.retain(|message, _| !told.contains(message));
+                unsent.retain(|message, _| !sent.contains(message));
                 max = usize::MAX;
-                if inbound.send(Inbound::NoticesAcknowledged(told)).is_err() {
+                if inbound.send(Inbound::NoticesAcknowledged(sent)).is_err() {
                     return;
                 }
             }
             // One line that the platform can't read must not block the others.
-            Ok(Ok((StatusCode::BAD_REQUEST, _))) if told.len() > 1 => max = 1,
+            Ok(Ok((StatusCode::BAD_REQUEST, _))) if sent.len() > 1 => max = 1,
             Ok(Ok((StatusCode::BAD_REQUEST, _))) => {
                 tracing::warn!("the platform rejected a notice as malformed; the notice is dropped");
-                owed.retain(|message, _| !told.contains(message));
-                let _ = inbound.send(Inbound::NoticesAcknowledged(told));
+                unsent.retain(|message, _| !sent.contains(message));
+                let _ = inbound.send(Inbound::NoticesAcknowledged(sent));
             }
             _ => {
                 conn = None;
--- a/src/net/platform/tests.rs
+++ b/src/net/platform/tests.rs
@@ -18,10 +18,10 @@
     /// Starts a follower; the second field receives what the driver is told.
     async fn new(following: Following, requests: Rc<ListRequests>) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let (inbound, heard) = unbounded_channel();
+        let (inbound, notifications) = unbounded_channel();
         let (_, discovery) = watch::channel(listener.local_addr()?);
         tokio::task::spawn_local(follow(discovery, following, None, requests, Rc::default(), inbound));
-        Ok(Self(listener, heard))
+        Ok(Self(listener, notifications))
     }
 
     /// Accepts the next connection, and returns it with the path of its request.
@@ -62,17 +62,20 @@
             assert_eq!(path, "/v1/endpoints?from=1&hold_ms=1000", "before {answer}");
             stream.write_all(answer.as_bytes()).await?;
             kept.push(stream);
-            let heard = timeout(TEST_TIMEOUT, agent.1.recv()).await?;
-            assert!(matches!(heard, Some(Inbound::Event(Event::ListFailed))), "{answer}: {heard:?}");
+            let notifications = timeout(TEST_TIMEOUT, agent.1.recv()).await?;
+            assert!(
+                matches!(notifications, Some(Inbound::Event(Event::ListFailed))),
+                "{answer}: {notifications:?}"
+            );
         }
         let (mut stream, _) = agent.asked().await?;
         let list = "{\r\n  \"index\": 7,\r\n  \"snapshot\": true,\r\n  \"endpoints\": [\r\n  ]\r\n}\r\n";
         let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{list}", list.len());
         stream.write_all(answer.as_bytes()).await?;
-        let heard = timeout(TEST_TIMEOUT, agent.1.recv()).await?;
+        let notifications = timeout(TEST_TIMEOUT, agent.1.recv()).await?;
         assert!(
-            matches!(heard, Some(Inbound::ListReceived(List::Entries(ListBody { index: 7, .. })))),
-            "{heard:?}"
+            matches!(notifications, Some(Inbound::ListReceived(List::Entries(ListBody { index: 7, .. })))),
+            "{notifications:?}"
         );
         assert_eq!(asked(&mut stream).await?, "/v1/endpoints?from=7&hold_ms=1000");
         Ok(())
@@ -220,15 +223,15 @@
         pause_after_failure(long, 0.0) >= Duration::from_millis(600),
         "a long list is fetched again immediately"
     );
-    for took in [Duration::ZERO, MAX_ANSWER_TIME, POLL_TIMEOUT] {
-        let (min, max) = (pause_after_failure(took, 0.0), pause_after_failure(took, 1.0));
+    for elapsed in [Duration::ZERO, MAX_ANSWER_TIME, POLL_TIMEOUT] {
+        let (min, max) = (pause_after_failure(elapsed, 0.0), pause_after_failure(elapsed, 1.0));
         assert!(
-            took + max + Duration::from_secs(2) < Duration::from_secs(6),
-            "the next poll is too late after {took:?}"
+            elapsed + max + Duration::from_secs(2) < Duration::from_secs(6),
+            "the next poll is too late after {elapsed:?}"
         );
         assert!(
             min >= Duration::from_millis(600) && max == min * 2,
-            "all senders poll at the same time after {took:?}"
+            "all senders poll at the same time after {elapsed:?}"
         );
     }
     // The longest hold time, silent twice in a row; and silent once, where discovery has moved and 4 s are
@@ -266,7 +269,7 @@
     following: Following,
     bounds: Bounds,
 ) -> (Rc<Counters>, UnboundedReceiver<Inbound>, watch::Sender<SocketAddr>) {
-    let (inbound, heard) = unbounded_channel();
+    let (inbound, notifications) = unbounded_channel();
     let (moves, discovery) = watch::channel(address);
     let counters = Rc::<Counters>::default();
     let follower = Follower {
@@ -283,7 +286,7 @@
         refused: 0,
     };
     tokio::task::spawn_local(follower.run());
-    (counters, heard, moves)
+    (counters, notifications, moves)
 }
 
 /// The counters on lists; null before the first list is refused.
@@ -302,7 +305,7 @@
 async fn a_list_of_any_length_is_taken_and_its_connection_goes_on() -> io::Result<()> {
     let run = async {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let (counters, mut heard, _moves) =
+        let (counters, mut notifications, _moves) =
             followed(listener.local_addr()?, short_watch(), Bounds::default());
         let agent = Agent(listener, unbounded_channel().1);
         let (mut stream, _) = agent.asked().await?;
@@ -310,10 +313,10 @@
         // The counters report on lists once one was refused.
         stream.write_all(answer("{").as_bytes()).await?;
         stream = agent.asked().await?.0;
-        assert!(matches!(heard.recv().await, Some(Inbound::Event(Event::ListFailed))));
+        assert!(matches!(notifications.recv().await, Some(Inbound::Event(Event::ListFailed))));
         for (index, endpoints) in [(2, 10), (3, 10_000), (4, 1500), (5, 20_000)] {
             stream.write_all(answer(&list(index, endpoints)).as_bytes()).await?;
-            let listed = timeout(TEST_TIMEOUT, heard.recv()).await?;
+            let listed = timeout(TEST_TIMEOUT, notifications.recv()).await?;
             let Some(Inbound::ListReceived(listed)) = listed else { panic!("{endpoints}: {listed:?}") };
             assert_eq!(list_version(&listed), (index, Some(endpoints)));
             assert_eq!(counted(&counters)["endpoints"], endpoints);
@@ -333,7 +336,8 @@
 async fn a_long_list_may_take_longer_than_a_short_one() -> io::Result<()> {
     let run = async {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let (_, mut heard, _moves) = followed(listener.local_addr()?, short_watch(), Bounds::default());
+        let (_, mut notifications, _moves) =
+            followed(listener.local_addr()?, short_watch(), Bounds::default());
         let agent = Agent(listener, unbounded_channel().1);
         let (mut stream, _) = agent.asked().await?;
         let text = answer(&list(2, 60_000));
@@ -345,7 +349,7 @@
             tokio::time::sleep(Duration::from_millis(300)).await;
         }
         assert!(began.elapsed() > short_watch().call_timeout());
-        let listed = timeout(TEST_TIMEOUT, heard.recv()).await?;
+        let listed = timeout(TEST_TIMEOUT, notifications.recv()).await?;
         assert!(
             matches!(&listed, Some(Inbound::ListReceived(list)) if list_version(list) == (2, Some(60_000)))
         );
@@ -386,7 +390,7 @@
         let played = cases.map(|(text, code)| {
             tokio::task::spawn_local(async move {
                 let listener = TcpListener::bind("127.0.0.1:0").await?;
-                let (counters, mut heard, _moves) =
+                let (counters, mut notifications, _moves) =
                     followed(listener.local_addr()?, short_watch(), Bounds::default());
                 let asks = asks_in_five_seconds(&listener, text.as_bytes()).await?;
                 assert!((4..=12).contains(&asks), "{code}: {asks}");
@@ -394,8 +398,11 @@
                 assert!(refused == asks || refused + 1 == asks, "{code}: {refused} of {asks}");
                 assert_eq!(counted(&counters)["refused_in_a_row"], refused);
                 assert_eq!(counted(&counters)["last_error"], code);
-                while let Ok(said) = heard.try_recv() {
-                    assert!(matches!(said, Inbound::Event(Event::ListFailed)), "{code}: {said:?}");
+                while let Ok(notification) = notifications.try_recv() {
+                    assert!(
+                        matches!(notification, Inbound::Event(Event::ListFailed)),
+                        "{code}: {notification:?}"
+                    );
                 }
                 io::Result::Ok(())
             })
@@ -498,7 +505,7 @@
     let run = async {
         let (old, new) = (TcpListener::bind("127.0.0.1:0").await?, TcpListener::bind("127.0.0.1:0").await?);
         let following = Following::Watch(1, MAX_HOLD_TIME);
-        let (counters, mut heard, moves) = followed(old.local_addr()?, following, Bounds::default());
+        let (counters, mut notifications, moves) = followed(old.local_addr()?, following, Bounds::default());
         let (old, new_address) = (Agent(old, unbounded_channel().1), new.local_addr()?);
         let new = Agent(new, unbounded_channel().1);
         let (mut stream, _) = old.asked().await?;
@@ -514,9 +521,9 @@
             moved.elapsed()
         );
         assert_eq!(path, "/v1/endpoints?from=1&hold_ms=2000");
-        assert!(heard.try_recv().is_err() && counted(&counters).is_null());
+        assert!(notifications.try_recv().is_err() && counted(&counters).is_null());
         stream.write_all(answer(&list(9, 1)).as_bytes()).await?;
-        let listed = timeout(TEST_TIMEOUT, heard.recv()).await?;
+        let listed = timeout(TEST_TIMEOUT, notifications.recv()).await?;
         assert!(matches!(&listed, Some(Inbound::ListReceived(list)) if list_version(list) == (9, Some(1))));
         Ok(())
     };
@@ -553,16 +560,16 @@
 fn the_rest_after_refused_lists_is_bounded_by_when_news_counts_as_told() {
     for hold in [MIN_HOLD_TIME, Duration::from_secs(1), MAX_HOLD_TIME] {
         let call_timeout = Following::Watch(1, hold).call_timeout();
-        for took in [Duration::ZERO, hold, call_timeout] {
+        for elapsed in [Duration::ZERO, hold, call_timeout] {
             assert_eq!(
-                pause_after_refusal(1, took, call_timeout),
+                pause_after_refusal(1, elapsed, call_timeout),
                 RETRY_PAUSE,
                 "a single refusal costs no more than a failed call"
             );
             for refused in [2, 5, 8, 100, u32::MAX] {
-                let pause = pause_after_refusal(refused, took, call_timeout);
+                let pause = pause_after_refusal(refused, elapsed, call_timeout);
                 assert!(
-                    pause >= RETRY_PAUSE && took + pause + call_timeout + POLL_SLACK <= REPORTED_WITHIN,
+                    pause >= RETRY_PAUSE && elapsed + pause + call_timeout + POLL_SLACK <= REPORTED_WITHIN,
                     "{refused}: {pause:?}"
                 );
             }
@@ -592,8 +599,8 @@
         let changes = list(2, CHANGES + 1).replacen("\"snapshot\":true", "\"snapshot\":false", 1);
         // The follower may have stopped reading before the end.
         let _ = stream.write_all(answer(&changes).as_bytes()).await;
-        let heard = timeout(TEST_TIMEOUT, agent.1.recv()).await?;
-        assert!(matches!(heard, Some(Inbound::Event(Event::ListFailed))), "{heard:?}");
+        let notifications = timeout(TEST_TIMEOUT, agent.1.recv()).await?;
+        assert!(matches!(notifications, Some(Inbound::Event(Event::ListFailed))), "{notifications:?}");
         let (mut stream, path) = agent.asked().await?;
         assert_eq!(path, "/v1/endpoints");
         stream.write_all(answer(&list(3, 5)).as_bytes()).await?;
--- a/src/net/working_set.rs
+++ b/src/net/working_set.rs
@@ -109,11 +109,11 @@
 
     /// Notes a message for the destination. Returns whether the destination must be loaded.
     pub fn touch(&mut self, destination: u32, now: Micros) -> bool {
-        let entered = self.used.insert(destination, now).is_none();
-        if entered {
+        let is_new = self.used.insert(destination, now).is_none();
+        if is_new {
             self.idle_checks.insert((now + IDLE_TIMEOUT, destination));
         }
-        entered
+        is_new
     }
 
     /// Resident destinations that were idle for [`IDLE_TIMEOUT`], as many as may be evicted at once. The caller
@@ -121,10 +121,10 @@
     pub fn idle(&mut self, now: Micros) -> Vec<u32> {
         let mut idle = Vec::new();
         while idle.len() < MAX_EVICTIONS_AT_ONCE
-            && let Some(look) = self.idle_checks.first().copied().filter(|look| look.0 <= now)
+            && let Some(check) = self.idle_checks.first().copied().filter(|check| check.0 <= now)
         {
-            self.idle_checks.remove(&look);
-            let destination = look.1;
+            self.idle_checks.remove(&check);
+            let destination = check.1;
             let Some(used) = self.used.get(&destination).copied() else { continue };
             if used + IDLE_TIMEOUT <= now {
                 idle.push(destination);
@@ -138,9 +138,9 @@
     /// When the next resident destination may be evicted or the complete list is to be fetched.
     pub fn due(&self) -> Option<Micros> {
         self.table.as_ref()?;
-        let look = self.idle_checks.first().map(|look| look.0.max(self.evict_at));
+        let check = self.idle_checks.first().map(|check| check.0.max(self.evict_at));
         let whole = self.refetch_due.then_some(self.fetched_at + REFETCH_INTERVAL);
-        look.into_iter().chain(whole).min()
+        check.into_iter().chain(whole).min()
     }
 
     /// Keeps an idle destination that something still depends on; it is checked again later.
@@ -168,10 +168,10 @@
 
     /// Removes and returns the saved routes of a destination that is loaded again.
     pub fn take_saved(&mut self, destination: u32) -> Vec<NamedRoute> {
-        let Some(kept) = self.saved.remove(&destination) else { return Vec::new() };
-        self.order.remove(&kept.place);
-        let mut routes: Vec<NamedRoute> = postcard::from_bytes(&kept.routes).unwrap_or_default();
-        if kept.form != self.form {
+        let Some(saved) = self.saved.remove(&destination) else { return Vec::new() };
+        self.order.remove(&saved.place);
+        let mut routes: Vec<NamedRoute> = postcard::from_bytes(&saved.routes).unwrap_or_default();
+        if saved.form != self.form {
             routes.iter_mut().for_each(|(_, route)| route.clear_advertised_limit());
         }
         routes
