--- a/src/net/calls/tests.rs
+++ b/src/net/calls/tests.rs
@@ -18,14 +18,14 @@
     CallMessage { message: MessageId(message), attempt: 0, id, key: None, body, until, write_by: until }
 }
 
-struct World {
+struct Fixture {
     calls: Calls,
     events: UnboundedReceiver<Inbound>,
     listener: TcpListener,
     target: Target,
 }
 
-impl World {
+impl Fixture {
     async fn new() -> io::Result<Self> {
         let (inbound, events) = unbounded_channel();
         let limits = Limits { connect: 20_000_000, idle: 9_000_000, connections: 9, report: vec![] };
@@ -60,31 +60,31 @@
 /// Nothing may be sent after the client was told a message's outcome, on a new connection or on a reused one.
 /// A message given up before the first byte of its request must be left out of it.
 #[tokio::test]
-async fn what_is_given_up_before_its_first_byte_is_not_written() -> io::Result<()> {
+async fn message_given_up_before_first_byte_is_not_written() -> io::Result<()> {
     let run = async {
-        let mut world = World::new().await?;
+        let mut fixture = Fixture::new().await?;
         // No message is left: the connection is made, and kept.
-        world.calls.start(world.target, vec![part(1), part(2)]);
-        assert_eq!(world.calls.give_up(MessageId(1)), [0]);
-        assert_eq!(world.calls.give_up(MessageId(2)), [0]);
-        assert_eq!(world.ends().await, [(1, NEVER_RAN), (2, NEVER_RAN)]);
-        let (mut stream, _) = world.listener.accept().await?;
+        fixture.calls.start(fixture.target, vec![part(1), part(2)]);
+        assert_eq!(fixture.calls.give_up(MessageId(1)), [0]);
+        assert_eq!(fixture.calls.give_up(MessageId(2)), [0]);
+        assert_eq!(fixture.ends().await, [(1, NEVER_RAN), (2, NEVER_RAN)]);
+        let (mut stream, _) = fixture.listener.accept().await?;
         // The other messages are sent.
-        world.calls.start(world.target, vec![part(3), part(4), part(5)]);
-        assert_eq!(world.calls.give_up(MessageId(4)), [0]);
+        fixture.calls.start(fixture.target, vec![part(3), part(4), part(5)]);
+        assert_eq!(fixture.calls.give_up(MessageId(4)), [0]);
         let text = read(&mut stream).await?;
         assert!(text.contains("m3") && text.contains("m5") && !text.contains("m4"), "{text}");
-        assert_eq!(world.calls.give_up(MessageId(5)), [0; 0], "the message may run");
+        assert_eq!(fixture.calls.give_up(MessageId(5)), [0; 0], "the message may run");
         stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 26\r\n\r\n").await?;
         stream.write_all(br#"[{"id":"m3","state":"ok"}]"#).await?;
-        assert_eq!(world.ends().await, [(3, Outcome::Delivered), (4, NEVER_RAN), (5, Outcome::Error)]);
+        assert_eq!(fixture.ends().await, [(3, Outcome::Delivered), (4, NEVER_RAN), (5, Outcome::Error)]);
         // A single remaining message is sent as a single one, not as a batch.
-        world.calls.start(world.target, vec![part(6), part(7)]);
-        assert_eq!(world.calls.give_up(MessageId(6)), [0]);
+        fixture.calls.start(fixture.target, vec![part(6), part(7)]);
+        assert_eq!(fixture.calls.give_up(MessageId(6)), [0]);
         let text = read(&mut stream).await?;
         assert!(text.starts_with("POST /v1/messages HTTP") && text.contains("m7"), "{text}");
         stream.write_all(ANSWER).await?;
-        assert_eq!(world.ends().await, [(6, NEVER_RAN), (7, Outcome::Delivered)]);
+        assert_eq!(fixture.ends().await, [(6, NEVER_RAN), (7, Outcome::Delivered)]);
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -93,16 +93,16 @@
 /// The same if the process was suspended in between: each message's own time limit applies, whatever else is
 /// in the call.
 #[tokio::test]
-async fn a_message_whose_time_is_up_is_not_written() -> io::Result<()> {
+async fn message_past_its_timeout_is_not_written() -> io::Result<()> {
     let run = async {
-        let mut world = World::new().await?;
+        let mut fixture = Fixture::new().await?;
         let late = CallMessage { until: Instant::now(), ..part(1) };
-        world.calls.start(world.target, vec![late, part(2)]);
-        let (mut stream, _) = world.listener.accept().await?;
+        fixture.calls.start(fixture.target, vec![late, part(2)]);
+        let (mut stream, _) = fixture.listener.accept().await?;
         let text = read(&mut stream).await?;
         assert!(text.starts_with("POST /v1/messages HTTP") && text.contains("m2"), "{text}");
         stream.write_all(ANSWER).await?;
-        assert_eq!(world.ends().await, [(1, NEVER_RAN), (2, Outcome::Delivered)]);
+        assert_eq!(fixture.ends().await, [(1, NEVER_RAN), (2, Outcome::Delivered)]);
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -111,26 +111,26 @@
 /// A message given up after its request was composed and before the first byte is written must not be sent.
 /// This is possible if the first write is delayed.
 #[tokio::test]
-async fn no_byte_leaves_of_a_request_that_is_outdated() -> io::Result<()> {
+async fn request_with_excluded_message_writes_no_byte() -> io::Result<()> {
     let run = async {
-        let world = World::new().await?;
-        let (state, _off) = CallState::new(world.target.endpoint);
-        let mut conn = Conn::open(world.target.address).await.map_err(io::Error::other)?;
+        let fixture = Fixture::new().await?;
+        let (state, _off) = CallState::new(fixture.target.endpoint);
+        let mut conn = Conn::open(fixture.target.address).await.map_err(io::Error::other)?;
         conn.traffic.state.replace(Rc::downgrade(&state));
         let parts = [part(1), part(2)];
-        let composed = state.compose(world.target, &parts, parts[0].until);
+        let composed = state.compose(fixture.target, &parts, parts[0].until);
         assert!(state.exclude((MessageId(1), 0)));
         let request = composed.map(|c| c.request).ok_or(io::ErrorKind::Other)?;
         assert!(conn.send(request).await.is_err());
         assert_eq!((conn.traffic.written.get(), state.write_started.get()), (0, false));
         // The remaining message is sent.
-        let mut conn = Conn::open(world.target.address).await.map_err(io::Error::other)?;
+        let mut conn = Conn::open(fixture.target.address).await.map_err(io::Error::other)?;
         conn.traffic.state.replace(Rc::downgrade(&state));
-        let composed = state.compose(world.target, &parts, parts[0].until);
+        let composed = state.compose(fixture.target, &parts, parts[0].until);
         let request = composed.map(|c| c.request).ok_or(io::ErrorKind::Other)?;
-        let (mut first, _) = world.listener.accept().await?;
+        let (mut first, _) = fixture.listener.accept().await?;
         assert_eq!(first.read(&mut [0]).await?, 0);
-        let (mut second, _) = world.listener.accept().await?;
+        let (mut second, _) = fixture.listener.accept().await?;
         let answered = async {
             let text = read(&mut second).await?;
             assert!(text.contains("m2") && !text.contains("m1"), "{text}");
@@ -147,21 +147,21 @@
 /// A Retry-After in the head of a batch's response applies at once, even if the body never arrives
 /// completely.
 #[tokio::test]
-async fn a_wait_told_before_an_answer_breaks_off_binds() -> io::Result<()> {
+async fn retry_after_of_truncated_response_applies() -> io::Result<()> {
     let run = async {
-        let mut world = World::new().await?;
-        world.calls.start(world.target, vec![part(1), part(2)]);
-        let (mut stream, _) = world.listener.accept().await?;
+        let mut fixture = Fixture::new().await?;
+        fixture.calls.start(fixture.target, vec![part(1), part(2)]);
+        let (mut stream, _) = fixture.listener.accept().await?;
         read(&mut stream).await?;
         stream.write_all(b"HTTP/1.1 200 OK\r\nretry-after: 60\r\ncontent-length: 26\r\n\r\n[{").await?;
-        let reported = timeout(TEST_TIMEOUT, world.events.recv()).await?;
-        let wait = Event::RetryAfter { endpoint: world.target.endpoint, wait: 60_000_000 };
+        let reported = timeout(TEST_TIMEOUT, fixture.events.recv()).await?;
+        let wait = Event::RetryAfter { endpoint: fixture.target.endpoint, wait: 60_000_000 };
         assert!(matches!(&reported, Some(Inbound::Event(event)) if *event == wait), "{reported:?}");
         // It applies even before the call is over.
-        world.calls.start(world.target, vec![part(3)]);
-        assert_eq!(world.ends().await, [(3, NEVER_RAN)]);
+        fixture.calls.start(fixture.target, vec![part(3)]);
+        assert_eq!(fixture.ends().await, [(3, NEVER_RAN)]);
         drop(stream);
-        assert_eq!(world.ends().await, [(1, Outcome::Reset), (2, Outcome::Reset)]);
+        assert_eq!(fixture.ends().await, [(1, Outcome::Reset), (2, Outcome::Reset)]);
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -170,40 +170,40 @@
 /// Runs `spoil` on the server's end of an idle connection immediately before its reuse, when the runtime has
 /// not polled its sockets since. The next call must use a new connection.
 async fn reuse_after_spoiling(spoil: impl FnOnce(std::net::TcpStream) -> io::Result<()>) -> io::Result<()> {
-    let mut world = World::new().await?;
-    world.calls.start(world.target, vec![part(1)]);
-    let (mut stream, _) = world.listener.accept().await?;
+    let mut fixture = Fixture::new().await?;
+    fixture.calls.start(fixture.target, vec![part(1)]);
+    let (mut stream, _) = fixture.listener.accept().await?;
     read(&mut stream).await?;
     stream.write_all(ANSWER).await?;
-    assert_eq!(world.ends().await, [(1, Outcome::Delivered)]);
-    let kept = world.calls.clone();
+    assert_eq!(fixture.ends().await, [(1, Outcome::Delivered)]);
+    let kept = fixture.calls.clone();
     let kept_idle = poll_fn(|cx| {
-        let idle = kept.0.idle.borrow().contains_key(&world.target);
+        let idle = kept.0.idle.borrow().contains_key(&fixture.target);
         cx.waker().wake_by_ref();
         if idle { Poll::Ready(()) } else { Poll::Pending }
     });
     timeout(TEST_TIMEOUT, kept_idle).await?;
     // No await from here until the call has been started.
     spoil(stream.into_std()?)?;
-    world.calls.start(world.target, vec![part(2)]);
+    fixture.calls.start(fixture.target, vec![part(2)]);
     let (next, _) = timeout(TEST_TIMEOUT, async {
         tokio::select! {
-            end = world.events.recv() => panic!("the call used the spoilt connection: {end:?}"),
-            next = world.listener.accept() => next,
+            end = fixture.events.recv() => panic!("the call used the stale connection: {end:?}"),
+            next = fixture.listener.accept() => next,
         }
     })
     .await??;
     let mut next = next;
     assert!(read(&mut next).await?.contains("m2"));
     next.write_all(ANSWER).await?;
-    assert_eq!(world.ends().await, [(2, Outcome::Delivered)]);
+    assert_eq!(fixture.ends().await, [(2, Outcome::Delivered)]);
     Ok(())
 }
 
 /// A message that may not be repeated must not be lost to a reset that could have been foreseen: the peer
 /// closed the connection just before its reuse.
 #[tokio::test]
-async fn a_connection_closed_while_idle_is_not_written_to() -> io::Result<()> {
+async fn connection_closed_while_idle_is_not_reused() -> io::Result<()> {
     let spoil = |stream| {
         drop(stream);
         Ok(())
@@ -213,7 +213,7 @@
 
 /// Bytes that arrived on an idle connection before a request was written must not be taken for its response.
 #[tokio::test]
-async fn bytes_on_an_idle_connection_answer_no_call() -> io::Result<()> {
+async fn connection_with_unexpected_bytes_is_not_reused() -> io::Result<()> {
     let left = std::cell::RefCell::new(None);
     let spoil = |mut stream: std::net::TcpStream| {
         io::Write::write_all(&mut stream, ANSWER)?;
@@ -241,22 +241,22 @@
 /// The same once the first bytes of a request are written: a message given up then must never arrive
 /// completely, so that it does not run.
 #[tokio::test]
-async fn what_is_given_up_half_written_never_runs() -> io::Result<()> {
+async fn message_given_up_while_being_written_never_runs() -> io::Result<()> {
     let run = async {
-        let mut world = World::new().await?;
-        world.calls.start(world.target, vec![large(1)]);
-        let (mut stream, _) = world.listener.accept().await?;
+        let mut fixture = Fixture::new().await?;
+        fixture.calls.start(fixture.target, vec![large(1)]);
+        let (mut stream, _) = fixture.listener.accept().await?;
         stream.read_exact(&mut [0]).await?;
-        assert_eq!(world.calls.give_up(MessageId(1)), [0]);
-        assert_eq!(world.ends().await, [(1, NEVER_RAN)]);
+        assert_eq!(fixture.calls.give_up(MessageId(1)), [0]);
+        assert_eq!(fixture.ends().await, [(1, NEVER_RAN)]);
         assert!(!received_completely(&mut stream).await);
         // The same holds for requests that are being written when an endpoint leaves or the process hands
         // over.
-        world.calls.start(world.target, vec![large(4)]);
-        let (mut stream, _) = world.listener.accept().await?;
+        fixture.calls.start(fixture.target, vec![large(4)]);
+        let (mut stream, _) = fixture.listener.accept().await?;
         stream.read_exact(&mut [0]).await?;
-        world.calls.abort_unwritten(|_| true);
-        assert_eq!(world.ends().await, [(4, NEVER_RAN)]);
+        fixture.calls.abort_unwritten(|_| true);
+        assert_eq!(fixture.ends().await, [(4, NEVER_RAN)]);
         assert!(!received_completely(&mut stream).await);
         Ok(())
     };
@@ -266,15 +266,15 @@
 /// A message that may not be repeated can go elsewhere if its request was not completely written by the
 /// timeout: the attempt must be reported as never run.
 #[tokio::test]
-async fn a_request_half_written_when_its_time_is_up_never_ran() -> io::Result<()> {
+async fn request_partly_written_at_timeout_is_reported_as_never_run() -> io::Result<()> {
     let run = async {
-        let mut world = World::new().await?;
-        world.calls.start(world.target, vec![large(1)]);
-        let (mut stream, _) = world.listener.accept().await?;
+        let mut fixture = Fixture::new().await?;
+        fixture.calls.start(fixture.target, vec![large(1)]);
+        let (mut stream, _) = fixture.listener.accept().await?;
         stream.read_exact(&mut [0]).await?;
         tokio::time::pause();
         tokio::time::advance(TEST_TIMEOUT).await;
-        assert_eq!(world.ends().await, [(1, Outcome::ConnectFailed)]);
+        assert_eq!(fixture.ends().await, [(1, Outcome::ConnectFailed)]);
         assert!(!received_completely(&mut stream).await);
         Ok(())
     };
@@ -283,15 +283,15 @@
 
 /// If the response comes before the request is completely written, the rest of the request must not be sent.
 #[tokio::test]
-async fn an_early_answer_ends_the_writing() -> io::Result<()> {
+async fn early_response_stops_writing() -> io::Result<()> {
     let run = async {
-        let mut world = World::new().await?;
-        world.calls.start(world.target, vec![large(1)]);
-        let (mut stream, _) = world.listener.accept().await?;
+        let mut fixture = Fixture::new().await?;
+        fixture.calls.start(fixture.target, vec![large(1)]);
+        let (mut stream, _) = fixture.listener.accept().await?;
         stream.read_exact(&mut [0]).await?;
         // The body of the response does not arrive.
         stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 9\r\n\r\n").await?;
-        assert_eq!(world.ends().await, [(1, Outcome::Full(None))]);
+        assert_eq!(fixture.ends().await, [(1, Outcome::Full(None))]);
         assert!(!received_completely(&mut stream).await);
         Ok(())
     };
@@ -301,15 +301,15 @@
 /// A response applies only to the messages that were sent: an endpoint that answers 410 to the one message
 /// that was written knows nothing of the others, which are still owed.
 #[tokio::test]
-async fn an_answer_ends_no_message_that_was_left_out() -> io::Result<()> {
+async fn response_does_not_end_excluded_message() -> io::Result<()> {
     let run = async {
-        let mut world = World::new().await?;
+        let mut fixture = Fixture::new().await?;
         let late = CallMessage { until: Instant::now(), ..part(1) };
-        world.calls.start(world.target, vec![late, part(2)]);
-        let (mut stream, _) = world.listener.accept().await?;
+        fixture.calls.start(fixture.target, vec![late, part(2)]);
+        let (mut stream, _) = fixture.listener.accept().await?;
         assert!(read(&mut stream).await?.starts_with("POST /v1/messages HTTP"));
         stream.write_all(b"HTTP/1.1 410 Gone\r\ncontent-length: 0\r\n\r\n").await?;
-        let ends = timeout(TEST_TIMEOUT, world.events.recv()).await?;
+        let ends = timeout(TEST_TIMEOUT, fixture.events.recv()).await?;
         let Some(Inbound::CallEnded(ends)) = ends else { panic!("{ends:?}") };
         let gone: Vec<_> = ends.iter().map(|end| (end.message.0, end.outcome, end.gone)).collect();
         assert_eq!(gone, [(1, NEVER_RAN, false), (2, NEVER_RAN, true)]);
@@ -321,16 +321,16 @@
 /// If a connection is made late, a repeat whose idempotency window is over must not be written, even if its
 /// response would still be in time.
 #[tokio::test]
-async fn a_repeat_whose_window_is_over_is_not_written() -> io::Result<()> {
+async fn repeat_past_its_window_is_not_written() -> io::Result<()> {
     let run = async {
-        let mut world = World::new().await?;
+        let mut fixture = Fixture::new().await?;
         let late = CallMessage { write_by: Instant::now(), ..part(1) };
-        world.calls.start(world.target, vec![late, part(2)]);
-        let (mut stream, _) = world.listener.accept().await?;
+        fixture.calls.start(fixture.target, vec![late, part(2)]);
+        let (mut stream, _) = fixture.listener.accept().await?;
         let text = read(&mut stream).await?;
         assert!(text.starts_with("POST /v1/messages HTTP") && text.contains("m2"), "{text}");
         stream.write_all(ANSWER).await?;
-        assert_eq!(world.ends().await, [(1, NEVER_RAN), (2, Outcome::Delivered)]);
+        assert_eq!(fixture.ends().await, [(1, NEVER_RAN), (2, Outcome::Delivered)]);
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -338,20 +338,20 @@
 
 /// A truncated status line must not be taken for a complete one, which might have said something else.
 #[tokio::test]
-async fn half_a_first_line_delivers_nothing() -> io::Result<()> {
+async fn truncated_status_line_is_not_a_delivery() -> io::Result<()> {
     let run = async {
-        let mut world = World::new().await?;
+        let mut fixture = Fixture::new().await?;
         for (answer, outcome) in [
             ("HTTP/1.1 200 O", Outcome::Reset),
             ("HTTP/1.1 200 OK\r\n", Outcome::Delivered),
             ("HTTP/1.1 200 OK\r\ncontent-le", Outcome::Delivered),
         ] {
-            world.calls.start(world.target, vec![part(1)]);
-            let (mut stream, _) = world.listener.accept().await?;
+            fixture.calls.start(fixture.target, vec![part(1)]);
+            let (mut stream, _) = fixture.listener.accept().await?;
             read(&mut stream).await?;
             stream.write_all(answer.as_bytes()).await?;
             drop(stream);
-            assert_eq!(world.ends().await, [(1, outcome)], "{answer}");
+            assert_eq!(fixture.ends().await, [(1, outcome)], "{answer}");
         }
         Ok(())
     };
@@ -361,17 +361,17 @@
 /// A message must not run twice: a batch reports each message's outcome in its body, and any other response
 /// outside the protocol may hide a message that ran.
 #[tokio::test]
-async fn a_batch_is_not_over_by_an_answer_that_no_batch_has() -> io::Result<()> {
+async fn batch_is_not_ended_by_status_outside_the_protocol() -> io::Result<()> {
     let run = async {
-        let mut world = World::new().await?;
+        let mut fixture = Fixture::new().await?;
         for answer in ["HTTP/1.1 410 Gone", "HTTP/1.1 504 Late"] {
-            world.calls.start(world.target, vec![part(1), part(2)]);
-            let (mut stream, _) = world.listener.accept().await?;
+            fixture.calls.start(fixture.target, vec![part(1), part(2)]);
+            let (mut stream, _) = fixture.listener.accept().await?;
             read(&mut stream).await?;
             stream
                 .write_all(format!("{answer}\r\ncontent-length: 0\r\nconnection: close\r\n\r\n").as_bytes())
                 .await?;
-            let ends = timeout(TEST_TIMEOUT, world.events.recv()).await?;
+            let ends = timeout(TEST_TIMEOUT, fixture.events.recv()).await?;
             let Some(Inbound::CallEnded(ends)) = ends else { panic!("{ends:?}") };
             assert!(ends.iter().all(|end| end.outcome == Outcome::Error && !end.gone), "{answer}: {ends:?}");
         }
--- a/src/net/driver/takeover.rs
+++ b/src/net/driver/takeover.rs
@@ -228,7 +228,7 @@
             upto.map(|upto| (tag.group, upto))
         });
         match upto {
-            // It is too late to wait; `covered` does the same when a held notice is due.
+            // It is too late to wait; `handle_takeover` does the same when a held notice is due.
             Some(_) if self.clock.now() >= until => self.send_notice(number, GivenUp::Undeliverable, id),
             Some((group, upto)) => {
                 self.replicated.notices.push(HeldNotice { group, upto, until, message: number, how, id });
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -53,8 +53,8 @@
 /// Pause before a failed watch or notice is retried: a watch counts as continued if it is renewed within 200
 /// ms.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Maximum number of doublings of [`RETRY_PAUSE`] after refused lists; [`pause_after_refusal`] limits the pause
-/// before that is reached.
+/// Maximum number of doublings of [`RETRY_PAUSE`] after refused lists; [`pause_after_refusal`] limits the
+/// pause before that is reached.
 const MAX_DOUBLINGS: u32 = 10;
 /// Maximum pause after refused short lists from an agent: updates that follow a run of them are delayed by
 /// this much, and calls to an agent cost nothing.
@@ -71,12 +71,12 @@
 /// # Errors
 /// Fails when no connection is made, or it breaks before the head of the response.
 async fn send_request(
-    kept: &mut Option<Conn>,
+    kept_conn: &mut Option<Conn>,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
 ) -> Result<(Conn, Response<Incoming>), ()> {
     // Bytes that came without a request must not be taken for the response.
-    let usable = match kept.take() {
+    let usable = match kept_conn.take() {
         Some(mut conn) => conn.still_usable().await.then_some(conn),
         None => None,
     };
@@ -106,15 +106,15 @@
 /// # Errors
 /// Fails when no connection is made, or the response is truncated or too long.
 async fn exchange(
-    kept: &mut Option<Conn>,
+    kept_conn: &mut Option<Conn>,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
 ) -> Result<(StatusCode, Bytes), ()> {
-    let (mut conn, answer) = send_request(kept, address, request).await?;
+    let (mut conn, answer) = send_request(kept_conn, address, request).await?;
     let (head, body) = answer.into_parts();
     let body = conn.body(body).await?;
     if conn.usable().await {
-        *kept = Some(conn);
+        *kept_conn = Some(conn);
     }
     Ok((head.status, body))
 }
@@ -132,12 +132,13 @@
 }
 
 /// The pause after a list that was received and refused, the `refused`th in a row, from a call that took
-/// `elapsed`; `call_timeout` is the timeout of the next call. The pause starts at [`RETRY_PAUSE`] and doubles: a single
-/// refusal costs no more than a failed call. A change just after the refused call was sent is reported by the
-/// response to the next one: both waits, the pause between them and the slack add up to [`REPORTED_WITHIN`]. A
-/// call that took longer than its timeout transferred a long list, and what changed at its beginning is
-/// overdue already; there the time counts from its end. For a watch held by a service for all senders, the
-/// longest timeout of a watch at an agent is used instead, since both report what they have immediately.
+/// `elapsed`; `call_timeout` is the timeout of the next call. The pause starts at [`RETRY_PAUSE`] and
+/// doubles: a single refusal costs no more than a failed call. A change just after the refused call was sent
+/// is reported by the response to the next one: both waits, the pause between them and the slack add up to
+/// [`REPORTED_WITHIN`]. A call that took longer than its timeout transferred a long list, and what changed at
+/// its beginning is overdue already; there the time counts from its end. For a watch held by a service for
+/// all senders, the longest timeout of a watch at an agent is used instead, since both report what they have
+/// immediately.
 fn pause_after_refusal(refused: u32, elapsed: Duration, call_timeout: Duration) -> Duration {
     let at_agent = call_timeout <= MAX_HOLD_TIME + WATCH_SLACK;
     let call_timeout = call_timeout.min(MAX_HOLD_TIME + WATCH_SLACK);
--- a/src/net/platform/list_body/tests.rs
+++ b/src/net/platform/list_body/tests.rs
@@ -4,7 +4,7 @@
 
 /// The thread must end when its channel is closed, without reading the chunks that are still queued.
 #[test]
-fn a_text_whose_sender_is_gone_is_cut_at_once() {
+fn body_is_truncated_when_its_sender_is_gone() {
     let (chunks, waiting) = channel(MAX_QUEUED);
     let mut text = BodyText::new(waiting);
     for _ in 0..3 {
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_text_has_an_end_only_where_it_is_told() {
+fn body_ends_only_at_end_marker() {
     let (chunks, waiting) = channel(MAX_QUEUED);
     let mut text = BodyText::new(waiting);
     for chunk in [Chunk::Text(Bytes::new()), Chunk::Text(Bytes::from_static(b"abc")), Chunk::End] {
--- a/src/net/platform/tests.rs
+++ b/src/net/platform/tests.rs
@@ -25,14 +25,14 @@
     }
 
     /// Accepts the next connection, and returns it with the path of its request.
-    async fn asked(&self) -> io::Result<(TcpStream, String)> {
+    async fn next_request(&self) -> io::Result<(TcpStream, String)> {
         let (mut stream, _) = timeout(TEST_TIMEOUT, self.0.accept()).await??;
-        let path = asked(&mut stream).await?;
+        let path = read_request_path(&mut stream).await?;
         Ok((stream, path))
     }
 }
 
-async fn asked(stream: &mut TcpStream) -> io::Result<String> {
+async fn read_request_path(stream: &mut TcpStream) -> io::Result<String> {
     let mut text = String::new();
     while !text.ends_with("\r\n\r\n") {
         let mut bytes = [0; 512];
@@ -46,11 +46,11 @@
 /// Drains depend on the watch: whatever the agent does instead of answering, the watch must be renewed within
 /// the hold time and a margin.
 #[tokio::test]
-async fn a_watch_that_is_silent_cut_or_refused_is_asked_for_anew() -> io::Result<()> {
+async fn silent_truncated_or_rejected_watch_is_renewed() -> io::Result<()> {
     let run = async {
         let hold = Duration::from_secs(1);
         let mut agent = Agent::new(Following::Watch(1, hold), Rc::default()).await?;
-        let mut kept = Vec::new();
+        let mut open_streams = Vec::new();
         for answer in [
             "",
             "HTTP/1.1 200 OK\r\ncontent-le",
@@ -58,17 +58,17 @@
             "HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n",
             "HTTP/1.1 200 OK\r\ncontent-length: 7\r\n\r\n{\"inde}",
         ] {
-            let (mut stream, path) = agent.asked().await?;
+            let (mut stream, path) = agent.next_request().await?;
             assert_eq!(path, "/v1/endpoints?from=1&hold_ms=1000", "before {answer}");
             stream.write_all(answer.as_bytes()).await?;
-            kept.push(stream);
+            open_streams.push(stream);
             let notifications = timeout(TEST_TIMEOUT, agent.1.recv()).await?;
             assert!(
                 matches!(notifications, Some(Inbound::Event(Event::ListFailed))),
                 "{answer}: {notifications:?}"
             );
         }
-        let (mut stream, _) = agent.asked().await?;
+        let (mut stream, _) = agent.next_request().await?;
         let list = "{\r\n  \"index\": 7,\r\n  \"snapshot\": true,\r\n  \"endpoints\": [\r\n  ]\r\n}\r\n";
         let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{list}", list.len());
         stream.write_all(answer.as_bytes()).await?;
@@ -77,7 +77,7 @@
             matches!(notifications, Some(Inbound::ListReceived(List::Entries(ListBody { index: 7, .. })))),
             "{notifications:?}"
         );
-        assert_eq!(asked(&mut stream).await?, "/v1/endpoints?from=7&hold_ms=1000");
+        assert_eq!(read_request_path(&mut stream).await?, "/v1/endpoints?from=7&hold_ms=1000");
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -87,14 +87,14 @@
 /// next one must be sent early enough to be answered within 6 s of the start of the failed one, though it may
 /// wait for 2 s. It must not be sent immediately, since all senders may have failed together.
 #[tokio::test(start_paused = true)]
-async fn a_poll_that_brings_no_list_is_made_again_in_time_however_often_it_fails() -> io::Result<()> {
+async fn failed_poll_is_retried_in_time_after_any_number_of_failures() -> io::Result<()> {
     let run = async {
         let requests = Rc::new(ListRequests::default());
         requests.watch.notify_one();
         let following = Following::Poll(Duration::from_secs(3600), fastrand::Rng::with_seed(1));
         let agent = Agent::new(following, requests).await?;
-        let mut kept = Vec::new();
-        let (mut stream, path) = agent.asked().await?;
+        let mut open_streams = Vec::new();
+        let (mut stream, path) = agent.next_request().await?;
         assert_eq!(path, "/v1/endpoints");
         for answer in [
             "",
@@ -106,7 +106,7 @@
             "no end",
         ] {
             for _ in 0..3 {
-                let began = tokio::time::Instant::now();
+                let started = tokio::time::Instant::now();
                 match answer {
                     "closed" => drop(stream),
                     "no end" => {
@@ -119,11 +119,11 @@
                     }
                     _ => {
                         stream.write_all(answer.as_bytes()).await?;
-                        kept.push(stream);
+                        open_streams.push(stream);
                     }
                 }
-                let (next, _) = timeout(Duration::from_secs(4), agent.asked()).await??;
-                let after = began.elapsed();
+                let (next, _) = timeout(Duration::from_secs(4), agent.next_request()).await??;
+                let after = started.elapsed();
                 assert!(after >= Duration::from_millis(1500), "next poll {after:?} after {answer}");
                 stream = next;
             }
@@ -136,7 +136,7 @@
 /// Drains depend on it: a discovery that refused connections, for however long, must be polled within 4 s of
 /// its return.
 #[tokio::test(start_paused = true)]
-async fn a_discovery_that_refused_connections_is_asked_soon_after_its_return() -> io::Result<()> {
+async fn discovery_is_polled_soon_after_refusing_connections() -> io::Result<()> {
     let run = async {
         let address = TcpListener::bind("127.0.0.1:0").await?.local_addr()?;
         let (inbound, _heard) = unbounded_channel();
@@ -156,21 +156,21 @@
 /// The agent may close a kept connection just as a request is sent: this is not a failed call, and there must
 /// be no pause.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_crosses_the_close_of_a_kept_connection_is_made_again_at_once() -> io::Result<()> {
+async fn request_on_just_closed_connection_is_retried_immediately() -> io::Result<()> {
     let run = async {
         let requests = Rc::new(ListRequests::default());
         requests.watch.notify_one();
         let following = Following::Poll(Duration::from_secs(5), fastrand::Rng::with_seed(3));
         let mut agent = Agent::new(following, requests).await?;
-        let (mut stream, _) = agent.asked().await?;
+        let (mut stream, _) = agent.next_request().await?;
         let list = "{\"index\":7,\"snapshot\":true,\"endpoints\":[]}";
         let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{list}", list.len());
         stream.write_all(answer.as_bytes()).await?;
         assert!(matches!(agent.1.recv().await, Some(Inbound::ListReceived(_))));
-        asked(&mut stream).await?;
+        read_request_path(&mut stream).await?;
         // The request was read, and no byte of a response is sent.
         drop(stream);
-        let (mut stream, _) = timeout(Duration::from_millis(50), agent.asked()).await??;
+        let (mut stream, _) = timeout(Duration::from_millis(50), agent.next_request()).await??;
         stream.write_all(answer.as_bytes()).await?;
         assert!(
             matches!(agent.1.recv().await, Some(Inbound::ListReceived(_))),
@@ -184,10 +184,10 @@
 /// If the list's versions were restarted, the complete list must be fetched until it has arrived: a watch
 /// from the new version would never report the changes in between.
 #[tokio::test(start_paused = true)]
-async fn a_whole_list_that_was_not_got_is_asked_for_until_it_comes() -> io::Result<()> {
+async fn complete_list_is_fetched_until_received() -> io::Result<()> {
     let run = async {
         let agent = Agent::new(Following::Watch(9, Duration::from_secs(1)), Rc::default()).await?;
-        let (mut stream, path) = agent.asked().await?;
+        let (mut stream, path) = agent.next_request().await?;
         assert_eq!(path, "/v1/endpoints?from=9&hold_ms=1000");
         let list = |snapshot| {
             let list = format!("{{\"index\":3,\"snapshot\":{snapshot},\"endpoints\":[]}}");
@@ -195,17 +195,17 @@
         };
         stream.write_all(list(false).as_bytes()).await?;
         for _ in 0..2 {
-            assert_eq!(asked(&mut stream).await?, "/v1/endpoints");
+            assert_eq!(read_request_path(&mut stream).await?, "/v1/endpoints");
             stream.write_all(b"HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n").await?;
-            let (next, path) = agent.asked().await?;
+            let (next, path) = agent.next_request().await?;
             assert_eq!(path, "/v1/endpoints", "after a failed call for the complete list");
             drop(std::mem::replace(&mut stream, next));
             stream.write_all(b"HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n").await?;
             stream = agent.0.accept().await?.0;
         }
-        assert_eq!(asked(&mut stream).await?, "/v1/endpoints");
+        assert_eq!(read_request_path(&mut stream).await?, "/v1/endpoints");
         stream.write_all(list(true).as_bytes()).await?;
-        assert_eq!(asked(&mut stream).await?, "/v1/endpoints?from=3&hold_ms=1000");
+        assert_eq!(read_request_path(&mut stream).await?, "/v1/endpoints?from=3&hold_ms=1000");
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -214,7 +214,7 @@
 /// Bounds on the times: calls to a leaving endpoint must cease in time if its watch fell silent or the agent
 /// did, and the poll after a silent one must be answered within 6 s though it may wait for 2 s.
 #[test]
-fn what_is_missed_is_known_before_it_binds() {
+fn missed_changes_are_detected_before_they_bind() {
     let grace = Duration::from_secs(2);
     let watch = Following::Watch(1, grace / 2);
     assert!(watch.call_timeout() + RETRY_PAUSE + Duration::from_millis(250) < grace);
@@ -254,7 +254,7 @@
 }
 
 /// The response with this list as its body.
-fn answer(list: &str) -> String {
+fn response(list: &str) -> String {
     format!("{}{list}", head(list.len()))
 }
 
@@ -264,7 +264,7 @@
 
 /// Starts a follower with these bounds. Returns its counters, what the driver is told, and the sender that
 /// moves discovery.
-fn followed(
+fn start_follower(
     address: SocketAddr,
     following: Following,
     bounds: Bounds,
@@ -290,7 +290,7 @@
 }
 
 /// The counters on lists; null before the first list is refused.
-fn counted(counters: &Counters) -> serde_json::Value {
+fn list_counters(counters: &Counters) -> serde_json::Value {
     let all: serde_json::Value = serde_json::from_slice(&counters.json()).unwrap_or_default();
     all["list"].clone()
 }
@@ -302,29 +302,29 @@
 
 /// A list over 1 MiB was never accepted, and its watch ended with it.
 #[tokio::test]
-async fn a_list_of_any_length_is_taken_and_its_connection_goes_on() -> io::Result<()> {
+async fn list_of_any_length_is_accepted_and_connection_reused() -> io::Result<()> {
     let run = async {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let (counters, mut notifications, _moves) =
-            followed(listener.local_addr()?, short_watch(), Bounds::default());
+            start_follower(listener.local_addr()?, short_watch(), Bounds::default());
         let agent = Agent(listener, unbounded_channel().1);
-        let (mut stream, _) = agent.asked().await?;
-        assert!(counted(&counters).is_null());
+        let (mut stream, _) = agent.next_request().await?;
+        assert!(list_counters(&counters).is_null());
         // The counters report on lists once one was refused.
-        stream.write_all(answer("{").as_bytes()).await?;
-        stream = agent.asked().await?.0;
+        stream.write_all(response("{").as_bytes()).await?;
+        stream = agent.next_request().await?.0;
         assert!(matches!(notifications.recv().await, Some(Inbound::Event(Event::ListFailed))));
         for (index, endpoints) in [(2, 10), (3, 10_000), (4, 1500), (5, 20_000)] {
-            stream.write_all(answer(&list(index, endpoints)).as_bytes()).await?;
+            stream.write_all(response(&list(index, endpoints)).as_bytes()).await?;
             let listed = timeout(TEST_TIMEOUT, notifications.recv()).await?;
             let Some(Inbound::ListReceived(listed)) = listed else { panic!("{endpoints}: {listed:?}") };
             assert_eq!(list_version(&listed), (index, Some(endpoints)));
-            assert_eq!(counted(&counters)["endpoints"], endpoints);
-            assert_eq!(counted(&counters)["index"], index);
-            let path = asked(&mut stream).await?;
+            assert_eq!(list_counters(&counters)["endpoints"], endpoints);
+            assert_eq!(list_counters(&counters)["index"], index);
+            let path = read_request_path(&mut stream).await?;
             assert_eq!(path, format!("/v1/endpoints?from={index}&hold_ms=500"), "on the same connection");
         }
-        assert_eq!(counted(&counters)["refused"], 1);
+        assert_eq!(list_counters(&counters)["refused"], 1);
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -333,22 +333,22 @@
 /// A list whose transfer takes longer than a call's timeout must be accepted if it arrives at the minimum
 /// rate.
 #[tokio::test]
-async fn a_long_list_may_take_longer_than_a_short_one() -> io::Result<()> {
+async fn long_list_is_accepted_after_call_timeout() -> io::Result<()> {
     let run = async {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let (_, mut notifications, _moves) =
-            followed(listener.local_addr()?, short_watch(), Bounds::default());
+            start_follower(listener.local_addr()?, short_watch(), Bounds::default());
         let agent = Agent(listener, unbounded_channel().1);
-        let (mut stream, _) = agent.asked().await?;
-        let text = answer(&list(2, 60_000));
+        let (mut stream, _) = agent.next_request().await?;
+        let text = response(&list(2, 60_000));
         let chunk = MIN_RATE as usize / 2;
         assert!(text.len() > 3 * chunk, "{} bytes", text.len());
-        let began = Instant::now();
+        let started = Instant::now();
         for chunk in text.as_bytes().chunks(chunk) {
             stream.write_all(chunk).await?;
             tokio::time::sleep(Duration::from_millis(300)).await;
         }
-        assert!(began.elapsed() > short_watch().call_timeout());
+        assert!(started.elapsed() > short_watch().call_timeout());
         let listed = timeout(TEST_TIMEOUT, notifications.recv()).await?;
         assert!(
             matches!(&listed, Some(Inbound::ListReceived(list)) if list_version(list) == (2, Some(60_000)))
@@ -359,45 +359,45 @@
 }
 
 /// Answers every request with `text` for 5 s, and returns the number of requests.
-async fn asks_in_five_seconds(listener: &TcpListener, text: &[u8]) -> io::Result<usize> {
+async fn count_requests_in_5_s(listener: &TcpListener, text: &[u8]) -> io::Result<usize> {
     let until = Instant::now() + Duration::from_secs(5);
-    let mut asks = 0;
+    let mut requests = 0;
     while let Ok(accepted) = tokio::time::timeout_at(until, listener.accept()).await {
         let (mut stream, _) = accepted?;
-        asked(&mut stream).await?;
-        asks += 1;
+        read_request_path(&mut stream).await?;
+        requests += 1;
         // The follower may have stopped reading.
         let _ = stream.write_all(text).await;
     }
-    Ok(asks)
+    Ok(requests)
 }
 
 /// A list over 1 MiB was fetched 18 times a second forever, without any report of the reason. Refused lists
 /// must be counted, and fetched at growing intervals.
 #[tokio::test]
-async fn a_list_that_is_cut_or_spoilt_is_counted_and_asked_for_ever_more_rarely() -> io::Result<()> {
+async fn truncated_or_corrupt_list_is_counted_and_fetched_at_growing_intervals() -> io::Result<()> {
     let run = async {
-        let (short, long) = (answer(&list(2, 100)), answer(&list(2, 5000)));
-        let spoilt = |list: &str| answer(&format!("{}!", &list[..list.len() - 1]));
+        let (short, long) = (response(&list(2, 100)), response(&list(2, 5000)));
+        let corrupt = |list: &str| response(&format!("{}!", &list[..list.len() - 1]));
         let cases = [
             (short[..short.len() - 1].to_owned(), "list.cut"),
             (short[..60].to_owned(), "list.cut"),
             (long[..INLINE / 2].to_owned(), "list.cut"),
             (long[..INLINE * 2].to_owned(), "list.cut"),
-            (spoilt(&list(2, 100)), "list.malformed"),
-            (spoilt(&list(2, 5000)), "list.malformed"),
+            (corrupt(&list(2, 100)), "list.malformed"),
+            (corrupt(&list(2, 5000)), "list.malformed"),
         ];
-        let played = cases.map(|(text, code)| {
+        let tasks = cases.map(|(text, code)| {
             tokio::task::spawn_local(async move {
                 let listener = TcpListener::bind("127.0.0.1:0").await?;
                 let (counters, mut notifications, _moves) =
-                    followed(listener.local_addr()?, short_watch(), Bounds::default());
-                let asks = asks_in_five_seconds(&listener, text.as_bytes()).await?;
-                assert!((4..=12).contains(&asks), "{code}: {asks}");
-                let refused = counted(&counters)["refused"].as_u64().unwrap_or_default() as usize;
-                assert!(refused == asks || refused + 1 == asks, "{code}: {refused} of {asks}");
-                assert_eq!(counted(&counters)["refused_in_a_row"], refused);
-                assert_eq!(counted(&counters)["last_error"], code);
+                    start_follower(listener.local_addr()?, short_watch(), Bounds::default());
+                let requests = count_requests_in_5_s(&listener, text.as_bytes()).await?;
+                assert!((4..=12).contains(&requests), "{code}: {requests}");
+                let refused = list_counters(&counters)["refused"].as_u64().unwrap_or_default() as usize;
+                assert!(refused == requests || refused + 1 == requests, "{code}: {refused} of {requests}");
+                assert_eq!(list_counters(&counters)["refused_in_a_row"], refused);
+                assert_eq!(list_counters(&counters)["last_error"], code);
                 while let Ok(notification) = notifications.try_recv() {
                     assert!(
                         matches!(notification, Inbound::Event(Event::ListFailed)),
@@ -407,7 +407,7 @@
                 io::Result::Ok(())
             })
         });
-        for case in played {
+        for case in tasks {
             case.await??;
         }
         Ok(())
@@ -418,25 +418,26 @@
 /// Drains depend on it: a single corrupt response among good ones must cost no more than a failed call, also
 /// after a run of corrupt ones.
 #[tokio::test]
-async fn the_first_list_that_is_taken_ends_a_row_of_refused_ones() -> io::Result<()> {
+async fn accepted_list_resets_pause_after_refusals() -> io::Result<()> {
     let run = async {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let (counters, _heard, _moves) = followed(listener.local_addr()?, short_watch(), Bounds::default());
+        let (counters, _heard, _moves) =
+            start_follower(listener.local_addr()?, short_watch(), Bounds::default());
         let agent = Agent(listener, unbounded_channel().1);
-        let (mut stream, _) = agent.asked().await?;
+        let (mut stream, _) = agent.next_request().await?;
         for index in 2..5 {
             for refused in 0..4 {
-                let began = Instant::now();
-                stream.write_all(answer("{\"inde").as_bytes()).await?;
-                stream = agent.asked().await?.0;
-                let (after, min) = (began.elapsed(), RETRY_PAUSE * (1 << refused));
+                let started = Instant::now();
+                stream.write_all(response("{\"inde").as_bytes()).await?;
+                stream = agent.next_request().await?.0;
+                let (after, min) = (started.elapsed(), RETRY_PAUSE * (1 << refused));
                 assert!(after >= min && after < min + Duration::from_millis(150), "{refused}: {after:?}");
             }
-            stream.write_all(answer(&list(index, 3)).as_bytes()).await?;
-            asked(&mut stream).await?;
-            assert_eq!(counted(&counters)["refused_in_a_row"], 0);
+            stream.write_all(response(&list(index, 3)).as_bytes()).await?;
+            read_request_path(&mut stream).await?;
+            assert_eq!(list_counters(&counters)["refused_in_a_row"], 0);
         }
-        assert_eq!(counted(&counters)["refused"], 12);
+        assert_eq!(list_counters(&counters)["refused"], 12);
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -445,15 +446,15 @@
 /// A body that arrives byte by byte must not hold the watch longer than its timeout, however much arrived
 /// before.
 #[tokio::test]
-async fn a_list_that_trickles_is_cut_with_the_calls_patience() -> io::Result<()> {
+async fn slow_list_is_aborted_at_call_timeout() -> io::Result<()> {
     let run = async {
         for first in [0, INLINE + 1000] {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             let (counters, _heard, _moves) =
-                followed(listener.local_addr()?, short_watch(), Bounds::default());
+                start_follower(listener.local_addr()?, short_watch(), Bounds::default());
             let agent = Agent(listener, unbounded_channel().1);
-            let (mut stream, _) = agent.asked().await?;
-            let began = Instant::now();
+            let (mut stream, _) = agent.next_request().await?;
+            let started = Instant::now();
             stream.write_all(head(1 << 30).as_bytes()).await?;
             stream.write_all(&vec![b' '; first]).await?;
             tokio::task::spawn_local(async move {
@@ -461,11 +462,11 @@
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
             });
-            agent.asked().await?;
-            let after = began.elapsed();
+            agent.next_request().await?;
+            let after = started.elapsed();
             let max = short_watch().call_timeout() + RETRY_PAUSE + Duration::from_millis(250);
             assert!(after < max, "next call {after:?} after {first} bytes");
-            assert_eq!(counted(&counters)["last_error"], "list.cut");
+            assert_eq!(list_counters(&counters)["last_error"], "list.cut");
         }
         Ok(())
     };
@@ -474,14 +475,14 @@
 
 /// An endless body must be refused at the limit in bytes, whatever it contains.
 #[tokio::test]
-async fn a_list_without_end_is_refused_at_its_bound() -> io::Result<()> {
+async fn endless_list_is_refused_at_byte_limit() -> io::Result<()> {
     let run = async {
         let bounds = Bounds { bytes: 4 << 20, ..Bounds::default() };
         for text in [&[b' '; 1 << 16][..], b"{\"index\":1,\"index\":1,"] {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
-            let (counters, _heard, _moves) = followed(listener.local_addr()?, short_watch(), bounds);
+            let (counters, _heard, _moves) = start_follower(listener.local_addr()?, short_watch(), bounds);
             let agent = Agent(listener, unbounded_channel().1);
-            let (mut stream, _) = agent.asked().await?;
+            let (mut stream, _) = agent.next_request().await?;
             stream.write_all(head(usize::MAX >> 1).as_bytes()).await?;
             let chunk = text.repeat((1 << 16) / text.len());
             let mut written = 0;
@@ -489,8 +490,8 @@
                 written += chunk.len();
                 assert!(written < 64 << 20, "the body is read beyond its limit");
             }
-            agent.asked().await?;
-            let code = counted(&counters)["last_error"].clone();
+            agent.next_request().await?;
+            let code = list_counters(&counters)["last_error"].clone();
             assert!(code == "list.bytes" || code == "list.malformed", "{code}");
         }
         Ok(())
@@ -501,28 +502,29 @@
 /// If discovery moves while a long list is being received, the new address must be asked immediately, and
 /// nothing of the old list may be used.
 #[tokio::test]
-async fn a_long_list_is_left_when_discovery_moves() -> io::Result<()> {
+async fn long_list_is_aborted_when_discovery_moves() -> io::Result<()> {
     let run = async {
         let (old, new) = (TcpListener::bind("127.0.0.1:0").await?, TcpListener::bind("127.0.0.1:0").await?);
         let following = Following::Watch(1, MAX_HOLD_TIME);
-        let (counters, mut notifications, moves) = followed(old.local_addr()?, following, Bounds::default());
+        let (counters, mut notifications, moves) =
+            start_follower(old.local_addr()?, following, Bounds::default());
         let (old, new_address) = (Agent(old, unbounded_channel().1), new.local_addr()?);
         let new = Agent(new, unbounded_channel().1);
-        let (mut stream, _) = old.asked().await?;
-        let text = answer(&list(2, 5000));
+        let (mut stream, _) = old.next_request().await?;
+        let text = response(&list(2, 5000));
         stream.write_all(&text.as_bytes()[..text.len() - 1]).await?;
         tokio::time::sleep(Duration::from_millis(100)).await;
         let moved = Instant::now();
         moves.send_replace(new_address);
-        let (mut stream, path) = new.asked().await?;
+        let (mut stream, path) = new.next_request().await?;
         assert!(
             moved.elapsed() < Duration::from_millis(250),
             "the new address was asked after {:?}",
             moved.elapsed()
         );
         assert_eq!(path, "/v1/endpoints?from=1&hold_ms=2000");
-        assert!(notifications.try_recv().is_err() && counted(&counters).is_null());
-        stream.write_all(answer(&list(9, 1)).as_bytes()).await?;
+        assert!(notifications.try_recv().is_err() && list_counters(&counters).is_null());
+        stream.write_all(response(&list(9, 1)).as_bytes()).await?;
         let listed = timeout(TEST_TIMEOUT, notifications.recv()).await?;
         assert!(matches!(&listed, Some(Inbound::ListReceived(list)) if list_version(list) == (9, Some(1))));
         Ok(())
@@ -532,12 +534,12 @@
 
 /// A request for the complete list must not abort the transfer of a long one; it is made afterwards.
 #[tokio::test]
-async fn a_wish_for_the_whole_list_waits_for_a_long_one() -> io::Result<()> {
+async fn complete_list_request_waits_for_long_list() -> io::Result<()> {
     let run = async {
         let requests = Rc::new(ListRequests::default());
         let mut agent = Agent::new(Following::Watch(1, MAX_HOLD_TIME), requests.clone()).await?;
-        let (mut stream, _) = agent.asked().await?;
-        let text = answer(&list(2, 5000));
+        let (mut stream, _) = agent.next_request().await?;
+        let text = response(&list(2, 5000));
         let (first, last) = text.as_bytes().split_at(text.len() - 1);
         stream.write_all(first).await?;
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -548,7 +550,7 @@
         assert!(
             matches!(&listed, Some(Inbound::ListReceived(list)) if list_version(list) == (2, Some(5000)))
         );
-        assert_eq!(asked(&mut stream).await?, "/v1/endpoints");
+        assert_eq!(read_request_path(&mut stream).await?, "/v1/endpoints");
         Ok(())
     };
     LocalSet::new().run_until(run).await
@@ -557,7 +559,7 @@
 /// Bounds on the times: after any number of refused lists in a row, a change just after a refused call was
 /// sent must be reported within 6 s.
 #[test]
-fn the_rest_after_refused_lists_is_bounded_by_when_news_counts_as_told() {
+fn pause_after_refused_lists_keeps_report_deadline() {
     for hold in [MIN_HOLD_TIME, Duration::from_secs(1), MAX_HOLD_TIME] {
         let call_timeout = Following::Watch(1, hold).call_timeout();
         for elapsed in [Duration::ZERO, hold, call_timeout] {
@@ -592,19 +594,19 @@
 
 /// A list with too many changes is never accepted, so the complete list must be fetched instead.
 #[tokio::test]
-async fn the_whole_list_is_asked_for_after_too_many_changes() -> io::Result<()> {
+async fn complete_list_is_fetched_after_too_many_changes() -> io::Result<()> {
     let run = async {
         let mut agent = Agent::new(Following::Watch(1, MAX_HOLD_TIME), Rc::default()).await?;
-        let (mut stream, _) = agent.asked().await?;
+        let (mut stream, _) = agent.next_request().await?;
         let changes = list(2, CHANGES + 1).replacen("\"snapshot\":true", "\"snapshot\":false", 1);
         // The follower may have stopped reading before the end.
-        let _ = stream.write_all(answer(&changes).as_bytes()).await;
+        let _ = stream.write_all(response(&changes).as_bytes()).await;
         let notifications = timeout(TEST_TIMEOUT, agent.1.recv()).await?;
         assert!(matches!(notifications, Some(Inbound::Event(Event::ListFailed))), "{notifications:?}");
-        let (mut stream, path) = agent.asked().await?;
+        let (mut stream, path) = agent.next_request().await?;
         assert_eq!(path, "/v1/endpoints");
-        stream.write_all(answer(&list(3, 5)).as_bytes()).await?;
-        assert_eq!(asked(&mut stream).await?, "/v1/endpoints?from=3&hold_ms=2000");
+        stream.write_all(response(&list(3, 5)).as_bytes()).await?;
+        assert_eq!(read_request_path(&mut stream).await?, "/v1/endpoints?from=3&hold_ms=2000");
         Ok(())
     };
     LocalSet::new().run_until(run).await
--- a/src/net/working_set.rs
+++ b/src/net/working_set.rs
@@ -17,16 +17,16 @@
 pub const IDLE_TIMEOUT: Micros = 10_000_000;
 /// Maximum number of evictions at once. It keeps iterations short: each eviction scans all messages in hand.
 pub const MAX_EVICTIONS_AT_ONCE: usize = 32;
-/// Maximum number of evicted destinations whose route state is saved, at some 200 bytes each; see [`DropOrder`]
-/// for which is dropped first.
+/// Maximum number of evicted destinations whose route state is saved, at some 200 bytes each; see
+/// [`DropOrder`] for which is dropped first.
 pub const MAX_SAVED: usize = 16_384;
 
 /// Shortest time between two fetches of the complete list because the table has accumulated many changes or
 /// is full.
 pub const REFETCH_INTERVAL: Micros = 60_000_000;
 
-/// The version of the encoding of [`SavedRoutes::routes`]. It must be incremented whenever a field of [`Route`] is
-/// added, removed or moved.
+/// The version of the encoding of [`SavedRoutes::routes`]. It must be incremented whenever a field of
+/// [`Route`] is added, removed or moved.
 const ROUTES_FORMAT: u32 = 0;
 
 /// The state of one route, with its endpoint's name if the kind has a route per endpoint.
@@ -116,8 +116,8 @@
         is_new
     }
 
-    /// Resident destinations that were idle for [`IDLE_TIMEOUT`], as many as may be evicted at once. The caller
-    /// must report each as evicted ([`WorkingSet::left`]) or as kept ([`WorkingSet::stays`]).
+    /// Resident destinations that were idle for [`IDLE_TIMEOUT`], as many as may be evicted at once. The
+    /// caller must report each as evicted ([`WorkingSet::evicted`]) or as kept ([`WorkingSet::keep`]).
     pub fn idle(&mut self, now: Micros) -> Vec<u32> {
         let mut idle = Vec::new();
         while idle.len() < MAX_EVICTIONS_AT_ONCE
--- a/src/net/working_set/tests.rs
+++ b/src/net/working_set/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn states_are_kept_up_to_the_most_and_the_oldest_goes_first() {
+fn saved_states_are_limited_and_oldest_is_dropped_first() {
     let mut working = WorkingSet::default();
     for destination in 0..=MAX_SAVED as u32 {
         working.evicted(destination, &routes(), false);
@@ -22,7 +22,7 @@
 /// Requested waits, breakers and ramps must outlive states that were merely learned, however recent those
 /// are.
 #[test]
-fn states_that_bind_are_dropped_last() {
+fn binding_states_are_dropped_last() {
     let mut working = WorkingSet::default();
     for destination in 0..100 {
         working.evicted(destination, &routes(), true);
@@ -37,7 +37,7 @@
 
 /// Routes are encoded by field position, so states of a version with other fields must not be decoded.
 #[test]
-fn states_of_another_form_are_dropped_and_counted() {
+fn states_of_another_format_are_dropped_and_counted() {
     let mut working = WorkingSet::default();
     working.evicted(1, &routes(), true);
     assert_eq!(working.drop_other_formats(), 0);
@@ -48,7 +48,7 @@
 
 /// A destination that is evicted repeatedly must occupy one entry only.
 #[test]
-fn a_place_is_free_again_once_its_state_is_taken() {
+fn entry_is_freed_when_its_state_is_taken() {
     let mut working = WorkingSet::default();
     for _ in 0..2 * MAX_SAVED {
         working.evicted(7, &routes(), false);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn who_was_used_of_late_is_not_idle() {
+fn recently_used_destination_is_not_idle() {
     let mut working = WorkingSet { long_list: true, ..WorkingSet::default() };
     assert!(working.touch(1, 0) && working.touch(2, 0));
     assert!(!working.touch(2, IDLE_TIMEOUT / 2));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn no_turn_has_more_leave_than_may_at_once() {
+fn idle_destinations_are_limited_per_iteration() {
     let mut working = WorkingSet { long_list: true, ..WorkingSet::default() };
     for destination in 0..MAX_EVICTIONS_AT_ONCE as u32 + 1 {
         working.touch(destination, 0);
