--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -254,9 +254,7 @@
 /// The connection target of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Target {
-    /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its address.
     pub address: SocketAddr,
     /// The route that its Retry-After applies to.
     pub route: RouteId,
@@ -265,7 +263,6 @@
 /// A message of a call.
 #[derive(Debug, Clone)]
 pub struct CallMessage {
-    /// The message.
     pub message: MessageId,
     /// The attempt's number.
     pub attempt: u16,
@@ -273,7 +270,6 @@
     pub id: String,
     /// Its `Idempotency-Key`.
     pub key: Option<String>,
-    /// Its body.
     pub body: Bytes,
     /// The message is not written after this time, nor is its outcome waited for, unless other messages in
     /// the call have longer.
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -187,8 +187,8 @@
             };
             self.end_recovered(number, given_up, live.accepted);
         }
-        if let Some(starting) = &self.parts.start {
-            starting.core.borrow_mut().backlog = Backlog::new(old, now);
+        if let Some(start_part) = &self.parts.start {
+            start_part.core.borrow_mut().backlog = Backlog::new(old, now);
         }
         events
     }
@@ -340,7 +340,7 @@
     /// Hands all other work to the next process, and stays only for calls and client requests in progress.
     async fn hand_over(
         mut self,
-        told: handover::PreparedHandover,
+        prepared: handover::PreparedHandover,
         claim: FolderLock,
         intake: Rc<Intake>,
         events: UnboundedReceiver<Inbound>,
@@ -362,7 +362,7 @@
             stop_at: self.stop_at,
             inbound: self.inbound,
         };
-        relay.run(told, claim, events).await;
+        relay.run(prepared, claim, events).await;
     }
 
     /// Translates a message from a task into events for the decision module.
@@ -427,19 +427,19 @@
                 let own = (config.settings, config.names);
                 let before = self.names.borrow().clone();
                 // Messages of this iteration are not in the decision module yet.
-                let comes = |class| {
+                let in_this_iteration = |class| {
                     events.iter().any(|event| {
                         matches!(event, Event::Accepted(m) if m.class == class)
                             || matches!(event, Event::Resumed { message, .. } if message.class == class)
                     })
                 };
                 let seed = config.seed ^ self.index;
-                let held = |class| self.policy.holds_class(class) || comes(class);
+                let held = |class| self.policy.holds_class(class) || in_this_iteration(class);
                 let (settings, names) = align_positions(own, &self.settings, &before, held);
                 self.counters.count_reload(true);
-                let asking =
+                let list_settings =
                     |s: &Settings| (s.list_on_request, s.rules.ask_every, s.senders, s.rules.drain_grace);
-                if asking(&settings) != asking(&self.settings) {
+                if list_settings(&settings) != list_settings(&self.settings) {
                     let new_mode =
                         platform::Following::new(&settings, self.shared_list_service, self.index, seed);
                     self.list_requests.new_mode.replace(Some(new_mode));
--- a/src/net/driver/draining.rs
+++ b/src/net/driver/draining.rs
@@ -100,8 +100,9 @@
                             Refusal::Last(_) | Refusal::TooMany(_) => StatusCode::CONFLICT,
                         };
                         let destinations = if let Refusal::Last(last) = &why { &last[..] } else { &[] };
-                        let body = json!({"code": why.code(), "error": why.to_string(), "remedy": why.remedy(),
-                                           "destinations": destinations});
+                        let (code, error, remedy) = (why.code(), why.to_string(), why.remedy());
+                        let body = json!({"code": code, "error": error, "remedy": remedy,
+                                          "destinations": destinations});
                         return Reply::new(status, &body);
                     }
                 };
@@ -231,7 +232,8 @@
         });
         // A long list would not fit into a response.
         let whole = !self.working_set.long_list;
-        json!({"index": self.index, "draining": self.marks().is_some(), "whole": whole, "endpoints": report.collect::<Vec<_>>()})
+        json!({"index": self.index, "draining": self.marks().is_some(), "whole": whole,
+               "endpoints": report.collect::<Vec<_>>()})
     }
 
     /// Removes the marks of endpoints that are no longer in discovery's list.
--- a/src/net/driver/estimates.rs
+++ b/src/net/driver/estimates.rs
@@ -37,8 +37,10 @@
 }
 
 coded_error! { EstimateRequestError {
-    Off => "estimate.off", "add the sections \"membership\" and \"status\" to the configuration, and start a new process";
-    Body => "estimate.body", "send {\"query\": {...}} or {\"run\": {...}} with the fields of docs/estimate.md";
+    Off => "estimate.off",
+        "add the sections \"membership\" and \"status\" to the configuration, and start a new process";
+    Body => "estimate.body",
+        "send {\"query\": {...}} or {\"run\": {...}} with the fields of docs/estimate.md";
     Tenant => "estimate.tenant", "name one of settings.realms";
     ..Query;
     ..Run;
@@ -86,9 +88,9 @@
             EstimateRequest::Run(run) => {
                 let tenant = names.tenants.iter().position(|tenant| *tenant == run.tenant);
                 let class = names.class(&run.class);
-                let outlook = |to| self.outlook(to, tenant);
+                let summary = |to| self.summary(to, tenant);
                 let runs = &part.core.runs;
-                let planned = sending::plan(&run, (class, tenant), &self.settings, runs, now, outlook)?;
+                let planned = sending::plan(&run, (class, tenant), &self.settings, runs, now, summary)?;
                 Ok(Reply::ok(&planned.0))
             }
         }
@@ -107,10 +109,10 @@
     }
 
     /// The module's route state of a destination, completed with the endpoints in the list.
-    fn outlook(&self, to: DestinationId, tenant: Option<usize>) -> DestinationSummary {
+    fn summary(&self, to: DestinationId, tenant: Option<usize>) -> DestinationSummary {
         let active = self.active_bundles(to.0);
         let bundle = active.iter().copied().max().unwrap_or(1);
-        let outlook = self.policy.destination_summary(to, tenant.unwrap_or(usize::MAX));
-        DestinationSummary { endpoints: active.len(), max_batch: bundle, ..outlook }
+        let summary = self.policy.destination_summary(to, tenant.unwrap_or(usize::MAX));
+        DestinationSummary { endpoints: active.len(), max_batch: bundle, ..summary }
     }
 }
--- a/src/net/driver/residency.rs
+++ b/src/net/driver/residency.rs
@@ -180,11 +180,11 @@
         self.restore_routes(destination, &event);
         events.push(event);
         // During startup it may be cold. Hints from other senders hide no endpoints of a long list.
-        if let Some(starting) = &self.parts.start
-            && starting.core.borrow().phase().0 != Phase::Steady
+        if let Some(start_part) = &self.parts.start
+            && start_part.core.borrow().phase().0 != Phase::Steady
         {
             let since = self.cold_destinations(now).remove(&destination);
-            let mut core = starting.core.borrow_mut();
+            let mut core = start_part.core.borrow_mut();
             for (to, part) in core.parts(since.map(|_| destination)) {
                 let ago = now - since.unwrap_or(now);
                 events.push(Event::ReturnedCold { destination: DestinationId(to), ago, part });
--- a/src/net/driver/startup.rs
+++ b/src/net/driver/startup.rs
@@ -46,8 +46,8 @@
         let beyond = self.working_set.long_list;
         let list = if beyond { Vec::new() } else { self.reported_list() };
         match &mut self.parts.start {
-            Some(starting) if beyond => starting.long_list_received(now, self.index),
-            Some(starting) => starting.list_received(now, self.index, &list),
+            Some(start_part) if beyond => start_part.long_list_received(now, self.index),
+            Some(start_part) => start_part.list_received(now, self.index, &list),
             None => {}
         }
     }
@@ -55,25 +55,25 @@
     /// Starts from the list that an earlier process had.
     pub(super) fn startup_from_known(&mut self) {
         let list = if self.working_set.long_list { Vec::new() } else { self.reported_list() };
-        if let Some(starting) = &mut self.parts.start {
-            starting.core.borrow_mut().load_cached(self.index, named(&list));
+        if let Some(start_part) = &mut self.parts.start {
+            start_part.core.borrow_mut().load_cached(self.index, named(&list));
         }
     }
 
     /// Does the startup work of this iteration.
     pub(super) fn startup_work(&mut self, events: &mut Vec<Event>) {
         let now = self.clock.now();
-        let Some(starting) = &mut self.parts.start else { return };
+        let Some(start_part) = &mut self.parts.start else { return };
         let (changed, old) = {
-            let mut core = starting.core.borrow_mut();
+            let mut core = start_part.core.borrow_mut();
             (core.changed(), core.backlog.take(now))
         };
-        if starting.is_store_due(now) && self.working_set.long_list {
-            starting.discard_cached_list(now);
-        } else if starting.is_store_due(now) {
+        if start_part.is_store_due(now) && self.working_set.long_list {
+            start_part.discard_cached_list(now);
+        } else if start_part.is_store_due(now) {
             let list = self.reported_list();
-            if let Some(starting) = &mut self.parts.start {
-                starting.store_list(now, &list);
+            if let Some(start_part) = &mut self.parts.start {
+                start_part.store_list(now, &list);
             }
         }
         if !changed.is_empty() {
@@ -98,8 +98,8 @@
     /// While this sender starts up, tells the module which destinations are cold since their own start, and
     /// this sender's share of their capacity.
     fn share_cold(&mut self, now: Micros, events: &mut Vec<Event>) {
-        let Some(starting) = &self.parts.start else { return };
-        let mut core = starting.core.borrow_mut();
+        let Some(start_part) = &self.parts.start else { return };
+        let mut core = start_part.core.borrow_mut();
         if !core.shares_due(now) {
             return;
         }
@@ -162,9 +162,9 @@
 
     /// The report on the progress of startup, for operators.
     pub(super) fn start_report(&self) -> Reply {
-        let Some(starting) = &self.parts.start else {
+        let Some(start_part) = &self.parts.start else {
             return Reply::call_error(&CallError::StartOff);
         };
-        Reply::ok(&starting.report(self.clock.now()))
+        Reply::ok(&start_part.report(self.clock.now()))
     }
 }
--- a/src/net/driver/status_index.rs
+++ b/src/net/driver/status_index.rs
@@ -28,27 +28,27 @@
     /// Brings the index in line with the messages in the journal at startup.
     pub(super) fn resume_index(&mut self) {
         let now = self.clock.now();
-        if let Some(indexing) = &mut self.parts.status {
-            indexing.reconcile(self.journal.pending().values(), now);
+        if let Some(status_part) = &mut self.parts.status {
+            status_part.reconcile(self.journal.pending().values(), now);
         }
     }
 
     /// Adds accepted messages to the index and stores it before the clients are answered.
     pub(super) fn index_accepted(&mut self, fresh: &BTreeMap<u32, NewMessage>, now: Micros) {
-        let Some(indexing) = &mut self.parts.status else { return };
+        let Some(status_part) = &mut self.parts.status else { return };
         for fresh in fresh.values() {
-            indexing.message_accepted(&fresh.message, now, 0);
+            status_part.message_accepted(&fresh.message, now, 0);
         }
         if !fresh.is_empty() {
-            indexing.store(now);
+            status_part.store(now);
         }
     }
 
     /// Stores the index, before a log number of it is given to a client.
     pub(super) fn store_index(&mut self) {
         let now = self.clock.now();
-        if let Some(indexing) = &mut self.parts.status {
-            indexing.store(now);
+        if let Some(status_part) = &mut self.parts.status {
+            status_part.store(now);
         }
     }
 
@@ -61,18 +61,19 @@
         how: Option<GivenUp>,
     ) {
         let now = self.clock.now();
-        let Some(indexing) = &mut self.parts.status else { return };
-        indexing.message_accepted(taken, since, epoch);
+        let Some(status_part) = &mut self.parts.status else { return };
+        status_part.message_accepted(taken, since, epoch);
         if let Some(how) = how {
-            indexing.message_ended(taken, final_state(how), now);
+            status_part.message_ended(taken, final_state(how), now);
         }
     }
 
     /// Records the outcome of a message that is still in the journal.
     pub(super) fn index_ended(&mut self, number: u32, end: State) {
         let now = self.clock.now();
-        if let (Some(indexing), Some(live)) = (&mut self.parts.status, self.journal.pending().get(&number)) {
-            indexing.message_ended(&live.accepted, end, now);
+        if let (Some(status_part), Some(live)) = (&mut self.parts.status, self.journal.pending().get(&number))
+        {
+            status_part.message_ended(&live.accepted, end, now);
         }
     }
 
@@ -80,14 +81,14 @@
     /// sessions.
     pub(super) fn accepted_answer(&self, taken: &AcceptedMessage) -> Answer {
         let token = self.parts.plans.as_ref().zip(self.parts.status.as_ref());
-        let token = token.and_then(|(reading, indexing)| reading.token(taken, indexing));
+        let token = token.and_then(|(plans_part, status_part)| plans_part.token(taken, status_part));
         token.map_or(Answer::Taken, Answer::TakenAt)
     }
 
     /// The report on plans and reads, for operators.
     pub(super) fn plans_report(&self) -> Reply {
-        match self.parts.plans.as_ref().filter(|reading| reading.is_on()) {
-            Some(reading) => Reply::ok(&reading.report(self.clock.now())),
+        match self.parts.plans.as_ref().filter(|plans_part| plans_part.is_on()) {
+            Some(plans_part) => Reply::ok(&plans_part.report(self.clock.now())),
             None => {
                 let why = "plans are off: the configuration has no section \"plans\"";
                 Reply::error_with_code(
@@ -105,15 +106,15 @@
     pub(super) fn ask_status(&mut self, call: StatusCall, within: Micros, reply: oneshot::Sender<Reply>) {
         let now = self.clock.now();
         let facts = self.parts.membership.as_ref().map(|view| view.view(now));
-        let estimating = self.parts.estimate.as_mut();
-        match (&mut self.parts.status, &mut self.parts.plans, estimating) {
-            (Some(indexing), Some(reading), Some(estimating)) if reading.is_on() => {
-                reading.begin(call, (now, within), reply, (indexing, facts.as_ref(), estimating));
+        let estimate_part = self.parts.estimate.as_mut();
+        match (&mut self.parts.status, &mut self.parts.plans, estimate_part) {
+            (Some(status_part), Some(plans_part), Some(estimate_part)) if plans_part.is_on() => {
+                plans_part.begin(call, (now, within), reply, (status_part, facts.as_ref(), estimate_part));
             }
-            (Some(indexing), _, estimating) => {
-                let basis = estimating.as_ref().map(|part| part.core.predict(now, &call.query).basis);
-                let number = indexing.ask(call.query, within, now, reply);
-                if let (Some(part), Some(number), Some(basis)) = (estimating, number, basis) {
+            (Some(status_part), _, estimate_part) => {
+                let basis = estimate_part.as_ref().map(|part| part.core.predict(now, &call.query).basis);
+                let number = status_part.ask(call.query, within, now, reply);
+                if let (Some(part), Some(number), Some(basis)) = (estimate_part, number, basis) {
                     part.query_started(number, basis);
                 }
             }
@@ -125,7 +126,7 @@
     /// The report on the index, for operators.
     pub(super) fn status_report(&self) -> Reply {
         match &self.parts.status {
-            Some(indexing) => Reply::ok(&indexing.report(self.clock.now())),
+            Some(status_part) => Reply::ok(&status_part.report(self.clock.now())),
             None => not_enabled(),
         }
     }
--- a/src/net/driver/takeover.rs
+++ b/src/net/driver/takeover.rs
@@ -98,8 +98,8 @@
 impl Driver {
     /// Assigns an accepted message to a replica group, if it can be replicated.
     pub(super) fn assign_group(&mut self, taken: &AcceptedMessage, now: Micros) -> Option<ReplicaTag> {
-        let covering = self.parts.takeover.as_mut()?;
-        covering.core.place(taken.body.len(), taken.deadline.saturating_sub(now)).ok()
+        let takeover = self.parts.takeover.as_mut()?;
+        takeover.core.place(taken.body.len(), taken.deadline.saturating_sub(now)).ok()
     }
 
     /// Replicates a message that is in the journal to its backups.
@@ -184,7 +184,7 @@
             };
             let needs = self.needs_grant(call.message, live, since, now);
             let upto = self.send_update(&tag, Update::Intent(call.attempt), now);
-            let owned = self.parts.takeover.as_ref().is_some_and(|covering| covering.core.owns(tag.group));
+            let owned = self.parts.takeover.as_ref().is_some_and(|takeover| takeover.core.owns(tag.group));
             match upto {
                 Some(upto) if needs => {
                     self.replicated.calls.push(HeldCall { group: tag.group, upto, since: now, call });
@@ -244,8 +244,8 @@
         let tags: Vec<(u32, ReplicaTag)> =
             live.filter_map(|(number, live)| Some((*number, live.replicated.clone()?.0))).collect();
         let now = self.clock.now();
-        let Some(covering) = self.parts.takeover.as_mut() else { return };
-        covering.core.resume(now, tags.iter().map(|(_, tag)| tag.clone()));
+        let Some(takeover) = self.parts.takeover.as_mut() else { return };
+        takeover.core.resume(now, tags.iter().map(|(_, tag)| tag.clone()));
         let alone = tags.iter().filter(|(_, tag)| tag.backups.is_empty());
         self.replicated.unreplicated.extend(alone.map(|(number, _)| *number));
         let numbers = tags.into_iter().map(|(number, tag)| ((tag.group, tag.item), number));
@@ -254,8 +254,8 @@
 
     /// Carries out what followed from other senders' datagrams and from elapsed time.
     pub(super) fn handle_takeover(&mut self, events: &mut Vec<Event>) {
-        let Some(covering) = self.parts.takeover.as_mut() else { return };
-        for event in covering.core.take_events() {
+        let Some(takeover) = self.parts.takeover.as_mut() else { return };
+        for event in takeover.core.take_events() {
             match event {
                 GroupEvent::Granted { group, upto } => self.granted(group, upto),
                 GroupEvent::Adopt { group, epoch, backups, last_heard: heard, items } => {
@@ -297,15 +297,15 @@
                 }
                 GroupEvent::Finished(group, item) => {
                     self.replicated.adoptions.retain(|a| (a.tag.group, a.tag.item) != (group, item));
-                    if let Some(covering) = &mut self.parts.takeover {
-                        covering.core.replicate(self.clock.now(), group, item, Update::Over);
+                    if let Some(takeover) = &mut self.parts.takeover {
+                        takeover.core.replicate(self.clock.now(), group, item, Update::Over);
                     }
                     self.drop_lost((group, item), events);
                 }
             }
         }
         let now = self.clock.now();
-        let lease = self.parts.takeover.as_ref().map_or(0, |covering| covering.core.lease());
+        let lease = self.parts.takeover.as_ref().map_or(0, |takeover| takeover.core.lease());
         let late = |held: &mut HeldCall| now > held.since + lease.min(MAX_GRANT_WAIT);
         let late: Vec<HeldCall> = self.replicated.calls.extract_if(.., late).collect();
         late.into_iter().for_each(|held| self.report_not_made(held.call));
@@ -339,8 +339,8 @@
         if left == 0 {
             return true;
         }
-        let Some(covering) = self.parts.takeover.as_mut() else { return true };
-        let Some(tag) = covering.core.place_rereplicated(live.accepted.body.len(), left) else {
+        let Some(takeover) = self.parts.takeover.as_mut() else { return true };
+        let Some(tag) = takeover.core.place_rereplicated(live.accepted.body.len(), left) else {
             return false;
         };
         let Ok(record) = postcard::to_allocvec(&MessageRecord::of(&live.accepted, since)) else {
@@ -358,9 +358,14 @@
             over: false,
         };
         let id = &live.accepted.id;
-        tracing::debug!(id, lot = tag.group.number, covers = ?tag.backups, "message replicated again, in a new group");
-        if let Some(covering) = self.parts.takeover.as_mut() {
-            covering.core.replicate_all(now, tag.group, tag.item, &known);
+        tracing::debug!(
+            id,
+            lot = tag.group.number,
+            covers = ?tag.backups,
+            "message replicated again, in a new group"
+        );
+        if let Some(takeover) = self.parts.takeover.as_mut() {
+            takeover.core.replicate_all(now, tag.group, tag.item, &known);
         }
         self.send_update(&old, Update::Over, now);
         self.replicated.numbers.remove(&(old.group, old.item));
@@ -443,7 +448,7 @@
         self.next_message = number.wrapping_add(1);
         self.replicated.numbers.insert(place, number);
         self.held.insert(id.clone(), number);
-        if self.parts.takeover.as_ref().is_some_and(|covering| covering.core.is_sole_owner(tag.group)) {
+        if self.parts.takeover.as_ref().is_some_and(|takeover| takeover.core.is_sole_owner(tag.group)) {
             self.replicated.unreplicated.insert(number);
         }
         self.index_adopted(&taken, record.since, tag.epoch, how);
@@ -486,10 +491,10 @@
 
     /// The report on replication, for operators.
     pub(super) fn takeover_report(&self) -> Reply {
-        let Some(covering) = &self.parts.takeover else {
+        let Some(takeover) = &self.parts.takeover else {
             return Reply::call_error(&CallError::TakeoverOff);
         };
-        let mut report = covering.report(self.clock.now());
+        let mut report = takeover.report(self.clock.now());
         let covered = self.journal.pending().values().filter(|live| live.replicated.is_some()).count();
         report["in_hand"] = json!({"covered": covered, "all": self.journal.pending().len(),
                                    "calls_waiting": self.replicated.calls.len(),
--- a/src/net/driver/turn.rs
+++ b/src/net/driver/turn.rs
@@ -189,11 +189,11 @@
         let calls = self.hold_for_grants(calls, now);
         self.start_calls(calls, now);
         self.with_parts(|parts, out| {
-            if let Some(covering) = &mut parts.takeover {
-                covering.flush(now, out);
+            if let Some(takeover) = &mut parts.takeover {
+                takeover.flush(now, out);
             }
-            if let Some(indexing) = &mut parts.status {
-                indexing.flush(now, out);
+            if let Some(status_part) = &mut parts.status {
+                status_part.flush(now, out);
             }
         });
     }
@@ -328,8 +328,8 @@
         let until = now + timeout;
         let write_by = self.write_by(message.0, live, Some(attempt), now).map_or(until, |by| by.min(until));
         let (until, write_by) = (self.clock.instant(until), self.clock.instant(write_by));
-        if let Some(indexing) = &mut self.parts.status {
-            indexing.attempt_begun(&live.accepted, attempt, self.clock.now());
+        if let Some(status_part) = &mut self.parts.status {
+            status_part.attempt_begun(&live.accepted, attempt, self.clock.now());
         }
         let AcceptedMessage { id, key, body, .. } = live.accepted.clone();
         let name = self.endpoints.get(&endpoint).map_or("", |known| known.name.as_str());
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -233,7 +233,6 @@
 /// The result of a call that was not interrupted.
 #[derive(Debug)]
 enum FetchResult {
-    /// A list.
     List(List),
     /// A response that started as a list and is not a valid one.
     Refused(ListError),
@@ -398,7 +397,6 @@
         FetchResult::List(list)
     }
 
-    /// Discovery has moved.
     fn discovery_moved(&mut self) {
         self.conn = None;
         self.pace.iter().for_each(|pace| pace.service_moved());
@@ -485,7 +483,6 @@
 /// A message's outcome that must be reported to the platform.
 #[derive(Debug)]
 pub struct Notice {
-    /// The message.
     pub message: MessageId,
     /// Its `Req-Id`.
     pub id: String,
