--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -467,12 +467,12 @@
         let (idle, busy, out) = (RefCell::default(), Cell::new(0), RefCell::default());
         let waits = RefCell::default();
         let calls = Self(Rc::new(Shared { limits, counters, inbound, idle, busy, waits, out }));
-        let swept = calls.clone();
+        let sweeper = calls.clone();
         tokio::task::spawn_local(async move {
             let mut tick = tokio::time::interval(Duration::from_millis(250));
             loop {
                 tick.tick().await;
-                let shared = &swept.0;
+                let shared = &sweeper.0;
                 shared.idle.borrow_mut().retain(|_, conns| {
                     conns.retain(|idle| shared.is_reusable(idle));
                     !conns.is_empty()
@@ -575,7 +575,7 @@
                 let request = Request::get(path).header("host", &host).body(Full::default()).ok()?;
                 Some(Composed { request, length: 0, messages: 0 })
             };
-            let asked = async {
+            let probed = async {
                 let (mut conn, answer) = shared.exchange(target, &state, compose, until).await?;
                 let (head, body) = answer.into_parts();
                 let body = conn.0.body(body).await.map_err(|()| Outcome::Reset)?;
@@ -586,7 +586,7 @@
                 }
                 Ok((outcome(head.status, &head.headers, 1), report))
             };
-            let (outcome, report) = match timeout(within, asked).await {
+            let (outcome, report) = match timeout(within, probed).await {
                 Ok(Ok(seen)) => seen,
                 Ok(Err(outcome)) => (outcome, vec![]),
                 Err(_) if state.write_started.get() => (Outcome::TimedOut, vec![]),
--- a/src/net/calls/tests.rs
+++ b/src/net/calls/tests.rs
@@ -167,9 +167,11 @@
     LocalSet::new().run_until(run).await
 }
 
-/// Runs `spoil` on the server's end of an idle connection immediately before its reuse, when the runtime has
-/// not polled its sockets since. The next call must use a new connection.
-async fn reuse_after_spoiling(spoil: impl FnOnce(std::net::TcpStream) -> io::Result<()>) -> io::Result<()> {
+/// Runs `interfere` on the server's end of an idle connection immediately before its reuse, when the runtime
+/// has not polled its sockets since. The next call must use a new connection.
+async fn reuse_after_interference(
+    interfere: impl FnOnce(std::net::TcpStream) -> io::Result<()>,
+) -> io::Result<()> {
     let mut fixture = Fixture::new().await?;
     fixture.calls.start(fixture.target, vec![part(1)]);
     let (mut stream, _) = fixture.listener.accept().await?;
@@ -184,7 +186,7 @@
     });
     timeout(TEST_TIMEOUT, kept_idle).await?;
     // No await from here until the call has been started.
-    spoil(stream.into_std()?)?;
+    interfere(stream.into_std()?)?;
     fixture.calls.start(fixture.target, vec![part(2)]);
     let (next, _) = timeout(TEST_TIMEOUT, async {
         tokio::select! {
@@ -204,24 +206,24 @@
 /// closed the connection just before its reuse.
 #[tokio::test]
 async fn connection_closed_while_idle_is_not_reused() -> io::Result<()> {
-    let spoil = |stream| {
+    let interfere = |stream| {
         drop(stream);
         Ok(())
     };
-    LocalSet::new().run_until(reuse_after_spoiling(spoil)).await
+    LocalSet::new().run_until(reuse_after_interference(interfere)).await
 }
 
 /// Bytes that arrived on an idle connection before a request was written must not be taken for its response.
 #[tokio::test]
 async fn connection_with_unexpected_bytes_is_not_reused() -> io::Result<()> {
     let left = std::cell::RefCell::new(None);
-    let spoil = |mut stream: std::net::TcpStream| {
+    let interfere = |mut stream: std::net::TcpStream| {
         io::Write::write_all(&mut stream, ANSWER)?;
         // The connection stays open.
         left.replace(Some(stream));
         Ok(())
     };
-    LocalSet::new().run_until(reuse_after_spoiling(spoil)).await
+    LocalSet::new().run_until(reuse_after_interference(interfere)).await
 }
 
 /// A message larger than the buffers between two sockets.
--- a/src/net/driver/draining.rs
+++ b/src/net/driver/draining.rs
@@ -40,16 +40,16 @@
         events: &mut Vec<Event>,
     ) -> bool {
         let before = *self.service_state.borrow();
-        let asked = if wanted { ServiceState::InService } else { ServiceState::OutOfService };
+        let requested = if wanted { ServiceState::InService } else { ServiceState::OutOfService };
         if !matches!(before, ServiceState::InService | ServiceState::OutOfService) {
             return false;
         }
         let now = self.clock.now();
         let until = within.map(|within| now + within);
-        if before != asked || until != self.drain.and_then(|drain| drain.deadline) {
+        if before != requested || until != self.drain.and_then(|drain| drain.deadline) {
             self.service_state
-                .send_if_modified(|service_state| std::mem::replace(service_state, asked) != asked);
-            if before != asked {
+                .send_if_modified(|service_state| std::mem::replace(service_state, requested) != requested);
+            if before != requested {
                 tracing::info!(
                     serving = wanted,
                     within_ms = within.map(|within| within / 1000),
@@ -208,7 +208,7 @@
         };
         let now = self.clock.now();
         let by = self.drain.and_then(|drain| drain.deadline);
-        let bare = self.marks().map(|marks| {
+        let without_endpoint = self.marks().map(|marks| {
             let list = self.list_about(marks.iter().map(|(name, _)| name));
             marks.destinations_without_active(&borrowed(&list))
         });
@@ -217,7 +217,8 @@
                "left_ms": by.map(|by| by.saturating_sub(now) / 1000),
                "owed": left.owed, "calls_out": left.calls_out, "clients": left.clients,
                "unwritten": left.unwritten, "verdict": left.verdict(serving),
-               "endpoints": self.drained_report(), "destinations_without_endpoint": bare.unwrap_or_default()})
+               "endpoints": self.drained_report(),
+               "destinations_without_endpoint": without_endpoint.unwrap_or_default()})
     }
 
     fn endpoints_report(&self) -> Value {
--- a/src/net/driver/residency.rs
+++ b/src/net/driver/residency.rs
@@ -63,8 +63,8 @@
     }
 
     fn handle_complete_list(&mut self, body: ListBody) -> Event {
-        let there = body.endpoints.iter().filter(|listing| listing.status != STATUS_LEFT);
-        if exceeds_resident_limit(there.map(|listing| listing.group)) {
+        let present = body.endpoints.iter().filter(|listing| listing.status != STATUS_LEFT);
+        if exceeds_resident_limit(present.map(|listing| listing.group)) {
             let table = Table::new(body.endpoints);
             return self.replace_table(body.index, Box::new(table));
         }
--- a/src/net/driver/startup.rs
+++ b/src/net/driver/startup.rs
@@ -43,10 +43,10 @@
         if self.parts.start.is_none() {
             return;
         }
-        let beyond = self.working_set.long_list;
-        let list = if beyond { Vec::new() } else { self.reported_list() };
+        let long_list = self.working_set.long_list;
+        let list = if long_list { Vec::new() } else { self.reported_list() };
         match &mut self.parts.start {
-            Some(start_part) if beyond => start_part.long_list_received(now, self.index),
+            Some(start_part) if long_list => start_part.long_list_received(now, self.index),
             Some(start_part) => start_part.list_received(now, self.index, &list),
             None => {}
         }
--- a/src/net/driver/takeover.rs
+++ b/src/net/driver/takeover.rs
@@ -495,8 +495,8 @@
             return Reply::call_error(&CallError::TakeoverOff);
         };
         let mut report = takeover.report(self.clock.now());
-        let covered = self.journal.pending().values().filter(|live| live.replicated.is_some()).count();
-        report["in_hand"] = json!({"covered": covered, "all": self.journal.pending().len(),
+        let replicated = self.journal.pending().values().filter(|live| live.replicated.is_some()).count();
+        report["in_hand"] = json!({"covered": replicated, "all": self.journal.pending().len(),
                                    "calls_waiting": self.replicated.calls.len(),
                                    "notices_waiting": self.replicated.notices.len(),
                                    "adoptions_waiting": self.replicated.adoptions.len()});
--- a/src/net/driver/turn.rs
+++ b/src/net/driver/turn.rs
@@ -277,8 +277,9 @@
         let Effect::Keyed { window, .. } = effect else { return None };
         let ran =
             live.attempts.iter().filter(|earlier| Some(earlier.number) != attempt && !earlier.never_ran);
-        let covered = live.replicated.as_ref().map(|(_, since)| *since).filter(|since| now < since + window);
-        let first = ran.map(|earlier| earlier.at).chain(covered).min()?;
+        let replicated =
+            live.replicated.as_ref().map(|(_, since)| *since).filter(|since| now < since + window);
+        let first = ran.map(|earlier| earlier.at).chain(replicated).min()?;
         Some(first.saturating_add(window).saturating_sub(self.settings.repeat_margin(window)))
     }
 
--- a/src/net/platform/tests.rs
+++ b/src/net/platform/tests.rs
@@ -139,7 +139,7 @@
 async fn discovery_is_polled_soon_after_refusing_connections() -> io::Result<()> {
     let run = async {
         let address = TcpListener::bind("127.0.0.1:0").await?.local_addr()?;
-        let (inbound, _heard) = unbounded_channel();
+        let (inbound, _notifications) = unbounded_channel();
         let (_moves, discovery) = watch::channel(address);
         let requests = Rc::new(ListRequests::default());
         requests.watch.notify_one();
@@ -421,7 +421,7 @@
 async fn accepted_list_resets_pause_after_refusals() -> io::Result<()> {
     let run = async {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let (counters, _heard, _moves) =
+        let (counters, _notifications, _moves) =
             start_follower(listener.local_addr()?, short_watch(), Bounds::default());
         let agent = Agent(listener, unbounded_channel().1);
         let (mut stream, _) = agent.next_request().await?;
@@ -450,7 +450,7 @@
     let run = async {
         for first in [0, INLINE + 1000] {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
-            let (counters, _heard, _moves) =
+            let (counters, _notifications, _moves) =
                 start_follower(listener.local_addr()?, short_watch(), Bounds::default());
             let agent = Agent(listener, unbounded_channel().1);
             let (mut stream, _) = agent.next_request().await?;
@@ -480,7 +480,8 @@
         let bounds = Bounds { bytes: 4 << 20, ..Bounds::default() };
         for text in [&[b' '; 1 << 16][..], b"{\"index\":1,\"index\":1,"] {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
-            let (counters, _heard, _moves) = start_follower(listener.local_addr()?, short_watch(), bounds);
+            let (counters, _notifications, _moves) =
+                start_follower(listener.local_addr()?, short_watch(), bounds);
             let agent = Agent(listener, unbounded_channel().1);
             let (mut stream, _) = agent.next_request().await?;
             stream.write_all(head(usize::MAX >> 1).as_bytes()).await?;
