--- a/src/net/driver/estimates.rs
+++ b/src/net/driver/estimates.rs
@@ -16,7 +16,7 @@
 /// What is to be estimated.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-enum Asked {
+enum EstimateRequest {
     Query(Query),
     Run(Run),
 }
@@ -37,8 +37,10 @@
 }
 
 coded_error! { EstimateRequestError {
-    Off => "estimate.off", "add the sections \"membership\" and \"status\" to the configuration, and start a new process";
-    Body => "estimate.body", "send {\"query\": {...}} or {\"run\": {...}} with the fields of docs/estimate.md";
+    Off => "estimate.off",
+        "add the sections \"membership\" and \"status\" to the configuration, and start a new process";
+    Body => "estimate.body",
+        "send {\"query\": {...}} or {\"run\": {...}} with the fields of docs/estimate.md";
     Tenant => "estimate.tenant", "name one of settings.realms";
     ..Query;
     ..Run;
@@ -57,7 +59,7 @@
 impl Driver {
     /// Estimates a cost; nothing is run or charged.
     pub(super) fn estimate(&self, body: &[u8]) -> Reply {
-        match self.estimated(body) {
+        match self.try_estimate(body) {
             Ok(reply) => reply,
             Err(why) => why.reply(),
         }
@@ -71,24 +73,24 @@
         }
     }
 
-    fn estimated(&self, body: &[u8]) -> Result<Reply, EstimateRequestError> {
+    fn try_estimate(&self, body: &[u8]) -> Result<Reply, EstimateRequestError> {
         let part = self.parts.estimate.as_ref().ok_or(EstimateRequestError::Off)?;
         let names = self.names.borrow();
         let now = self.clock.now();
         match serde_json::from_slice(body)? {
-            Asked::Query(query) => {
+            EstimateRequest::Query(query) => {
                 estimator::check(&query)?;
                 if !names.tenants.is_empty() && !names.tenants.contains(&query.tenant) {
                     return Err(EstimateRequestError::Tenant(query.tenant));
                 }
                 Ok(Reply::ok(&part.estimate(now, &query)))
             }
-            Asked::Run(run) => {
+            EstimateRequest::Run(run) => {
                 let tenant = names.tenants.iter().position(|tenant| *tenant == run.tenant);
                 let class = names.class(&run.class);
-                let outlook = |to| self.outlook(to, tenant);
+                let summary = |to| self.summary(to, tenant);
                 let runs = &part.core.runs;
-                let planned = sending::plan(&run, (class, tenant), &self.settings, runs, now, outlook)?;
+                let planned = sending::plan(&run, (class, tenant), &self.settings, runs, now, summary)?;
                 Ok(Reply::ok(&planned.0))
             }
         }
@@ -96,7 +98,7 @@
 
     /// The maximum number of messages in one call, for each active endpoint of a destination.
     fn active_bundles(&self, to: u32) -> Vec<usize> {
-        if let Some(table) = &self.working.table {
+        if let Some(table) = &self.working_set.table {
             let active = table.of(to).into_iter().filter(|listing| listing.status == "active");
             let kind = |listing: Listing| self.names.borrow().kind(&listing.kind);
             let bundle = |kind: usize| self.settings.kinds.get(kind).map_or(1, |kind| kind.max_batch);
@@ -107,10 +109,10 @@
     }
 
     /// The module's route state of a destination, completed with the endpoints in the list.
-    fn outlook(&self, to: DestinationId, tenant: Option<usize>) -> DestinationSummary {
+    fn summary(&self, to: DestinationId, tenant: Option<usize>) -> DestinationSummary {
         let active = self.active_bundles(to.0);
         let bundle = active.iter().copied().max().unwrap_or(1);
-        let outlook = self.policy.destination_summary(to, tenant.unwrap_or(usize::MAX));
-        DestinationSummary { endpoints: active.len(), max_batch: bundle, ..outlook }
+        let summary = self.policy.destination_summary(to, tenant.unwrap_or(usize::MAX));
+        DestinationSummary { endpoints: active.len(), max_batch: bundle, ..summary }
     }
 }
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -28,39 +28,39 @@
 use super::listing::list_version;
 use super::parts::start::ListPacer;
 use super::{BODY_LIMIT, Inbound};
-use list_body::{Arrival, Begun};
+use list_body::{BodyStart, IncomingBody};
 
 /// Timeout of a poll, if all senders poll one discovery, which rejects requests that have waited for 2 s. A
 /// poll that is silent for longer is broken, and what it missed counts as reported 6 s after it fell silent.
-const POLL_WITHIN: Duration = Duration::from_millis(2500);
+const POLL_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Whatever became of a call, what discovery has while it is reachable counts as reported this much later.
-const TOLD_WITHIN: Duration = Duration::from_secs(6);
+const REPORTED_WITHIN: Duration = Duration::from_secs(6);
 /// If all senders poll one discovery, it answers within this time or not at all.
-const ANSWERED_WITHIN: Duration = Duration::from_secs(2);
+const MAX_ANSWER_TIME: Duration = Duration::from_secs(2);
 /// Allowance for the network round trip, timers and the driver's next iteration.
 const POLL_SLACK: Duration = Duration::from_millis(250);
 /// Bounds on the hold time of a watch, whatever the settings say. The longest hold with its slack, silent
 /// twice in a row, is below 6 s; silent once, it is below the 4 s after which an update counts as reported if
 /// discovery has moved.
-const SHORTEST_HOLD: Duration = Duration::from_millis(500);
+const MIN_HOLD_TIME: Duration = Duration::from_millis(500);
 const MAX_HOLD_TIME: Duration = Duration::from_secs(2);
 /// Hold time of a watch at one service for all senders, where one call per second from each would be too much
 /// load. What the service reports counts as reported once it is written.
-const SHARED_HOLD: Duration = Duration::from_secs(20);
+const SHARED_HOLD_TIME: Duration = Duration::from_secs(20);
 /// Maximum delay of a watch's response after its hold time: what the watch misses counts as reported 2 s
 /// after its hold time is over.
 const WATCH_SLACK: Duration = Duration::from_millis(1500);
 /// Pause before a failed watch or notice is retried: a watch counts as continued if it is renewed within 200
 /// ms.
-const AGAIN: Duration = Duration::from_millis(50);
-/// Maximum number of doublings of [`AGAIN`] after refused lists; [`rest_after_refusal`] limits the pause
-/// before that is reached.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum number of doublings of [`RETRY_PAUSE`] after refused lists; [`pause_after_refusal`] limits the
+/// pause before that is reached.
 const MAX_DOUBLINGS: u32 = 10;
 /// Maximum pause after refused short lists from an agent: updates that follow a run of them are delayed by
 /// this much, and calls to an agent cost nothing.
-const MAX_AT_AGENT: Duration = Duration::from_secs(1);
+const MAX_PAUSE_AT_AGENT: Duration = Duration::from_secs(1);
 /// Maximum length of an error text in a log line, in characters.
-const SHOWN: usize = 200;
+const MAX_ERROR_CHARS: usize = 200;
 /// Timeout of a notice, after which it is sent again.
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -70,28 +70,28 @@
 ///
 /// # Errors
 /// Fails when no connection is made, or it breaks before the head of the response.
-async fn answered(
-    kept: &mut Option<Conn>,
+async fn send_request(
+    kept_conn: &mut Option<Conn>,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
 ) -> Result<(Conn, Response<Incoming>), ()> {
     // Bytes that came without a request must not be taken for the response.
-    let usable = match kept.take() {
+    let usable = match kept_conn.take() {
         Some(mut conn) => conn.still_usable().await.then_some(conn),
         None => None,
     };
-    let asked = Instant::now();
-    let crossed = match usable {
+    let sent_at = Instant::now();
+    let on_kept = match usable {
         Some(mut conn) => match conn.send(request.clone()).await {
             Ok(answer) => Some((conn, answer)),
             // The connection broke while the request was waiting, which counts as a response: an immediate
             // retry would have all senders ask again at the same time.
-            Err(()) if asked.elapsed() > AGAIN => return Err(()),
+            Err(()) if sent_at.elapsed() > RETRY_PAUSE => return Err(()),
             Err(()) => None,
         },
         None => None,
     };
-    match crossed {
+    match on_kept {
         Some(answered) => Ok(answered),
         None => {
             let mut conn = Conn::open(address).await.map_err(|_| ())?;
@@ -105,60 +105,61 @@
 ///
 /// # Errors
 /// Fails when no connection is made, or the response is truncated or too long.
-async fn ask(
-    kept: &mut Option<Conn>,
+async fn exchange(
+    kept_conn: &mut Option<Conn>,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
 ) -> Result<(StatusCode, Bytes), ()> {
-    let (mut conn, answer) = answered(kept, address, request).await?;
+    let (mut conn, answer) = send_request(kept_conn, address, request).await?;
     let (head, body) = answer.into_parts();
     let body = conn.body(body).await?;
     if conn.usable().await {
-        *kept = Some(conn);
+        *kept_conn = Some(conn);
     }
     Ok((head.status, body))
 }
 
-/// The pause after a poll that took `took` and brought no list. It is random between half of the allowed
+/// The pause after a poll that took `elapsed` and brought no list. It is random between half of the allowed
 /// maximum and all of it, since all senders may have failed together: 300 of them then poll some 110 times a
 /// second at most on average. A change just after the failed poll was sent is reported by the response to the
-/// next poll: both waits, the pause between them and the slack add up to [`TOLD_WITHIN`]. Only the last
+/// next poll: both waits, the pause between them and the slack add up to [`REPORTED_WITHIN`]. Only the last
 /// failure counts, however many came before: discovery may have come back just as the failed poll was sent.
-fn rest_after_failure(took: Duration, luck: f64) -> Duration {
+fn pause_after_failure(elapsed: Duration, random: f64) -> Duration {
     // A long list that is refused may take longer than a poll's timeout; it must not be transferred again
     // immediately.
-    let most = (TOLD_WITHIN - ANSWERED_WITHIN - POLL_SLACK).saturating_sub(took.min(POLL_WITHIN));
-    most.mul_f64(0.5 + luck / 2.0)
+    let max = (REPORTED_WITHIN - MAX_ANSWER_TIME - POLL_SLACK).saturating_sub(elapsed.min(POLL_TIMEOUT));
+    max.mul_f64(0.5 + random / 2.0)
 }
 
 /// The pause after a list that was received and refused, the `refused`th in a row, from a call that took
-/// `took`; `patience` is the timeout of the next call. The pause starts at [`AGAIN`] and doubles: a single
-/// refusal costs no more than a failed call. A change just after the refused call was sent is reported by the
-/// response to the next one: both waits, the pause between them and the slack add up to [`TOLD_WITHIN`]. A
-/// call that took longer than its timeout transferred a long list, and what changed at its beginning is
-/// overdue already; there the time counts from its end. For a watch held by a service for all senders, the
-/// longest timeout of a watch at an agent is used instead, since both report what they have immediately.
-fn rest_after_refusal(refused: u32, took: Duration, patience: Duration) -> Duration {
-    let at_agent = patience <= MAX_HOLD_TIME + WATCH_SLACK;
-    let patience = patience.min(MAX_HOLD_TIME + WATCH_SLACK);
-    let short = took <= patience + POLL_SLACK;
-    let spent = if short { took } else { Duration::ZERO };
-    let most = (TOLD_WITHIN - POLL_SLACK).saturating_sub(spent + patience);
-    let most = if short && at_agent { most.min(MAX_AT_AGENT) } else { most };
-    let doubled = AGAIN * (1 << refused.saturating_sub(1).min(MAX_DOUBLINGS));
-    doubled.min(most).max(AGAIN)
+/// `elapsed`; `call_timeout` is the timeout of the next call. The pause starts at [`RETRY_PAUSE`] and
+/// doubles: a single refusal costs no more than a failed call. A change just after the refused call was sent
+/// is reported by the response to the next one: both waits, the pause between them and the slack add up to
+/// [`REPORTED_WITHIN`]. A call that took longer than its timeout transferred a long list, and what changed at
+/// its beginning is overdue already; there the time counts from its end. For a watch held by a service for
+/// all senders, the longest timeout of a watch at an agent is used instead, since both report what they have
+/// immediately.
+fn pause_after_refusal(refused: u32, elapsed: Duration, call_timeout: Duration) -> Duration {
+    let at_agent = call_timeout <= MAX_HOLD_TIME + WATCH_SLACK;
+    let call_timeout = call_timeout.min(MAX_HOLD_TIME + WATCH_SLACK);
+    let short = elapsed <= call_timeout + POLL_SLACK;
+    let spent = if short { elapsed } else { Duration::ZERO };
+    let max = (REPORTED_WITHIN - POLL_SLACK).saturating_sub(spent + call_timeout);
+    let max = if short && at_agent { max.min(MAX_PAUSE_AT_AGENT) } else { max };
+    let doubled = RETRY_PAUSE * (1 << refused.saturating_sub(1).min(MAX_DOUBLINGS));
+    doubled.min(max).max(RETRY_PAUSE)
 }
 
 /// Requests of the driver to the task that follows the list.
 #[derive(Debug, Default)]
-pub struct Wanted {
+pub struct ListRequests {
     /// Fetch the complete list now.
-    pub whole: Notify,
+    pub fetch: Notify,
     /// Start following the list.
     pub watch: Notify,
     /// Follow the list in this way from now on, since the settings changed; the complete list is fetched
     /// then, too.
-    pub otherwise: RefCell<Option<Following>>,
+    pub new_mode: RefCell<Option<Following>>,
 }
 
 /// How the list is followed.
@@ -172,7 +173,7 @@
     /// By fetching the complete list, with about this pause between fetches. A watch would be answered, and
     /// renewed, by all senders at the same moment at each change, for which discovery has no capacity; and
     /// what changes just after the response to a watch that is not renewed counts as reported all the same.
-    Ask(Duration, fastrand::Rng),
+    Poll(Duration, fastrand::Rng),
 }
 
 impl Following {
@@ -180,23 +181,23 @@
     /// on this machine.
     pub fn new(settings: &Settings, shared: bool, known: u64, seed: u64) -> Self {
         match settings.list_on_request {
-            true => Self::Ask(
+            true => Self::Poll(
                 Duration::from_micros(settings.list_request_round()),
                 fastrand::Rng::with_seed(seed),
             ),
-            false if shared => Self::Watch(known, SHARED_HOLD),
+            false if shared => Self::Watch(known, SHARED_HOLD_TIME),
             false => {
                 let hold = Duration::from_micros(settings.rules.drain_grace / 2);
-                Self::Watch(known, hold.clamp(SHORTEST_HOLD, MAX_HOLD_TIME))
+                Self::Watch(known, hold.clamp(MIN_HOLD_TIME, MAX_HOLD_TIME))
             }
         }
     }
 
     /// The timeout of a call.
-    fn patience(&self) -> Duration {
+    fn call_timeout(&self) -> Duration {
         match self {
             Self::Watch(_, hold) => *hold + (*hold * 2 / 5).min(WATCH_SLACK),
-            Self::Ask(..) => POLL_WITHIN,
+            Self::Poll(..) => POLL_TIMEOUT,
         }
     }
 }
@@ -207,23 +208,23 @@
     discovery: watch::Receiver<SocketAddr>,
     following: Following,
     pace: Option<Rc<ListPacer>>,
-    wanted: Rc<Wanted>,
+    requests: Rc<ListRequests>,
     counters: Rc<Counters>,
     inbound: UnboundedSender<Inbound>,
 ) {
     let address = *discovery.borrow();
-    let (conn, whole, refused, bounds) = (None, false, 0, Bounds::default());
+    let (conn, need_complete, refused, bounds) = (None, false, 0, Bounds::default());
     let follower = Follower {
         discovery,
         following,
         pace,
-        wanted,
+        requests,
         counters,
         inbound,
         bounds,
         conn,
         address,
-        whole,
+        need_complete,
         refused,
     };
     follower.run().await;
@@ -231,8 +232,7 @@
 
 /// The result of a call that was not interrupted.
 #[derive(Debug)]
-enum Brought {
-    /// A list.
+enum FetchResult {
     List(List),
     /// A response that started as a list and is not a valid one.
     Refused(ListError),
@@ -240,7 +240,7 @@
     Failed(CallFailure),
 }
 
-impl Brought {
+impl FetchResult {
     /// The failure as the pace counts it.
     fn failed(&self) -> Option<CallFailure> {
         match self {
@@ -253,23 +253,27 @@
 }
 
 /// Makes a call, and waits for the first bytes of its list.
-async fn begin(
+async fn begin_call(
     conn: &mut Option<Conn>,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
     until: Instant,
     bounds: Bounds,
-) -> Result<Begun, Brought> {
-    let silent = Brought::Failed(CallFailure::NoAnswer);
-    let Ok(Ok((mut conn, answer))) = timeout_at(until, answered(conn, address, request)).await else {
+) -> Result<BodyStart, FetchResult> {
+    let silent = FetchResult::Failed(CallFailure::NoAnswer);
+    let Ok(Ok((mut conn, answer))) = timeout_at(until, send_request(conn, address, request)).await else {
         return Err(silent);
     };
     let (head, body) = answer.into_parts();
     if head.status != StatusCode::OK {
         let whole = timeout_at(until, conn.body(body)).await;
-        return Err(if matches!(whole, Ok(Ok(_))) { Brought::Failed(CallFailure::Rejected) } else { silent });
+        return Err(if matches!(whole, Ok(Ok(_))) {
+            FetchResult::Failed(CallFailure::Rejected)
+        } else {
+            silent
+        });
     }
-    Arrival::new(conn, body, until, bounds).begin().await.map_err(Brought::Refused)
+    IncomingBody::new(conn, body, until, bounds).begin().await.map_err(FetchResult::Refused)
 }
 
 /// The state of the task that follows the list.
@@ -277,7 +281,7 @@
     discovery: watch::Receiver<SocketAddr>,
     following: Following,
     pace: Option<Rc<ListPacer>>,
-    wanted: Rc<Wanted>,
+    requests: Rc<ListRequests>,
     counters: Rc<Counters>,
     inbound: UnboundedSender<Inbound>,
     bounds: Bounds,
@@ -285,7 +289,7 @@
     /// The address of the connection; a move of discovery may be noticed in any wait.
     address: SocketAddr,
     /// The complete list is needed, and fetched until it has arrived.
-    whole: bool,
+    need_complete: bool,
     /// Number of lists refused since the last accepted one, at the same address.
     refused: u32,
 }
@@ -293,34 +297,34 @@
 impl Follower {
     /// Runs until the process ends or the driver is gone.
     async fn run(mut self) {
-        if matches!(self.following, Following::Ask(..)) {
-            self.wanted.watch.notified().await;
+        if matches!(self.following, Following::Poll(..)) {
+            self.requests.watch.notified().await;
         }
         loop {
             self.prepare().await;
             let Some(request) = self.request() else { return };
-            let asked = Instant::now();
-            let Some(brought) = self.call(request).await else { continue };
-            self.count(&brought);
-            let rest = match &brought {
-                Brought::List(list) => self.rest_after_list(list),
-                Brought::Refused(why) => self.rest_after_refused(why, asked.elapsed()),
-                Brought::Failed(_) => self.rest_after_failed(asked.elapsed()),
+            let sent_at = Instant::now();
+            let Some(result) = self.call(request).await else { continue };
+            self.report_to_pace(&result);
+            let pause = match &result {
+                FetchResult::List(list) => self.list_accepted(list),
+                FetchResult::Refused(why) => self.list_refused(why, sent_at.elapsed()),
+                FetchResult::Failed(_) => self.call_failed(sent_at.elapsed()),
             };
-            if !self.tell(brought) {
+            if !self.report(result) {
                 return;
             }
-            self.rest(rest).await;
+            self.pause(pause).await;
         }
     }
 
     /// Waits for the next call's turn, then updates how and where it is made.
     async fn prepare(&mut self) {
-        if let Some(otherwise) = self.wanted.otherwise.take() {
-            self.following = otherwise;
+        if let Some(new_mode) = self.requests.new_mode.take() {
+            self.following = new_mode;
         }
         if let Some(pace) = &self.pace {
-            self.whole |= pace.wait_turn().await;
+            self.need_complete |= pace.wait_turn().await;
         }
         let address = *self.discovery.borrow_and_update();
         if address != self.address {
@@ -332,7 +336,7 @@
     /// Composes the request of the next call.
     fn request(&self) -> Option<Request<Full<Bytes>>> {
         let path = match self.following {
-            Following::Watch(from, hold) if !self.whole => {
+            Following::Watch(from, hold) if !self.need_complete => {
                 format!("/v1/endpoints?from={from}&hold_ms={}", hold.as_millis())
             }
             _ => "/v1/endpoints".to_owned(),
@@ -341,94 +345,94 @@
     }
 
     /// The timeout of the next call.
-    fn patience(&self) -> Duration {
-        let patience = self.following.patience();
+    fn call_timeout(&self) -> Duration {
+        let call_timeout = self.following.call_timeout();
         // The complete list is sent immediately by an agent and by a service.
-        if self.whole { patience.min(POLL_WITHIN) } else { patience }
+        if self.need_complete { call_timeout.min(POLL_TIMEOUT) } else { call_timeout }
     }
 
     /// Makes a call; `None` if it was interrupted because another one is needed immediately.
-    async fn call(&mut self, request: Request<Full<Bytes>>) -> Option<Brought> {
-        let until = Instant::now() + self.patience();
+    async fn call(&mut self, request: Request<Full<Bytes>>) -> Option<FetchResult> {
+        let until = Instant::now() + self.call_timeout();
         let begun = tokio::select! {
-            begun = begin(&mut self.conn, self.address, request, until, self.bounds) => begun,
-            () = self.wanted.whole.notified() => {
-                self.whole = true;
+            begun = begin_call(&mut self.conn, self.address, request, until, self.bounds) => begun,
+            () = self.requests.fetch.notified() => {
+                self.need_complete = true;
                 return None;
             }
             Ok(()) = self.discovery.changed() => {
-                self.moved();
+                self.discovery_moved();
                 return None;
             }
         };
         match begun {
-            Ok(Begun::Short(list, conn)) => Some(self.came(list, conn).await),
-            Ok(Begun::Long(long)) => self.long(long).await,
-            Err(brought) => Some(brought),
+            Ok(BodyStart::Short(list, conn)) => Some(self.received(list, conn).await),
+            Ok(BodyStart::Long(long)) => self.read_long_list(long).await,
+            Err(result) => Some(result),
         }
     }
 
     /// Reads a long list; `None` if discovery moves meanwhile. A request for the complete list waits for its
     /// end: otherwise a list whose transfer takes longer than the interval of such requests would never
     /// arrive.
-    async fn long(&mut self, long: list_body::Long) -> Option<Brought> {
+    async fn read_long_list(&mut self, long: list_body::Long) -> Option<FetchResult> {
         let read = tokio::select! {
             read = long.read() => read,
             Ok(()) = self.discovery.changed() => {
-                self.moved();
+                self.discovery_moved();
                 return None;
             }
         };
         match read {
-            Ok((list, conn)) => Some(self.came(list, conn).await),
-            Err(why) => Some(Brought::Refused(why)),
+            Ok((list, conn)) => Some(self.received(list, conn).await),
+            Err(why) => Some(FetchResult::Refused(why)),
         }
     }
 
     /// A complete list was received on this connection, which is kept if it can be reused.
-    async fn came(&mut self, list: List, mut conn: Conn) -> Brought {
+    async fn received(&mut self, list: List, mut conn: Conn) -> FetchResult {
         if conn.usable().await {
             self.conn = Some(conn);
         }
-        Brought::List(list)
+        FetchResult::List(list)
     }
 
-    /// Discovery has moved.
-    fn moved(&mut self) {
+    fn discovery_moved(&mut self) {
         self.conn = None;
         self.pace.iter().for_each(|pace| pace.service_moved());
     }
 
     /// Reports the result of a call to the pace.
-    fn count(&self, brought: &Brought) {
+    fn report_to_pace(&self, result: &FetchResult) {
         let (Some(pace), Following::Watch(from, _)) = (&self.pace, &self.following) else { return };
-        pace.call_ended(match (brought, brought.failed()) {
-            (Brought::List(list), _) => Ok(list_version(list).0 != *from),
+        pace.call_ended(match (result, result.failed()) {
+            (FetchResult::List(list), _) => Ok(list_version(list).0 != *from),
             (_, failed) => Err(failed.unwrap_or(CallFailure::Rejected)),
         });
     }
 
     /// Records an accepted list. Returns the pause before the next call.
-    fn rest_after_list(&mut self, list: &List) -> Duration {
+    fn list_accepted(&mut self, list: &List) -> Duration {
         let (index, endpoints) = list_version(list);
         self.counters.count_list_accepted(index, endpoints);
-        (self.whole, self.refused) = (false, 0);
+        (self.need_complete, self.refused) = (false, 0);
         match &mut self.following {
             Following::Watch(from, _) => {
                 // The versions were restarted, and the updates in between are not in these changes.
-                self.whole = endpoints.is_none() && index < *from;
+                self.need_complete = endpoints.is_none() && index < *from;
                 *from = index;
                 Duration::ZERO
             }
-            Following::Ask(rest, rng) => rest.mul_f64(0.86 + 0.28 * rng.f64()),
+            Following::Poll(pause, rng) => pause.mul_f64(0.86 + 0.28 * rng.f64()),
         }
     }
 
-    /// Records a refused list, from a call that took `took`. Returns the pause before the next call.
-    fn rest_after_refused(&mut self, why: &ListError, took: Duration) -> Duration {
+    /// Records a refused list, from a call that took `elapsed`. Returns the pause before the next call.
+    fn list_refused(&mut self, why: &ListError, elapsed: Duration) -> Duration {
         let (code, remedy) = (why.code(), why.remedy());
         let refused = self.counters.count_list_refused(code);
-        let shown: String = why.to_string().replace(['\n', '\r'], " ").chars().take(SHOWN).collect();
+        let shown: String =
+            why.to_string().replace(['\n', '\r'], " ").chars().take(MAX_ERROR_CHARS).collect();
         tracing::warn!(
             code,
             remedy,
@@ -436,41 +440,41 @@
             "a list of endpoints is refused, the previous one stays in force: {shown}"
         );
         // The complete list may be longer than a list of changes.
-        self.whole |= matches!(why, ListError::Changes(_));
-        if matches!(self.following, Following::Ask(..)) {
-            return self.rest_after_failed(took);
+        self.need_complete |= matches!(why, ListError::Changes(_));
+        if matches!(self.following, Following::Poll(..)) {
+            return self.call_failed(elapsed);
         }
         self.conn = None;
         self.refused = self.refused.saturating_add(1);
-        rest_after_refusal(self.refused, took, self.patience())
+        pause_after_refusal(self.refused, elapsed, self.call_timeout())
     }
 
-    /// Records a call that failed after `took`. Returns the pause before the next one.
-    fn rest_after_failed(&mut self, took: Duration) -> Duration {
+    /// Records a call that failed after `elapsed`. Returns the pause before the next one.
+    fn call_failed(&mut self, elapsed: Duration) -> Duration {
         self.conn = None;
         match &mut self.following {
-            Following::Watch(..) => AGAIN,
-            Following::Ask(_, rng) => rest_after_failure(took, rng.f64()),
+            Following::Watch(..) => RETRY_PAUSE,
+            Following::Poll(_, rng) => pause_after_failure(elapsed, rng.f64()),
         }
     }
 
     /// Reports the result of a call to the driver. Returns false if the driver is gone.
-    fn tell(&self, brought: Brought) -> bool {
-        let said = match brought {
-            Brought::List(list) => Inbound::ListReceived(list),
+    fn report(&self, result: FetchResult) -> bool {
+        let notification = match result {
+            FetchResult::List(list) => Inbound::ListReceived(list),
             // A failed poll is not reported: the module's retry rule is made for the simulator's adapter,
             // where the next poll may come later. Here this task polls again by itself.
-            _ if matches!(self.following, Following::Ask(..)) => return true,
+            _ if matches!(self.following, Following::Poll(..)) => return true,
             _ => Inbound::Event(Event::ListFailed),
         };
-        self.inbound.send(said).is_ok()
+        self.inbound.send(notification).is_ok()
     }
 
     /// Pauses, unless a call is needed earlier.
-    async fn rest(&mut self, rest: Duration) {
+    async fn pause(&mut self, pause: Duration) {
         tokio::select! {
-            () = tokio::time::sleep(rest) => {}
-            () = self.wanted.whole.notified() => self.whole = true,
+            () = tokio::time::sleep(pause) => {}
+            () = self.requests.fetch.notified() => self.need_complete = true,
             Ok(()) = self.discovery.changed() => self.conn = None,
         }
     }
@@ -479,7 +483,6 @@
 /// A message's outcome that must be reported to the platform.
 #[derive(Debug)]
 pub struct Notice {
-    /// The message.
     pub message: MessageId,
     /// Its `Req-Id`.
     pub id: String,
@@ -495,7 +498,7 @@
     again_ms: Option<u64>,
 }
 
-fn line(notice: &Notice) -> Vec<u8> {
+fn notice_line(notice: &Notice) -> Vec<u8> {
     let (status, again) = match notice.how {
         GivenUp::Deferred(again) => ("deferred", Some(again.div_ceil(1000)).filter(|ms| *ms > 0)),
         GivenUp::Undeliverable => ("undeliverable", None),
@@ -512,52 +515,52 @@
     mut notices: UnboundedReceiver<Notice>,
     inbound: UnboundedSender<Inbound>,
 ) {
-    let mut owed: BTreeMap<MessageId, Vec<u8>> = BTreeMap::new();
+    let mut unsent: BTreeMap<MessageId, Vec<u8>> = BTreeMap::new();
     let mut conn: Option<Conn> = None;
-    let mut most = usize::MAX;
+    let mut max = usize::MAX;
     loop {
-        if owed.is_empty() {
+        if unsent.is_empty() {
             let Some(notice) = notices.recv().await else { return };
-            owed.insert(notice.message, line(&notice));
+            unsent.insert(notice.message, notice_line(&notice));
         }
         while let Ok(notice) = notices.try_recv() {
-            owed.insert(notice.message, line(&notice));
+            unsent.insert(notice.message, notice_line(&notice));
         }
         if discovery.has_changed().unwrap_or(false) {
             conn = None;
         }
         let address = *discovery.borrow_and_update();
-        let (mut body, mut told) = (Vec::new(), Vec::new());
-        for (message, line) in owed.iter().take(most) {
+        let (mut body, mut sent) = (Vec::new(), Vec::new());
+        for (message, line) in unsent.iter().take(max) {
             if !body.is_empty() && body.len() + line.len() > BODY_LIMIT {
                 break;
             }
             body.extend(line);
-            told.push(*message);
+            sent.push(*message);
         }
         let request = Request::post("/reports")
             .header("host", address.to_string())
             .header("content-type", "application/json")
             .body(Full::new(Bytes::from(body)));
         let Ok(request) = request else { return };
-        match timeout(NOTICE_TIMEOUT, ask(&mut conn, address, request)).await {
+        match timeout(NOTICE_TIMEOUT, exchange(&mut conn, address, request)).await {
             Ok(Ok((StatusCode::NO_CONTENT, _))) => {
-                owed.retain(|message, _| !told.contains(message));
-                most = usize::MAX;
-                if inbound.send(Inbound::NoticesAcknowledged(told)).is_err() {
+                unsent.retain(|message, _| !sent.contains(message));
+                max = usize::MAX;
+                if inbound.send(Inbound::NoticesAcknowledged(sent)).is_err() {
                     return;
                 }
             }
             // One line that the platform can't read must not block the others.
-            Ok(Ok((StatusCode::BAD_REQUEST, _))) if told.len() > 1 => most = 1,
+            Ok(Ok((StatusCode::BAD_REQUEST, _))) if sent.len() > 1 => max = 1,
             Ok(Ok((StatusCode::BAD_REQUEST, _))) => {
                 tracing::warn!("the platform rejected a notice as malformed; the notice is dropped");
-                owed.retain(|message, _| !told.contains(message));
-                let _ = inbound.send(Inbound::NoticesAcknowledged(told));
+                unsent.retain(|message, _| !sent.contains(message));
+                let _ = inbound.send(Inbound::NoticesAcknowledged(sent));
             }
             _ => {
                 conn = None;
-                tokio::time::sleep(AGAIN).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
     }
