--- a/src/main.rs
+++ b/src/main.rs
@@ -43,7 +43,7 @@
 
 /// Prints every fault of a configuration file. Needs no running sender and changes nothing.
 fn check(file: &Path) -> ExitCode {
-    let text = match config::text(file) {
+    let text = match config::read_file(file) {
         Ok(text) => text,
         Err(e) => {
             eprintln!("myrtleyard: {}: {e}", file.display());
@@ -58,7 +58,7 @@
 /// The listening socket for clients, if the platform holds it and every process of the sender inherits it.
 #[allow(unsafe_code)]
 fn inherited() -> Result<Option<TcpListener>, StartError> {
-    let Some(number) = config::listening()? else { return Ok(None) };
+    let Some(number) = config::inherited_listener_fd()? else { return Ok(None) };
     // SAFETY: by setting its number the platform passes ownership of the descriptor to this process.
     // This is called once, before the process has opened any descriptor of its own.
     let listener = unsafe { TcpListener::from_raw_fd(number) };
@@ -75,15 +75,15 @@
     let ended = tokio::task::LocalSet::new().block_on(&runtime, async {
         let (inbound, events) = mpsc::unbounded_channel();
         for kind in [SignalKind::terminate(), SignalKind::interrupt()] {
-            let mut asked = signal(kind).map_err(StartError::Signals)?;
+            let mut termination = signal(kind).map_err(StartError::Signals)?;
             let inbound = inbound.clone();
             tokio::task::spawn_local(async move {
-                if asked.recv().await.is_some() {
+                if termination.recv().await.is_some() {
                     let _ = inbound.send(Inbound::Terminate);
                 }
             });
         }
-        let (moves, discovery) = watch::channel(config.discovery);
+        let (discovery_address, discovery) = watch::channel(config.discovery);
         let in_force = Rc::new(RefCell::new(Arc::new(config.document.clone())));
         let (checked, reloaded) = (in_force.clone(), inbound.clone());
         let mut reload = signal(SignalKind::hangup()).map_err(StartError::Signals)?;
@@ -91,11 +91,11 @@
             while reload.recv().await.is_some() {
                 // A file that cannot be applied as a whole changes nothing; the old configuration stays.
                 let before = checked.borrow().clone();
-                let read = tokio::task::spawn_blocking(move || config::reread(&before)).await;
+                let read = tokio::task::spawn_blocking(move || config::reload(&before)).await;
                 let read = read.map_err(ConfigError::from).and_then(|read| read);
                 if let Ok(config) = &read {
                     checked.replace(Arc::new(config.document.clone()));
-                    moves.send_replace(config.discovery);
+                    discovery_address.send_replace(config.discovery);
                 }
                 let _ = reloaded.send(Inbound::Reloaded(read.map(Box::new)));
             }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -216,7 +216,7 @@
 ///
 /// # Errors
 /// Fails when the variable is not the number of an inherited descriptor.
-pub fn listening() -> Result<Option<RawFd>, ConfigError> {
+pub fn inherited_listener_fd() -> Result<Option<RawFd>, ConfigError> {
     let parse = |text: String| {
         let number = text.parse().ok().filter(|fd| *fd > 2);
         number.ok_or(ConfigError::Descriptor(text))
@@ -235,7 +235,7 @@
 /// Fails, with a message of one line, when something required is missing or cannot be read.
 pub fn read() -> Result<Config, ConfigError> {
     let state = variable("NODE_STATE")?.ok_or(ConfigError::Unset("NODE_STATE"))?;
-    let config = file(None)?;
+    let config = load(None)?;
     Ok(Config {
         name: variable("NODE_NAME")?.unwrap_or(config.name),
         listen: address("NODE_LISTEN")?.unwrap_or(config.listen),
@@ -250,8 +250,8 @@
 ///
 /// # Errors
 /// Fails, with a message of one line, when the file cannot be read or lacks a key of the document in force.
-pub fn reread(in_force: &Value) -> Result<Config, ConfigError> {
-    let config = file(Some(in_force))?;
+pub fn reload(in_force: &Value) -> Result<Config, ConfigError> {
+    let config = load(Some(in_force))?;
     Ok(Config { known: List::Entries(ListBody::default()), ..config })
 }
 
@@ -259,16 +259,16 @@
 ///
 /// # Errors
 /// Fails when the file cannot be read.
-pub fn text(path: &Path) -> io::Result<Vec<u8>> {
+pub fn read_file(path: &Path) -> io::Result<Vec<u8>> {
     let mut text = Vec::new();
-    let most = split::max_bytes(&Bounds::default());
-    File::open(path)?.take(most + 1).read_to_end(&mut text)?;
+    let max_bytes = split::max_bytes(&Bounds::default());
+    File::open(path)?.take(max_bytes + 1).read_to_end(&mut text)?;
     Ok(text)
 }
 
-fn file(in_force: Option<&Value>) -> Result<Config, ConfigError> {
+fn load(in_force: Option<&Value>) -> Result<Config, ConfigError> {
     let path = variable("NODE_CONFIG")?.ok_or(ConfigError::Unset("NODE_CONFIG"))?;
-    let text = match text(path.as_ref()) {
+    let text = match read_file(path.as_ref()) {
         Ok(text) => text,
         Err(why) => return Err(ConfigError::File { path, why }),
     };
@@ -292,20 +292,20 @@
         None
     });
     if let Some(in_force) = in_force {
-        let lacking = check::missing_keys(&document, in_force);
+        let missing = check::missing_keys(&document, in_force);
         let known: BTreeSet<String> = faults.iter().map(|fault| fault.key.clone()).collect();
-        faults.extend(lacking.into_iter().filter(|fault| !known.contains(&fault.key)));
+        faults.extend(missing.into_iter().filter(|fault| !known.contains(&fault.key)));
     }
     if !faults.is_empty() {
         return Err(faults);
     }
-    let mut config = config(document).map_err(|(key, why)| {
+    let mut config = build(document).map_err(|(key, why)| {
         vec![Fault { key: key.to_owned(), value: why, expected: "a valid value".to_owned() }]
     })?;
     if let (Some(known), Some(list)) = (known, apart.list) {
         let endpoints = list_version(&known).1.unwrap_or(0);
-        let said = format!("{endpoints} endpoints, CRC-32 {:08x}", crc32fast::hash(list));
-        config.document["known"]["endpoints"] = said.into();
+        let summary = format!("{endpoints} endpoints, CRC-32 {:08x}", crc32fast::hash(list));
+        config.document["known"]["endpoints"] = summary.into();
         config.known = known;
     }
     Ok(config)
@@ -313,7 +313,7 @@
 
 /// Builds the configuration and checks what the table of keys cannot express; this is the only other place
 /// with checks.
-fn config(document: Value) -> Result<Config, (&'static str, String)> {
+fn build(document: Value) -> Result<Config, (&'static str, String)> {
     let raw = Raw::deserialize(&document).map_err(|e| ("", e.to_string()))?;
     let settings = serde_json::to_vec(&raw.settings).map_err(|e| ("settings", e.to_string()))?;
     let settings = myrtleyard::wire::settings(&settings).map_err(|e| ("settings", e.to_string()))?;
--- a/src/net/errors.rs
+++ b/src/net/errors.rs
@@ -8,7 +8,7 @@
 use myrtleyard::coded_error;
 
 use super::config::ConfigError;
-use super::log::NoLog;
+use super::log::LogError;
 
 /// Why the sender does not start. The process prints the error in one line and ends; it has accepted no
 /// message.
@@ -17,7 +17,7 @@
     #[error("{0}")]
     Config(#[from] ConfigError),
     #[error("{0}")]
-    Log(#[from] NoLog),
+    Log(#[from] LogError),
     #[error("NODE_LISTEN_FD={number}: {why}")]
     Inherited { number: i32, why: io::Error },
     #[error("cannot create the async runtime: {0}")]
--- a/src/net/errors/tests.rs
+++ b/src/net/errors/tests.rs
@@ -38,7 +38,7 @@
         StartError::CODES,
         CallError::CODES,
         ConfigError::CODES,
-        NoLog::CODES,
+        LogError::CODES,
         Refusal::CODES,
         MarksUnreadable::CODES,
         EstimateRequestError::CODES,
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -38,15 +38,15 @@
 /// Socket on which the next process requests the folder.
 const SOCKET: &str = "successor";
 /// The request. A peer that sends anything else gets no answer.
-const ASK: &[u8; 10] = b"take over\n";
+const REQUEST: &[u8; 10] = b"take over\n";
 /// Time limit for the transfer of the old process's state.
-const TOLD_WITHIN: Duration = Duration::from_secs(2);
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause before a held lock is tried again.
-const AGAIN: Duration = Duration::from_millis(20);
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
 /// Time limit for writing one forwarded frame.
-const PASSED_WITHIN: Duration = Duration::from_millis(500);
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum size of a frame, bytes.
-const FRAME_LIMIT: u32 = 16 << 20;
+const MAX_FRAME: u32 = 16 << 20;
 
 /// The complete state of a sender apart from its journal. Fields are encoded by name, so that versions may
 /// differ in the fields that they add.
@@ -117,11 +117,19 @@
 
 /// Events that the old process forwards to the new one.
 #[derive(Serialize, Deserialize)]
-enum Told {
-    HandedIn { number: u64, taken: AcceptedMessage, owner: Option<String>, class: usize },
+enum ForwardedEvent {
+    #[serde(rename = "HandedIn")]
+    Submitted {
+        number: u64,
+        taken: AcceptedMessage,
+        owner: Option<String>,
+        class: usize,
+    },
     Withdrawn(String),
-    CallOver(Vec<AttemptEnd>),
-    Wait(EndpointId, Micros),
+    #[serde(rename = "CallOver")]
+    CallEnded(Vec<AttemptEnd>),
+    #[serde(rename = "Wait")]
+    RetryAfter(EndpointId, Micros),
     Probed(EndpointId, Outcome, Vec<f32>),
 }
 
@@ -137,7 +145,7 @@
 /// Encodes a value as a frame. Fails for a value that the reader would reject as too long.
 fn frame<T: Serialize>(value: &T) -> io::Result<Vec<u8>> {
     let body = rmp_serde::to_vec_named(value).map_err(io::Error::other)?;
-    let length = u32::try_from(body.len()).ok().filter(|length| *length <= FRAME_LIMIT);
+    let length = u32::try_from(body.len()).ok().filter(|length| *length <= MAX_FRAME);
     let length = length.ok_or_else(|| io::Error::other(too_long(body.len())))?;
     let mut frame = length.to_le_bytes().to_vec();
     frame.extend(body);
@@ -145,7 +153,7 @@
 }
 
 fn too_long(length: impl std::fmt::Display) -> String {
-    format!("handover frame of {length} bytes is over the limit of {FRAME_LIMIT} bytes")
+    format!("handover frame of {length} bytes is over the limit of {MAX_FRAME} bytes")
 }
 
 async fn write_frame<T: Serialize>(to: &mut (impl AsyncWrite + Unpin), value: &T) -> io::Result<()> {
@@ -154,7 +162,7 @@
 
 async fn read_frame<T: DeserializeOwned>(from: &mut (impl AsyncRead + Unpin)) -> io::Result<T> {
     let length = from.read_u32_le().await?;
-    if length > FRAME_LIMIT {
+    if length > MAX_FRAME {
         return Err(io::Error::other(too_long(length)));
     }
     let mut body = vec![0; length as usize];
@@ -184,31 +192,31 @@
     std::fs::create_dir_all(folder)?;
     let lock = OpenOptions::new().create(true).truncate(false).write(true).open(folder.join(LOCK))?;
     let mut predecessor = None;
-    let mut said = false;
+    let mut warned = false;
     loop {
         match lock.try_lock() {
             Ok(()) => return Ok((FolderLock(lock), predecessor)),
             Err(TryLockError::WouldBlock) => {}
             Err(TryLockError::Error(e)) => return Err(e),
         }
-        predecessor = match timeout(TOLD_WITHIN, ask(folder)).await {
-            Ok(Ok(told)) => Some(told),
+        predecessor = match timeout(TRANSFER_TIMEOUT, request_state(folder)).await {
+            Ok(Ok(found)) => Some(found),
             // The owner is about to end, is not ready yet, or has a version whose state cannot be decoded.
             // The lock then shows when it has ended, and the journal holds what it left.
             Ok(Err(_)) | Err(_) => None,
         };
-        if predecessor.is_none() && !std::mem::replace(&mut said, true) {
+        if predecessor.is_none() && !std::mem::replace(&mut warned, true) {
             tracing::warn!("the running process does not hand over its state; waiting until it ends");
         }
         if predecessor.is_none() {
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 }
 
-async fn ask(folder: &Path) -> io::Result<Predecessor> {
+async fn request_state(folder: &Path) -> io::Result<Predecessor> {
     let mut stream = UnixStream::connect(folder.join(SOCKET)).await?;
-    stream.write_all(ASK).await?;
+    stream.write_all(REQUEST).await?;
     let knowledge = Box::new(read_frame(&mut stream).await?);
     Ok(Predecessor { state: knowledge, link: Link(stream) })
 }
@@ -219,25 +227,25 @@
     pub fn follow(
         self,
         inbound: UnboundedSender<Inbound>,
-        out: Vec<AttemptEnd>,
+        outstanding: Vec<AttemptEnd>,
     ) -> (UnboundedSender<SuccessorCommand>, JoinHandle<()>) {
         let (from, to) = self.0.into_split();
         let (orders, ordered) = unbounded_channel();
-        tokio::task::spawn_local(pass_on(to, ordered));
-        (orders.clone(), tokio::task::spawn_local(follow(from, orders, inbound, out)))
+        tokio::task::spawn_local(write_frames(to, ordered));
+        (orders.clone(), tokio::task::spawn_local(forward_events(from, orders, inbound, outstanding)))
     }
 }
 
-async fn follow(
+async fn forward_events(
     mut from: OwnedReadHalf,
     orders: UnboundedSender<SuccessorCommand>,
     inbound: UnboundedSender<Inbound>,
-    mut out: Vec<AttemptEnd>,
+    mut outstanding: Vec<AttemptEnd>,
 ) {
     let mut waiting: HashMap<String, JoinHandle<()>> = HashMap::new();
-    while let Ok(told) = read_frame(&mut from).await {
-        let said = match told {
-            Told::HandedIn { number, taken, owner, class } => {
+    while let Ok(forwarded) = read_frame(&mut from).await {
+        let event = match forwarded {
+            ForwardedEvent::Submitted { number, taken, owner, class } => {
                 let taken = AcceptedMessage { owner, ..taken };
                 let (answer, answered) = oneshot::channel();
                 let (id, orders) = (taken.id.clone(), orders.clone());
@@ -252,7 +260,7 @@
                 );
                 Inbound::Submitted(Submission { taken, class, answer })
             }
-            Told::Withdrawn(id) => {
+            ForwardedEvent::Withdrawn(id) => {
                 // The client is gone. The driver must find the answer channel closed when it handles the
                 // event.
                 if let Some(task) = waiting.remove(&id) {
@@ -261,25 +269,27 @@
                 }
                 Inbound::Withdrawn(id)
             }
-            Told::CallOver(ends) => {
+            ForwardedEvent::CallEnded(ends) => {
                 let ended =
                     |o: &AttemptEnd| ends.iter().any(|e| (e.message, e.attempt) == (o.message, o.attempt));
-                out.retain(|o| !ended(o));
+                outstanding.retain(|o| !ended(o));
                 Inbound::CallEnded(ends)
             }
-            Told::Wait(endpoint, wait) => Inbound::Event(Event::RetryAfter { endpoint, wait }),
-            Told::Probed(endpoint, outcome, report) => {
+            ForwardedEvent::RetryAfter(endpoint, wait) => {
+                Inbound::Event(Event::RetryAfter { endpoint, wait })
+            }
+            ForwardedEvent::Probed(endpoint, outcome, report) => {
                 Inbound::Event(Event::Probed { endpoint, outcome, report })
             }
         };
-        let _ = inbound.send(said);
+        let _ = inbound.send(event);
     }
-    let _ = inbound.send(Inbound::CallEnded(out));
+    let _ = inbound.send(Inbound::CallEnded(outstanding));
 }
 
-async fn pass_on<T: Serialize>(mut to: OwnedWriteHalf, mut values: UnboundedReceiver<T>) {
+async fn write_frames<T: Serialize>(mut to: OwnedWriteHalf, mut values: UnboundedReceiver<T>) {
     while let Some(value) = values.recv().await {
-        if !matches!(timeout(PASSED_WITHIN, write_frame(&mut to, &value)).await, Ok(Ok(()))) {
+        if !matches!(timeout(FORWARD_TIMEOUT, write_frame(&mut to, &value)).await, Ok(Ok(()))) {
             return;
         }
     }
@@ -293,9 +303,9 @@
     let listener = UnixListener::bind(path)?;
     loop {
         let (mut stream, _) = listener.accept().await?;
-        let mut asked = [0; ASK.len()];
-        let heard = timeout(PASSED_WITHIN, stream.read_exact(&mut asked)).await;
-        if matches!(heard, Ok(Ok(_))) && asked == *ASK {
+        let mut request = [0; REQUEST.len()];
+        let received = timeout(FORWARD_TIMEOUT, stream.read_exact(&mut request)).await;
+        if matches!(received, Ok(Ok(_))) && request == *REQUEST {
             return Ok(stream);
         }
     }
@@ -319,7 +329,7 @@
 ) -> io::Result<PreparedHandover> {
     let mut frame = frame(knowledge)?;
     let last = frame.pop().unwrap_or_default();
-    timeout(TOLD_WITHIN, stream.write_all(&frame)).await??;
+    timeout(TRANSFER_TIMEOUT, stream.write_all(&frame)).await??;
     // The write succeeds even if the peer has closed and the state is only in the socket's buffer.
     match stream.try_read(&mut [0]) {
         Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(PreparedHandover { stream, last }),
@@ -346,20 +356,20 @@
     /// Releases the folder to the new process and forwards all further events to it.
     pub async fn run(
         mut self,
-        told: PreparedHandover,
+        prepared: PreparedHandover,
         claim: FolderLock,
         mut events: UnboundedReceiver<Inbound>,
     ) {
-        let PreparedHandover { mut stream, last } = told;
+        let PreparedHandover { mut stream, last } = prepared;
         // The lock is free before the new process can read the last byte.
         drop(claim);
-        if !matches!(timeout(TOLD_WITHIN, stream.write_all(&[last])).await, Ok(Ok(()))) {
+        if !matches!(timeout(TRANSFER_TIMEOUT, stream.write_all(&[last])).await, Ok(Ok(()))) {
             tracing::warn!("the new process did not complete the takeover; the journal is left to it");
             return;
         }
         let (mut from, to) = stream.into_split();
-        let (tell, told) = unbounded_channel();
-        tokio::task::spawn_local(pass_on(to, told));
+        let (forward, forwarded) = unbounded_channel();
+        tokio::task::spawn_local(write_frames(to, forwarded));
         let inbound = self.inbound.clone();
         tokio::task::spawn_local(async move {
             while let Ok(order) = read_frame(&mut from).await {
@@ -368,7 +378,7 @@
             let _ = inbound.send(Inbound::SuccessorCommand(None));
         });
         let mut waiting: BTreeMap<u64, oneshot::Sender<Answer>> = BTreeMap::new();
-        let mut handed_in = 0;
+        let mut submissions = 0;
         loop {
             let inbound = match self.stop_at {
                 // The process ends shortly after its last work is done, or when its time is up.
@@ -376,10 +386,10 @@
                     let idle = self.intake.open() == 0 && self.calls.in_flight() == 0 && waiting.is_empty();
                     if idle && events.is_empty() || self.clock.now() >= at {
                         // Leaves time for the last forwarded frame to be written.
-                        tokio::time::sleep(AGAIN).await;
+                        tokio::time::sleep(RETRY_PAUSE).await;
                         return;
                     }
-                    match timeout(AGAIN, events.recv()).await {
+                    match timeout(RETRY_PAUSE, events.recv()).await {
                         Ok(inbound) => inbound,
                         Err(_) => continue,
                     }
@@ -387,21 +397,23 @@
                 None => events.recv().await,
             };
             let Some(inbound) = inbound else { return };
-            let said = match inbound {
+            let event = match inbound {
                 Inbound::Submitted(Submission { taken, class, answer }) => {
-                    handed_in += 1;
-                    waiting.insert(handed_in, answer);
+                    submissions += 1;
+                    waiting.insert(submissions, answer);
                     let owner = taken.owner.clone();
-                    Told::HandedIn { number: handed_in, taken, owner, class }
+                    ForwardedEvent::Submitted { number: submissions, taken, owner, class }
                 }
                 Inbound::Withdrawn(id) => {
                     waiting.retain(|_, answer| !answer.is_closed());
-                    Told::Withdrawn(id)
+                    ForwardedEvent::Withdrawn(id)
+                }
+                Inbound::CallEnded(ends) => ForwardedEvent::CallEnded(ends),
+                Inbound::Event(Event::RetryAfter { endpoint, wait }) => {
+                    ForwardedEvent::RetryAfter(endpoint, wait)
                 }
-                Inbound::CallEnded(ends) => Told::CallOver(ends),
-                Inbound::Event(Event::RetryAfter { endpoint, wait }) => Told::Wait(endpoint, wait),
                 Inbound::Event(Event::Probed { endpoint, outcome, report }) => {
-                    Told::Probed(endpoint, outcome, report)
+                    ForwardedEvent::Probed(endpoint, outcome, report)
                 }
                 Inbound::SuccessorCommand(Some(SuccessorCommand::Answer(number, answer))) => {
                     // A client that no longer waits has been reported as withdrawn.
@@ -434,7 +446,7 @@
                 | Inbound::Reloaded(_)
                 | Inbound::Successor(_) => continue,
             };
-            let _ = tell.send(said);
+            let _ = forward.send(event);
         }
     }
 }
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -29,7 +29,7 @@
         let mut strange = UnixStream::connect(&path).await?;
         strange.write_all(b"GET / HTTP/1.1\r\n\r\n").await?;
         let mut next = UnixStream::connect(&path).await?;
-        next.write_all(ASK).await?;
+        next.write_all(REQUEST).await?;
         next.write_all(b"!").await?;
         Ok::<_, io::Error>((silent, strange, next))
     };
@@ -47,7 +47,7 @@
     assert!(prepare_handover(here, &"all").await.is_err(), "the peer has closed");
     let (here, mut there) = UnixStream::pair()?;
     assert!(
-        prepare_handover(here, &vec![0u8; FRAME_LIMIT as usize]).await.is_err(),
+        prepare_handover(here, &vec![0u8; MAX_FRAME as usize]).await.is_err(),
         "longer than the frame limit"
     );
     let mut told = Vec::new();
@@ -70,6 +70,6 @@
     let more_than_a_socket_holds = vec![0u8; 8 << 20];
     let begun = tokio::time::Instant::now();
     assert!(prepare_handover(here, &more_than_a_socket_holds).await.is_err());
-    assert!(begun.elapsed() < TOLD_WITHIN * 2);
+    assert!(begun.elapsed() < TRANSFER_TIMEOUT * 2);
     Ok(())
 }
--- a/src/net/intake.rs
+++ b/src/net/intake.rs
@@ -28,28 +28,28 @@
 /// A connection that brings no complete request head within this time is closed, so that idle peers do not
 /// use up the connection limit. The platform drops idle connections after 2 s, and requires an answer or a
 /// close within 3 s of connecting.
-const HEAD_WITHIN: Duration = Duration::from_millis(2250);
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2250);
 /// How long a process that was asked to end keeps connections alive. Clients go on using a connection that
 /// stays open until the process is killed, even if that loses their last requests. After this time each
-/// answer closes its connection, and idle ones reach `HEAD_WITHIN` before the process ends, so that no
+/// answer closes its connection, and idle ones reach `HEAD_TIMEOUT` before the process ends, so that no
 /// connection is closed while a request may be on its way.
-const KEPT_WHILE_STOPPING: Duration = Duration::from_micros(STOP_WITHIN)
-    .saturating_sub(HEAD_WITHIN)
-    .saturating_sub(LINGER_WITHIN)
+const KEEP_ALIVE_WHILE_STOPPING: Duration = Duration::from_micros(STOP_WITHIN)
+    .saturating_sub(HEAD_TIMEOUT)
+    .saturating_sub(LINGER_TIMEOUT)
     .saturating_sub(Duration::from_millis(50));
 /// Maximum duration of a lingering close. No client waits longer than 400 ms for its answer, so a client
 /// whose request crossed the close has given up by then, and a misbehaving peer is disconnected within 3 s of
 /// connecting.
-const LINGER_WITHIN: Duration = Duration::from_millis(400);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum number of bytes that a lingering close reads and discards: several requests of maximum length. The
 /// connection of a peer that sends more, as in a flood, is reset.
-const LINGER_BYTES: u64 = 16 * BODY_LIMIT as u64;
+const MAX_LINGER_BYTES: u64 = 16 * BODY_LIMIT as u64;
 /// Time limit for a request's body after its head: no client waits longer than 400 ms for its answer.
-const BODY_WITHIN: Duration = Duration::from_millis(500);
+const BODY_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Maximum size of a request's head, bytes; a longer one is rejected unread. This also bounds the buffer of a
 /// connection, because bodies are read in pieces.
-const HEAD_LIMIT: usize = 16 * 1024;
+const MAX_HEAD: usize = 16 * 1024;
 
 /// Header with a session token: the position that the session's reads must include. See `docs/plans.md`.
 pub const SESSION_TOKEN: &str = "session-token";
@@ -124,18 +124,18 @@
 }
 
 /// The value of a header, if it is present, visible ASCII and not empty.
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok().map(str::trim).filter(|text| !text.is_empty())
 }
 
 /// Closes a connection in a lingering way. Closing while received bytes are unread resets the connection, and
 /// the reset discards what the client has not read yet, which may be a 202. So the sending side is shut down
 /// first, and incoming bytes are read, but not parsed, until the client closes or `within` has passed.
-pub async fn linger(mut stream: TcpStream, within: Duration) {
+pub async fn linger(mut stream: TcpStream, limit: Duration) {
     // Fails if the client is already gone; then nothing can be lost.
     if stream.shutdown().await.is_ok() {
-        let mut rest = stream.take(LINGER_BYTES);
-        let _ = timeout(within, copy(&mut rest, &mut sink())).await;
+        let mut rest = stream.take(MAX_LINGER_BYTES);
+        let _ = timeout(limit, copy(&mut rest, &mut sink())).await;
     }
 }
 
@@ -155,46 +155,46 @@
         self.open.get()
     }
 
-    /// Accepts connections for as long as the process runs, at most `most` at a time.
-    pub async fn listen(self: Rc<Self>, listener: Rc<TcpListener>, most: usize) {
-        let places = std::sync::Arc::new(Semaphore::new(most));
-        let noted = self.clone();
+    /// Accepts connections for as long as the process runs, at most `max_connections` at a time.
+    pub async fn listen(self: Rc<Self>, listener: Rc<TcpListener>, max_connections: usize) {
+        let permits = std::sync::Arc::new(Semaphore::new(max_connections));
+        let intake = self.clone();
         tokio::task::spawn_local(async move {
-            let mut standing = noted.standing.clone();
+            let mut standing = intake.standing.clone();
             if standing.wait_for(|standing| *standing == ServiceState::Stopping).await.is_ok() {
-                noted.stopping.set(Some(Instant::now()));
+                intake.stopping.set(Some(Instant::now()));
             }
         });
         loop {
-            let Ok(place) = places.clone().acquire_owned().await else { return };
+            let Ok(permit) = permits.clone().acquire_owned().await else { return };
             let Ok((stream, _)) = listener.accept().await else {
                 // For example out of descriptors. The pause keeps the loop from spinning.
                 tokio::time::sleep(Duration::from_millis(10)).await;
                 continue;
             };
-            self.clone().admit(stream, Some(place));
+            self.clone().admit(stream, Some(permit));
         }
     }
 
     /// Serves a connection in a task of its own. It counts as open from here on, not only once the task runs,
     /// because the process may check whether it can end before that.
-    fn admit(self: Rc<Self>, stream: TcpStream, place: Option<OwnedSemaphorePermit>) {
+    fn admit(self: Rc<Self>, stream: TcpStream, permit: Option<OwnedSemaphorePermit>) {
         self.open.set(self.open.get() + 1);
         tokio::task::spawn_local(async move {
             self.serve(stream).await;
             self.open.set(self.open.get() - 1);
-            drop(place);
+            drop(permit);
         });
     }
 
-    /// Serves up to `most` connections that are still in the listen backlog. Closing the listener would reset
-    /// them, together with the requests that their clients have already written.
-    pub async fn admit_backlog(self: &Rc<Self>, door: &TcpListener, most: usize) {
+    /// Serves up to `max_connections` connections that are still in the listen backlog. Closing the listener
+    /// would reset them, together with the requests that their clients have already written.
+    pub async fn admit_backlog(self: &Rc<Self>, listener: &TcpListener, max_connections: usize) {
         // Lets the runtime poll its sockets again, so that connections that have arrived since are seen.
         tokio::task::yield_now().await;
-        let mut look = Context::from_waker(Waker::noop());
-        for _ in 0..most {
-            let Poll::Ready(Ok((stream, _))) = door.poll_accept(&mut look) else { return };
+        let mut context = Context::from_waker(Waker::noop());
+        for _ in 0..max_connections {
+            let Poll::Ready(Ok((stream, _))) = listener.poll_accept(&mut context) else { return };
             self.clone().admit(stream, None);
         }
     }
@@ -204,19 +204,21 @@
         let service = service_fn(|request| self.answer(request));
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(HEAD_WITHIN)
-            .max_buf_size(HEAD_LIMIT)
+            .header_read_timeout(HEAD_TIMEOUT)
+            .max_buf_size(MAX_HEAD)
             .serve_connection(TokioIo::new(&mut stream), service);
         // Errors are not reported: the client closed, a time limit passed, or an answer ended the connection.
         let _ = connection.await;
-        linger(stream, LINGER_WITHIN).await;
+        linger(stream, LINGER_TIMEOUT).await;
     }
 
     /// Whether a connection stays open after the current answer.
-    fn keeps(&self) -> bool {
+    fn keeps_alive(&self) -> bool {
         match *self.standing.borrow() {
             ServiceState::InService => true,
-            ServiceState::Stopping => self.stopping.get().is_none_or(|at| at.elapsed() < KEPT_WHILE_STOPPING),
+            ServiceState::Stopping => {
+                self.stopping.get().is_none_or(|at| at.elapsed() < KEEP_ALIVE_WHILE_STOPPING)
+            }
             // Clients that still connect to a process that is not in service get one answer per connection.
             ServiceState::Starting | ServiceState::OutOfService | ServiceState::HandedOver => false,
         }
@@ -226,15 +228,15 @@
         let response = match (request.method(), request.uri().path()) {
             // A readiness check does not keep a connection that a submitting client could use.
             (&Method::GET, "/ready") => closing(readiness(*self.standing.borrow())),
-            (&Method::POST, _) => self.hand_in(request).await,
+            (&Method::POST, _) => self.submit(request).await,
             _ => plain(StatusCode::NOT_FOUND, "not found\n"),
         };
-        Ok(if self.keeps() { response } else { closing(response) })
+        Ok(if self.keeps_alive() { response } else { closing(response) })
     }
 
     /// Handles a submission. Whatever a client may write, a request that is no valid message gets 400.
-    async fn hand_in(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        let came = self.clock.now();
+    async fn submit(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
+        let received_at = self.clock.now();
         let (head, body) = request.into_parts();
         let bad = |what| plain(StatusCode::BAD_REQUEST, what);
         // Guards against request smuggling: hyper hides the length when there is a transfer coding, so it
@@ -242,45 +244,45 @@
         if head.headers.contains_key(TRANSFER_ENCODING) {
             return closing(plain(StatusCode::LENGTH_REQUIRED, "Content-Length is required\n"));
         }
-        let Some(id) = text(&head.headers, "req-id") else { return bad("Req-Id is missing\n") };
+        let Some(id) = header_text(&head.headers, "req-id") else { return bad("Req-Id is missing\n") };
         let path = head.uri.path_and_query().map_or("", |path| path.as_str()).trim_start_matches('/');
-        let kind = text(&head.headers, "req-kind").unwrap_or(path);
+        let kind = header_text(&head.headers, "req-kind").unwrap_or(path);
         let class = self.names.borrow().class(kind).filter(|_| kind == path);
         let Some(class) = class else {
             return bad("Req-Kind or the path does not name a class\n");
         };
-        let owner = text(&head.headers, "req-owner").map(str::to_owned);
+        let owner = header_text(&head.headers, "req-owner").map(str::to_owned);
         if !self.names.borrow().accepts_tenant(owner.as_deref()) {
             return bad("Req-Owner does not name a tenant\n");
         }
-        let destination = text(&head.headers, "x-consignee").and_then(|pairs| {
+        let destination = header_text(&head.headers, "x-consignee").and_then(|pairs| {
             let mut pairs = pairs.split([',', ';']).filter_map(|pair| pair.split_once('='));
             pairs.find(|(name, _)| name.trim() == "dest")?.1.trim().parse().ok()
         });
         let Some(destination) = destination else { return bad("X-Consignee has no valid dest\n") };
-        let left = text(&head.headers, "req-deadline-ms").and_then(|ms| ms.parse::<u32>().ok());
+        let left = header_text(&head.headers, "req-deadline-ms").and_then(|ms| ms.parse::<u32>().ok());
         let Some(left) = left else { return bad("Req-Deadline-Ms is not a number of milliseconds\n") };
         let key = match head.headers.get("idempotency-key") {
-            Some(_) => match text(&head.headers, "idempotency-key") {
+            Some(_) => match header_text(&head.headers, "idempotency-key") {
                 Some(key) => Some(key.to_owned()),
                 None => return bad("Idempotency-Key is empty or not visible ASCII\n"),
             },
             None => None,
         };
         let id = id.to_owned();
-        let body = match timeout(BODY_WITHIN, Limited::new(body, BODY_LIMIT).collect()).await {
+        let body = match timeout(BODY_TIMEOUT, Limited::new(body, BODY_LIMIT).collect()).await {
             Ok(Ok(body)) => body,
             Ok(Err(_)) => return bad("the body is truncated or longer than 64 KiB\n"),
             Err(_) => return plain(StatusCode::REQUEST_TIMEOUT, "the body did not arrive within 500 ms\n"),
         };
-        let deadline = came + Micros::from(left) * 1000;
+        let deadline = received_at + Micros::from(left) * 1000;
         let class_name = kind.to_owned();
         let body = body.to_bytes();
-        let id_said = id.clone();
+        let message_id = id.clone();
         // The driver sets the effect from the settings that are in force when it accepts the message.
         let effect = None;
         let taken = AcceptedMessage {
-            id: id_said,
+            id: message_id,
             key,
             class: class_name,
             owner,
--- a/src/net/intake/tests.rs
+++ b/src/net/intake/tests.rs
@@ -138,7 +138,7 @@
 async fn an_early_error_arrives_whole_though_the_body_is_unread() -> std::io::Result<()> {
     let coded = b"POST /order HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
     let strange = b"\x01\x02\x03\r\n\r\n".to_vec();
-    let long = format!("POST /order HTTP/1.1\r\nX-Pad: {}\r\n", "p".repeat(2 * HEAD_LIMIT)).into();
+    let long = format!("POST /order HTTP/1.1\r\nX-Pad: {}\r\n", "p".repeat(2 * MAX_HEAD)).into();
     for (head, answer) in [(coded, "411"), (strange, "400"), (long, "431")] {
         let (told, ids) = crossing([head, vec![b'x'; 40_000]].concat()).await?;
         let told = told.unwrap_or_else(|e| panic!("{answer}: {e}"));
@@ -168,8 +168,8 @@
                 assert!(told.starts_with("HTTP/1.1 200"), "{told}");
                 kept.push(peer);
             }
-            assert!(begun.elapsed() >= LINGER_WITHIN, "the next connection waits for a free slot");
-            assert!(begun.elapsed() < LINGER_WITHIN * 3, "{:?}", begun.elapsed());
+            assert!(begun.elapsed() >= LINGER_TIMEOUT, "the next connection waits for a free slot");
+            assert!(begun.elapsed() < LINGER_TIMEOUT * 3, "{:?}", begun.elapsed());
             Ok(())
         })
         .await
--- a/src/net/journal.rs
+++ b/src/net/journal.rs
@@ -115,11 +115,11 @@
 }
 
 /// Maximum size of a message's later records: its attempts, their ends and its own end. Bytes.
-const LATER_RECORDS: u64 = 672;
+const MAX_LATER_RECORDS: u64 = 672;
 /// Maximum size of the record of its backups, bytes.
-const COVERED_RECORD: u64 = 96;
+const MAX_REPLICATED_RECORD: u64 = 96;
 /// Size of a frame's header: length and checksum, bytes.
-const FRAME: usize = 8;
+const FRAME_HEADER: usize = 8;
 
 /// The journal file and the state read from it.
 #[derive(Debug)]
@@ -128,7 +128,7 @@
     file: File,
     length: u64,
     limit: u64,
-    live: BTreeMap<u32, PendingMessage>,
+    pending: BTreeMap<u32, PendingMessage>,
     /// Upper bound of the bytes that the pending messages need in a compacted file.
     reserved: u64,
     /// The file may end in a torn record that could not be truncated.
@@ -149,22 +149,22 @@
 
 /// Decodes the first record, with the size of its frame.
 fn unframe(bytes: &[u8]) -> Option<(Record, usize)> {
-    let end = (u32_at(bytes, 0)? as usize).checked_add(FRAME)?;
-    let body = bytes.get(FRAME..end)?;
+    let end = (u32_at(bytes, 0)? as usize).checked_add(FRAME_HEADER)?;
+    let body = bytes.get(FRAME_HEADER..end)?;
     let intact = crc32fast::hash(body) == u32_at(bytes, 4)?;
     Some((postcard::from_bytes(body).ok().filter(|_| intact)?, end))
 }
 
 /// The records that are written when a message is accepted.
-pub fn acceptance_records(message: u32, taken: &AcceptedMessage) -> impl Iterator<Item = Record> {
-    let owner = taken.owner.clone().map(|owner| Record::Owner(message, owner));
-    let effect = taken.effect.map(|effect| Record::Effect(message, effect));
-    std::iter::once(Record::Accepted(message, taken.clone())).chain(owner).chain(effect)
+pub fn acceptance_records(message: u32, accepted: &AcceptedMessage) -> impl Iterator<Item = Record> {
+    let owner = accepted.owner.clone().map(|owner| Record::Owner(message, owner));
+    let effect = accepted.effect.map(|effect| Record::Effect(message, effect));
+    std::iter::once(Record::Accepted(message, accepted.clone())).chain(owner).chain(effect)
 }
 
-fn need(taken: &AcceptedMessage) -> u64 {
-    let texts = taken.key.as_ref().map_or(0, String::len) + taken.owner.as_ref().map_or(0, String::len);
-    (taken.body.len() + taken.id.len() + taken.class.len() + texts) as u64 + LATER_RECORDS
+fn reserved_bytes(accepted: &AcceptedMessage) -> u64 {
+    let texts = accepted.key.as_ref().map_or(0, String::len) + accepted.owner.as_ref().map_or(0, String::len);
+    (accepted.body.len() + accepted.id.len() + accepted.class.len() + texts) as u64 + MAX_LATER_RECORDS
 }
 
 impl Journal {
@@ -184,7 +184,7 @@
         };
         let file = OpenOptions::new().create(true).append(true).open(&path)?;
         let mut journal =
-            Self { path, file, length: 0, limit, live: BTreeMap::new(), reserved: 0, torn: false };
+            Self { path, file, length: 0, limit, pending: BTreeMap::new(), reserved: 0, torn: false };
         let mut at = 0;
         while let Some((record, size)) = text.get(at..).and_then(unframe) {
             journal.apply(record);
@@ -199,18 +199,18 @@
 
     /// The messages that have not ended, by number.
     pub fn pending(&self) -> &BTreeMap<u32, PendingMessage> {
-        &self.live
+        &self.pending
     }
 
     /// Whether there is space to store another message until it ends. During a compaction the old and the new
     /// file exist side by side, so pending messages may use less than half of the limit.
-    pub fn has_capacity(&self, taken: &AcceptedMessage, pending: u64) -> bool {
-        self.reserved + pending + need(taken) <= self.limit / 5 * 2
+    pub fn has_capacity(&self, accepted: &AcceptedMessage, unwritten: u64) -> bool {
+        self.reserved + unwritten + reserved_bytes(accepted) <= self.limit / 5 * 2
     }
 
     /// The space that the message would reserve, bytes; see [`Journal::has_capacity`].
-    pub fn reservation(taken: &AcceptedMessage) -> u64 {
-        need(taken)
+    pub fn reservation(accepted: &AcceptedMessage) -> u64 {
+        reserved_bytes(accepted)
     }
 
     /// Appends the records of a turn in one write.
@@ -241,57 +241,53 @@
 
     fn apply(&mut self, record: Record) {
         match record {
-            Record::Accepted(message, taken) => {
-                self.reserved += need(&taken);
-                self.live.insert(
+            Record::Accepted(message, accepted) => {
+                self.reserved += reserved_bytes(&accepted);
+                self.pending.insert(
                     message,
-                    PendingMessage {
-                        accepted: taken,
-                        attempts: Vec::new(),
-                        given_up: None,
-                        replicated: None,
-                    },
+                    PendingMessage { accepted, attempts: Vec::new(), given_up: None, replicated: None },
                 );
             }
             Record::AttemptBegun { message, attempt, endpoint, at } => {
-                if let Some(live) = self.live.get_mut(&message) {
-                    live.attempts.push(Attempt { number: attempt, endpoint, at, never_ran: false });
+                if let Some(pending) = self.pending.get_mut(&message) {
+                    pending.attempts.push(Attempt { number: attempt, endpoint, at, never_ran: false });
                 }
             }
             Record::AttemptEnded { message, attempt, never_ran } => {
-                let live = self.live.get_mut(&message);
-                let mut attempts = live.into_iter().flat_map(|live| &mut live.attempts);
+                let pending = self.pending.get_mut(&message);
+                let mut attempts = pending.into_iter().flat_map(|pending| &mut pending.attempts);
                 if let Some(attempt) = attempts.find(|a| a.number == attempt) {
                     attempt.never_ran = never_ran;
                 }
             }
             Record::GivenUp(message, how) => {
-                if let Some(live) = self.live.get_mut(&message) {
-                    live.given_up = Some(how);
+                if let Some(pending) = self.pending.get_mut(&message) {
+                    pending.given_up = Some(how);
                 }
             }
             Record::Closed(message) => {
-                if let Some(live) = self.live.remove(&message) {
-                    self.reserved -= need(&live.accepted) + live.replicated.map_or(0, |_| COVERED_RECORD);
+                if let Some(pending) = self.pending.remove(&message) {
+                    self.reserved -= reserved_bytes(&pending.accepted)
+                        + pending.replicated.map_or(0, |_| MAX_REPLICATED_RECORD);
                 }
             }
             Record::Owner(message, owner) => {
-                if let Some(live) = self.live.get_mut(&message) {
-                    self.reserved -= need(&live.accepted);
-                    live.accepted.owner = Some(owner);
-                    self.reserved += need(&live.accepted);
+                if let Some(pending) = self.pending.get_mut(&message) {
+                    self.reserved -= reserved_bytes(&pending.accepted);
+                    pending.accepted.owner = Some(owner);
+                    self.reserved += reserved_bytes(&pending.accepted);
                 }
             }
             Record::Effect(message, effect) => {
-                if let Some(live) = self.live.get_mut(&message) {
-                    live.accepted.effect = Some(effect);
+                if let Some(pending) = self.pending.get_mut(&message) {
+                    pending.accepted.effect = Some(effect);
                 }
             }
             Record::Replicated(message, tag, since) => {
-                if let Some(live) = self.live.get_mut(&message)
-                    && live.replicated.replace((tag, since)).is_none()
+                if let Some(pending) = self.pending.get_mut(&message)
+                    && pending.replicated.replace((tag, since)).is_none()
                 {
-                    self.reserved += COVERED_RECORD;
+                    self.reserved += MAX_REPLICATED_RECORD;
                 }
             }
         }
@@ -300,21 +296,21 @@
     /// Writes the pending messages to a new file, which then replaces the old one.
     fn compact(&mut self) -> io::Result<()> {
         let mut bytes = Vec::new();
-        for (message, live) in &self.live {
-            for record in acceptance_records(*message, &live.accepted) {
+        for (message, pending) in &self.pending {
+            for record in acceptance_records(*message, &pending.accepted) {
                 frame(&record, &mut bytes)?;
             }
-            for Attempt { number, endpoint, at, never_ran } in live.attempts.iter().cloned() {
+            for Attempt { number, endpoint, at, never_ran } in pending.attempts.iter().cloned() {
                 let (message, attempt) = (*message, number);
                 frame(&Record::AttemptBegun { message, attempt, endpoint, at }, &mut bytes)?;
                 if never_ran {
                     frame(&Record::AttemptEnded { message, attempt, never_ran: true }, &mut bytes)?;
                 }
             }
-            if let Some((tag, since)) = live.replicated.clone() {
+            if let Some((tag, since)) = pending.replicated.clone() {
                 frame(&Record::Replicated(*message, tag, since), &mut bytes)?;
             }
-            if let Some(how) = live.given_up {
+            if let Some(how) = pending.given_up {
                 frame(&Record::GivenUp(*message, how), &mut bytes)?;
             }
         }
--- a/src/net/journal/tests.rs
+++ b/src/net/journal/tests.rs
@@ -76,7 +76,7 @@
         assert_eq!(Journal::open(folder.path(), 1_000_000)?.pending().len(), 2, "{torn}");
     }
     let mut bad = both.clone();
-    bad[whole.len() + FRAME] ^= 1;
+    bad[whole.len() + FRAME_HEADER] ^= 1;
     fs::write(&path, &bad)?;
     assert_eq!(Journal::open(folder.path(), 1_000_000)?.pending().len(), 1, "a changed byte");
     Ok(())
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -22,7 +22,7 @@
 
 /// Why the log cannot be set up.
 #[derive(Debug, thiserror::Error)]
-pub enum NoLog {
+pub enum LogError {
     /// `NODE_LOG` is not a valid filter.
     #[error("NODE_LOG={level}: {why}")]
     Level {
@@ -39,7 +39,7 @@
     Twice(#[from] tracing_subscriber::util::TryInitError),
 }
 
-coded_error! { NoLog {
+coded_error! { LogError {
     Level => "log.level", "set NODE_LOG to error, warn, info, debug or trace, or unset it";
     Form => "log.form", "set NODE_LOG_FORM to text or json, or unset it";
     Twice => "log.twice", "report it to the developers";
@@ -49,17 +49,17 @@
 ///
 /// # Errors
 /// Fails, with a message of one line, when a variable has an invalid value.
-pub fn start(name: &str) -> Result<(), NoLog> {
+pub fn start(name: &str) -> Result<(), LogError> {
     let level = std::env::var("NODE_LOG").unwrap_or_else(|_| "info".to_owned());
-    let filter = EnvFilter::try_new(&level).map_err(|why| NoLog::Level { level, why })?;
+    let filter = EnvFilter::try_new(&level).map_err(|why| LogError::Level { level, why })?;
     let form = std::env::var("NODE_LOG_FORM").unwrap_or_else(|_| "text".to_owned());
     let json = match form.as_str() {
         "text" => false,
         "json" => true,
-        _ => return Err(NoLog::Form(form)),
+        _ => return Err(LogError::Form(form)),
     };
-    let log = Registry::default().with(filter).with(Bounded::default());
-    let writer = Named { name: name.to_owned(), json };
+    let log = Registry::default().with(filter).with(RateLimiter::default());
+    let writer = NamedWriter { name: name.to_owned(), json };
     let started = match json {
         true => log
             .with(tracing_subscriber::fmt::layer().json().flatten_event(true).with_writer(writer))
@@ -70,14 +70,14 @@
 }
 
 /// Writes lines to standard error, each with the sender's name.
-struct Named {
+struct NamedWriter {
     name: String,
     json: bool,
 }
 
-struct Line<'a>(&'a Named);
+struct Line<'a>(&'a NamedWriter);
 
-impl<'a> MakeWriter<'a> for Named {
+impl<'a> MakeWriter<'a> for NamedWriter {
     type Writer = Line<'a>;
 
     fn make_writer(&'a self) -> Line<'a> {
@@ -110,44 +110,44 @@
 }
 
 /// The lines of one callsite in the current window.
-struct Kind {
+struct CallsiteRate {
     since: Instant,
     lines: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
 /// Limits the lines of each callsite per window. The map is small, because callsites are places in the code.
 #[derive(Default)]
-struct Bounded {
-    kinds: Mutex<HashMap<Identifier, Kind>>,
+struct RateLimiter {
+    kinds: Mutex<HashMap<Identifier, CallsiteRate>>,
 }
 
-impl Bounded {
+impl RateLimiter {
     /// Whether a line from this callsite is written, and how many were suppressed before it.
     fn admits(&self, kind: Identifier, now: Instant) -> (bool, u64) {
         let Ok(mut kinds) = self.kinds.lock() else { return (true, 0) };
-        let kind = kinds.entry(kind).or_insert(Kind { since: now, lines: 0, left_out: 0 });
-        let mut left_out = 0;
+        let kind = kinds.entry(kind).or_insert(CallsiteRate { since: now, lines: 0, suppressed: 0 });
+        let mut suppressed = 0;
         if now >= kind.since + WINDOW {
-            left_out = kind.left_out;
-            *kind = Kind { since: now, lines: 0, left_out: 0 };
+            suppressed = kind.suppressed;
+            *kind = CallsiteRate { since: now, lines: 0, suppressed: 0 };
         }
         if kind.lines == MAX_LINES {
-            kind.left_out += 1;
+            kind.suppressed += 1;
             return (false, 0);
         }
         kind.lines += 1;
-        (true, left_out)
+        (true, suppressed)
     }
 }
 
-impl<S: Subscriber> Layer<S> for Bounded {
+impl<S: Subscriber> Layer<S> for RateLimiter {
     fn event_enabled(&self, event: &Event<'_>, _context: Context<'_, S>) -> bool {
         let metadata = event.metadata();
-        let (admitted, left_out) = self.admits(metadata.callsite(), Instant::now());
-        if left_out > 0 {
+        let (admitted, suppressed) = self.admits(metadata.callsite(), Instant::now());
+        if suppressed > 0 {
             let place = metadata.name();
-            let _ = writeln!(io::stderr(), "{left_out} log lines were suppressed ({place})");
+            let _ = writeln!(io::stderr(), "{suppressed} log lines were suppressed ({place})");
         }
         admitted
     }
--- a/src/net/log/tests.rs
+++ b/src/net/log/tests.rs
@@ -6,7 +6,7 @@
 fn a_storm_of_one_kind_is_bounded_and_told_and_hides_no_other() {
     let (one, other) = (tracing::info_span!("one"), tracing::info_span!("other"));
     let kind = |span: &tracing::Span| span.metadata().map(tracing::Metadata::callsite);
-    let bounded = Bounded::default();
+    let bounded = RateLimiter::default();
     let now = Instant::now();
     let (Some(one), Some(other)) = (kind(&one), kind(&other)) else { return };
     let through = (0..1000).filter(|_| bounded.admits(one.clone(), now).0).count();
--- a/src/net/mgmt.rs
+++ b/src/net/mgmt.rs
@@ -36,24 +36,24 @@
 pub const PLACES: usize = 16;
 /// Time limit for a request's head. Answers are due within 1 s of the call, also for a caller that first
 /// waits for the connection of a silent one to be closed.
-const HEAD_WITHIN: Duration = Duration::from_millis(400);
+const HEAD_TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum duration of a lingering close: a silent caller's connection is freed 500 ms after it was accepted.
-const LINGER_WITHIN: Duration = Duration::from_millis(100);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time limit from accepting a connection to the end of the answer.
-const CALL_WITHIN: Duration = Duration::from_millis(900);
-const HEAD_LIMIT: usize = 8 * 1024;
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
+const MAX_HEAD: usize = 8 * 1024;
 /// Time limit for a body after its head.
-const BODY_WITHIN: Duration = Duration::from_millis(400);
+const BODY_TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum size of the body of a call that names endpoints, bytes.
-const SMALL_BODY: usize = 16 * 1024;
+const MAX_CALL_BODY: usize = 16 * 1024;
 /// Maximum size of a query, bytes. A query with the maximum number of ids fits in it.
-const QUERY_BODY: usize = 32 * 1024;
+const MAX_QUERY_BODY: usize = 32 * 1024;
 
 /// Time from accepting a connection until a query's answer is due. The rest of the time limit is for writing
 /// it.
-const ANSWER_WITHIN: Duration = Duration::from_millis(820);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(820);
 /// Path prefix of a single message's status; the id follows.
-const MESSAGE: &str = "/control/status/message/";
+const MESSAGE_STATUS_PATH: &str = "/control/status/message/";
 
 /// The management server.
 pub struct Mgmt {
@@ -76,9 +76,9 @@
 
     /// Accepts calls for as long as the process runs.
     pub async fn listen(self: Rc<Self>, listener: TcpListener) {
-        let places = Arc::new(Semaphore::new(PLACES));
+        let permits = Arc::new(Semaphore::new(PLACES));
         loop {
-            let Ok(place) = places.clone().acquire_owned().await else { return };
+            let Ok(permit) = permits.clone().acquire_owned().await else { return };
             let Ok((stream, _)) = listener.accept().await else {
                 // For example out of descriptors. The pause keeps the loop from spinning.
                 tokio::time::sleep(Duration::from_millis(10)).await;
@@ -87,8 +87,8 @@
             let mgmt = self.clone();
             tokio::task::spawn_local(async move {
                 // A call that exceeds the time limit is dropped.
-                let _ = timeout(CALL_WITHIN, mgmt.serve(stream)).await;
-                drop(place);
+                let _ = timeout(CALL_TIMEOUT, mgmt.serve(stream)).await;
+                drop(permit);
             });
         }
     }
@@ -100,12 +100,12 @@
         // An aborted call needs no handling here; it is up to the caller.
         let _ = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(HEAD_WITHIN)
-            .max_buf_size(HEAD_LIMIT)
+            .header_read_timeout(HEAD_TIMEOUT)
+            .max_buf_size(MAX_HEAD)
             .keep_alive(false)
             .serve_connection(TokioIo::new(&mut stream), service)
             .await;
-        linger(stream, LINGER_WITHIN).await;
+        linger(stream, LINGER_TIMEOUT).await;
     }
 
     async fn answer(
@@ -123,10 +123,10 @@
                 response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
                 response
             }
-            "/control/out-of-service" if post => match within(request.uri().query()) {
+            "/control/out-of-service" if post => match drain_time(request.uri().query()) {
                 Ok(None) => self.service(false).await,
                 Ok(within) => self.ask(ControlRequest::OutOfService(within)).await,
-                Err(why) => answered(Reply::call_error(&why)),
+                Err(why) => to_response(Reply::call_error(&why)),
             },
             "/control/in-service" if post => self.service(true).await,
             "/control/drain" if get => self.ask(ControlRequest::Drain).await,
@@ -140,37 +140,39 @@
             "/control/status" if get => self.ask(ControlRequest::Status).await,
             "/control/plans" if get => self.ask(ControlRequest::Plans).await,
             "/control/status/query" if post => {
-                let token = token(&request);
+                let token = session_token(&request);
                 let wants =
                     |what| request.uri().query().is_some_and(|q| q.split('&').any(|pair| pair == what));
                 let (route, estimate) = (wants("route=1"), wants("estimate=1"));
-                match whole(request, QUERY_BODY).await {
+                match read_body(request, MAX_QUERY_BODY).await {
                     Ok(body) => match serde_json::from_slice(&body) {
                         Ok(query) => self.status(StatusCall { query, token, route, estimate }, begun).await,
-                        Err(e) => answered(Reply::call_error(&CallError::Query(e))),
+                        Err(e) => to_response(Reply::call_error(&CallError::Query(e))),
                     },
-                    Err(no) => answered(no),
+                    Err(no) => to_response(no),
                 }
             }
-            path if get && path.starts_with(MESSAGE) => match one_message(path, request.uri().query()) {
-                Some((query, (route, estimate))) => {
-                    let token = token(&request);
-                    self.status(StatusCall { query, token, route, estimate }, begun).await
+            path if get && path.starts_with(MESSAGE_STATUS_PATH) => {
+                match one_message(path, request.uri().query()) {
+                    Some((query, (route, estimate))) => {
+                        let token = session_token(&request);
+                        self.status(StatusCall { query, token, route, estimate }, begun).await
+                    }
+                    None => to_response(Reply::call_error(&CallError::Message)),
                 }
-                None => answered(Reply::call_error(&CallError::Message)),
-            },
+            }
             "/control/start" if get => self.ask(ControlRequest::Start).await,
             "/control/endpoints/drain" if post => {
-                self.ask_with(request, |body| read(body).map(ControlRequest::DrainEndpoints)).await
+                self.ask_with(request, |body| parse_json(body).map(ControlRequest::DrainEndpoints)).await
             }
             "/control/endpoints/restore" if post => {
-                self.ask_with(request, |body| read(body).map(ControlRequest::RestoreEndpoints)).await
+                self.ask_with(request, |body| parse_json(body).map(ControlRequest::RestoreEndpoints)).await
             }
-            "/control/config/check" if post => answered(self.check(request).await),
+            "/control/config/check" if post => to_response(self.check(request).await),
             "/control/ready" | "/control/counters" | "/control/drain" | "/control/endpoints"
             | "/control/members" | "/control/takeover" | "/control/start" | "/control/status"
             | "/control/plans" => not_allowed("GET"),
-            path if path.starts_with(MESSAGE) => not_allowed("GET"),
+            path if path.starts_with(MESSAGE_STATUS_PATH) => not_allowed("GET"),
             "/control/out-of-service"
             | "/control/in-service"
             | "/control/endpoints/drain"
@@ -200,24 +202,24 @@
     /// driver to ask.
     async fn ask(&self, ask: ControlRequest) -> Response<Full<Bytes>> {
         if *self.standing.borrow() == ServiceState::Starting {
-            return answered(Reply::call_error(&CallError::Starting));
+            return to_response(Reply::call_error(&CallError::Starting));
         }
         let (reply, replied) = oneshot::channel();
         let _ = self.inbound.send(Inbound::Control(ask, reply));
         let gone = || Reply::call_error(&CallError::Stopping);
-        answered(replied.await.unwrap_or_else(|_| gone()))
+        to_response(replied.await.unwrap_or_else(|_| gone()))
     }
 
     /// Queries the status index of the tier, within what is left of the call's time limit.
     async fn status(&self, call: StatusCall, begun: Instant) -> Response<Full<Bytes>> {
         if *self.standing.borrow() == ServiceState::Starting {
-            return answered(Reply::call_error(&CallError::Starting));
+            return to_response(Reply::call_error(&CallError::Starting));
         }
-        let within = ANSWER_WITHIN.saturating_sub(begun.elapsed()).as_micros() as Micros;
+        let within = ANSWER_TIMEOUT.saturating_sub(begun.elapsed()).as_micros() as Micros;
         let (reply, replied) = oneshot::channel();
         let _ = self.inbound.send(Inbound::StatusQuery(Box::new(call), within, reply));
         let gone = || Reply::call_error(&CallError::Stopping);
-        answered(replied.await.unwrap_or_else(|_| gone()))
+        to_response(replied.await.unwrap_or_else(|_| gone()))
     }
 
     /// Like [`Mgmt::ask`], for a call with a body. Nothing is done before the whole body is read.
@@ -226,18 +228,18 @@
         request: Request<Incoming>,
         read: impl FnOnce(&[u8]) -> Result<ControlRequest, CallError>,
     ) -> Response<Full<Bytes>> {
-        match whole(request, SMALL_BODY).await {
+        match read_body(request, MAX_CALL_BODY).await {
             Ok(body) => match read(&body) {
                 Ok(ask) => self.ask(ask).await,
-                Err(why) => answered(Reply::call_error(&why)),
+                Err(why) => to_response(Reply::call_error(&why)),
             },
-            Err(no) => answered(no),
+            Err(no) => to_response(no),
         }
     }
 
     /// Checks a configuration: its faults, or what it would change. It is not applied and not counted.
     async fn check(&self, request: Request<Incoming>) -> Reply {
-        let text = match whole(request, check::MAX_DOCUMENT_BYTES).await {
+        let text = match read_body(request, check::MAX_DOCUMENT_BYTES).await {
             Ok(text) => text,
             Err(no) => return no,
         };
@@ -263,7 +265,7 @@
 /// a tenant the query is for messages that have none.
 fn one_message(path: &str, query: Option<&str>) -> Option<(Query, (bool, bool))> {
     let text = |text: &str| percent_decode_str(text).decode_utf8().ok().map(|text| text.into_owned());
-    let id = text(path.strip_prefix(MESSAGE)?).filter(|id| !id.is_empty())?;
+    let id = text(path.strip_prefix(MESSAGE_STATUS_PATH)?).filter(|id| !id.is_empty())?;
     let (mut tenant, mut route, mut estimate) = (String::new(), false, false);
     for pair in query.into_iter().flat_map(|query| query.split('&')) {
         match pair.split_once('=')? {
@@ -276,29 +278,29 @@
     Some((serde_json::from_value(json!({"tenant": tenant, "ids": [id]})).ok()?, (route, estimate)))
 }
 
-/// Reads the body of a call. Fails if it is truncated, late, or longer than `most` bytes.
-async fn whole(request: Request<Incoming>, most: usize) -> Result<Bytes, Reply> {
-    match timeout(BODY_WITHIN, Limited::new(request.into_body(), most).collect()).await {
+/// Reads the body of a call. Fails if it is truncated, late, or longer than `max_bytes` bytes.
+async fn read_body(request: Request<Incoming>, max_bytes: usize) -> Result<Bytes, Reply> {
+    match timeout(BODY_TIMEOUT, Limited::new(request.into_body(), max_bytes).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Err(_) => Err(Reply::call_error(&CallError::BodyLate)),
-        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(Reply::call_error(&CallError::BodyLong(most))),
+        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(Reply::call_error(&CallError::BodyLong(max_bytes))),
         Ok(Err(_)) => Err(Reply::call_error(&CallError::BodyCut)),
     }
 }
 
 /// Parses the time limit of a drain: absent, or a whole number of milliseconds over 0.
-fn within(query: Option<&str>) -> Result<Option<Micros>, CallError> {
+fn drain_time(query: Option<&str>) -> Result<Option<Micros>, CallError> {
     let Some(query) = query else { return Ok(None) };
     let ms = query.strip_prefix("within_ms=").and_then(|ms| ms.parse::<u32>().ok()).filter(|ms| *ms > 0);
     let ms = ms.ok_or(CallError::Within)?;
     Ok(Some(Micros::from(ms) * 1000))
 }
 
-fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, CallError> {
+fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, CallError> {
     Ok(serde_json::from_slice(body)?)
 }
 
-fn answered(reply: Reply) -> Response<Full<Bytes>> {
+fn to_response(reply: Reply) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(reply.body)));
     *response.status_mut() = reply.status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -310,7 +312,7 @@
 
 /// The session token of a call. A value that is not visible ASCII becomes an empty token, which cannot be
 /// decoded.
-fn token(request: &Request<Incoming>) -> Option<String> {
+fn session_token(request: &Request<Incoming>) -> Option<String> {
     request.headers().get(SESSION_TOKEN).map(|token| token.to_str().unwrap_or_default().trim().to_owned())
 }
 
--- a/src/net/names.rs
+++ b/src/net/names.rs
@@ -56,14 +56,14 @@
 ) -> (Settings, Names) {
     let mut classes = before.classes.clone();
     let mut all = known.classes.clone();
-    let told: Vec<_> = names.classes.into_iter().zip(settings.classes).collect();
+    let new: Vec<_> = names.classes.into_iter().zip(settings.classes).collect();
     let same = |(name, class): &(String, Class)| {
         (0..classes.len()).find(|at| known.classes.get(*at) == Some(name) && classes[*at] == *class)
     };
-    let places: Vec<Option<usize>> = told.iter().map(same).collect();
-    let mut current: BTreeSet<usize> = places.iter().copied().flatten().collect();
-    for ((name, class), place) in told.into_iter().zip(places) {
-        if place.is_some() {
+    let positions: Vec<Option<usize>> = new.iter().map(same).collect();
+    let mut current: BTreeSet<usize> = positions.iter().copied().flatten().collect();
+    for ((name, class), position) in new.into_iter().zip(positions) {
+        if position.is_some() {
             continue;
         }
         match (0..all.len()).find(|at| !current.contains(at) && !held(*at)) {
--- a/src/net/parts/draining.rs
+++ b/src/net/parts/draining.rs
@@ -15,35 +15,35 @@
 /// The draining part.
 pub struct DrainingPart {
     marks: Marks,
-    at: PathBuf,
+    path: PathBuf,
 }
 
 impl DrainingPart {
     /// Creates the part with the marks that an earlier process left. Marks that cannot be read are logged and
     /// dropped; on-call staff set them again.
-    pub fn open(folder: &Path, most: usize) -> Self {
-        let at = folder.join("drained");
-        let read = state_file::read(&at).map(|text| text.map(|text| Marks::read(most, &text)));
+    pub fn open(folder: &Path, max_marks: usize) -> Self {
+        let path = folder.join("drained");
+        let read = state_file::read(&path).map(|text| text.map(|text| Marks::read(max_marks, &text)));
         let marks = match read {
-            Ok(None) => Marks::new(most),
+            Ok(None) => Marks::new(max_marks),
             Ok(Some(Ok(marks))) => marks,
             Ok(Some(Err(e))) => {
                 let code = e.code();
                 tracing::error!(code, "cannot read the drain marks; no endpoint is marked: {e}");
-                Marks::new(most)
+                Marks::new(max_marks)
             }
             Err(e) => {
                 let code = MarksUnreadable::CODES[0];
                 tracing::error!(code, "cannot read the drain marks; no endpoint is marked: {e}");
-                Marks::new(most)
+                Marks::new(max_marks)
             }
         };
-        Self { marks, at }
+        Self { marks, path }
     }
 
     /// Maximum size of the files for this number of marks, bytes.
-    pub fn room(most: usize) -> u64 {
-        Marks::max_bytes(most)
+    pub fn max_bytes(max_marks: usize) -> u64 {
+        Marks::max_bytes(max_marks)
     }
 
     /// The marks in force.
@@ -56,7 +56,7 @@
     /// # Errors
     /// Fails when they cannot be written; then the old marks stay in force.
     pub fn store(&mut self, marks: Marks) -> io::Result<()> {
-        state_file::write(&self.at, &marks.to_json())?;
+        state_file::write(&self.path, &marks.to_json())?;
         self.marks = marks;
         Ok(())
     }
@@ -64,12 +64,12 @@
     /// Removes the marks on endpoints that are no longer in discovery's list. If the change cannot be
     /// written, a later process reads the marks again and removes them again.
     pub fn remove_unlisted(&mut self, listed: impl Fn(&str) -> bool) {
-        let kept = self.marks.retain_listed(listed);
-        if kept != self.marks
-            && let Err(e) = self.store(kept.clone())
+        let remaining = self.marks.retain_listed(listed);
+        if remaining != self.marks
+            && let Err(e) = self.store(remaining.clone())
         {
             tracing::error!("cannot write the drain marks: {e}");
-            self.marks = kept;
+            self.marks = remaining;
         }
     }
 
--- a/src/net/parts/estimate.rs
+++ b/src/net/parts/estimate.rs
@@ -18,7 +18,7 @@
 use super::{Out, Part};
 
 /// Maximum duration of a query, microseconds: every management call is answered within a second.
-const WITHIN: Micros = 800_000;
+const QUERY_TIME_LIMIT: Micros = 800_000;
 
 /// Maximum number of running queries whose answers are learned from.
 const MAX_UNDER_WAY: usize = 256;
@@ -45,7 +45,7 @@
     }
 
     /// Applies a changed configuration.
-    pub fn adopt(&mut self, config: &Config) {
+    pub fn apply_config(&mut self, config: &Config) {
         self.core.adopt(config.plans.clone().unwrap_or_default());
     }
 
@@ -54,16 +54,17 @@
         &mut self,
         now: Micros,
         view: Option<&MembershipPart>,
-        mut indexing: Option<&mut StatusPart>,
+        mut status_part: Option<&mut StatusPart>,
     ) {
-        for (number, answer) in indexing.iter_mut().flat_map(|part| part.answered.drain(..)) {
+        for (number, answer) in status_part.iter_mut().flat_map(|part| part.answered.drain(..)) {
             self.answered(number, &answer);
         }
         if now < self.due && !self.core.summaries_due(now) {
             return;
         }
         view.into_iter().for_each(|view| self.core.set_view(view.view(now)));
-        if let Some(index) = indexing.map(|indexing| &indexing.core).filter(|_| self.core.summaries_due(now))
+        if let Some(index) =
+            status_part.map(|status_part| &status_part.core).filter(|_| self.core.summaries_due(now))
         {
             self.core.summarise(now, now, (index.own_log(), index.last()), || index.own_entries());
         }
@@ -101,7 +102,7 @@
 
     /// Predicts what a query would touch, and how it would be decided. The sender's clock is Unix time.
     pub fn estimate(&self, now: Micros, query: &Query) -> QueryEstimate {
-        self.core.estimate(now, now, query, WITHIN)
+        self.core.estimate(now, now, query, QUERY_TIME_LIMIT)
     }
 }
 
@@ -125,13 +126,13 @@
     }
 
     fn report(&self, now: Micros) -> Value {
-        let (told, datagrams) = self.core.traffic();
+        let (gossip, datagrams) = self.core.traffic();
         let owners: Vec<Value> = self.core.known.all().map(|held| {
             let catalogue = &held.catalogue;
             json!({"owner": catalogue.log.owner, "upto": catalogue.version.upto, "age_ms": held.age(now) / 1000,
                    "spans": catalogue.spans.len(), "summaries": held.summaries.len(), "over": held.over.is_some()})
         }).collect();
-        json!({"owners": owners, "bytes": self.core.known.bytes(), "gossip": told, "datagrams": datagrams,
+        json!({"owners": owners, "bytes": self.core.known.bytes(), "gossip": gossip, "datagrams": datagrams,
                "queries": self.core.counts})
     }
 }
--- a/src/net/parts/membership.rs
+++ b/src/net/parts/membership.rs
@@ -19,7 +19,7 @@
     place: Place,
     seed: u64,
     /// Version of the view up to which changes have been logged.
-    told: u64,
+    logged_version: u64,
 }
 
 impl MembershipPart {
@@ -34,19 +34,19 @@
             zones: config.names.zones.clone(),
             place,
             seed: config.seed,
-            told: 0,
+            logged_version: 0,
         })
     }
 
-    /// Applies a changed configuration. If the section, the peers or this sender's place has changed, the view
-    /// is rebuilt from scratch; the other senders then report this sender's earlier incarnations to it.
-    pub fn adopt(&mut self, config: &Config, now: Micros) {
+    /// Applies a changed configuration. If the section, the peers or this sender's place has changed, the
+    /// view is rebuilt from scratch; the other senders then report this sender's earlier incarnations to it.
+    pub fn apply_config(&mut self, config: &Config, now: Micros) {
         let Some(section) = &config.membership else { return };
         let Some(place) = place(config, section) else { return };
         if *section != self.section || place != self.place || config.peers != self.peers {
             let seed = self.seed.wrapping_add(1);
             self.core = Membership::new(section, place, seed, now);
-            (self.section, self.place, self.seed, self.told) = (section.clone(), place, seed, 0);
+            (self.section, self.place, self.seed, self.logged_version) = (section.clone(), place, seed, 0);
             self.peers = config.peers.clone();
         }
         self.zones = config.names.zones.clone();
@@ -55,12 +55,12 @@
     fn member(&self, rank: usize, member: &Member, now: Micros) -> Value {
         let ago = |at: Micros| now.saturating_sub(at) / 1000;
         let address = self.peers.get(rank);
-        let accusers: Vec<Rank> = self.core.suspected_by(rank as Rank).collect();
+        let suspected_by: Vec<Rank> = self.core.suspected_by(rank as Rank).collect();
         json!({"rank": rank, "address": address.map(SocketAddr::to_string),
                "host": address.map(|address| address.ip().to_string()),
                "zone": self.zones.get(usize::from(member.record.zone)),
                "state": member.state, "for_ms": ago(member.since), "incarnation": member.record.incarnation,
-               "heard_ms": member.last_heard.map(ago), "news_ms": ago(member.last_updated), "accused_by": accusers})
+               "heard_ms": member.last_heard.map(ago), "news_ms": ago(member.last_updated), "accused_by": suspected_by})
     }
 }
 
@@ -79,14 +79,14 @@
     }
 
     /// Logs the changes since the last call.
-    fn tell(&mut self) {
-        let news = self.core.version - self.told;
-        if news == 0 {
+    fn log_changes(&mut self) {
+        let new_changes = self.core.version - self.logged_version;
+        if new_changes == 0 {
             return;
         }
-        self.told = self.core.version;
+        self.logged_version = self.core.version;
         let changes: Vec<&Change> = self.core.history().collect();
-        for change in &changes[changes.len().saturating_sub(news as usize)..] {
+        for change in &changes[changes.len().saturating_sub(new_changes as usize)..] {
             let Change { member, incarnation, from, to, .. } = change;
             tracing::info!(member, incarnation, ?from, ?to, "membership view changed");
         }
@@ -100,7 +100,7 @@
 
     fn tick(&mut self, now: Micros, out: &mut Out) {
         self.core.tick(now, out);
-        self.tell();
+        self.log_changes();
     }
 
     fn datagram(&mut self, now: Micros, from: u16, bytes: &[u8], out: &mut Out) -> bool {
@@ -124,7 +124,7 @@
             json!({"ago_ms": ago(change.at), "rank": change.member, "incarnation": change.incarnation,
                    "from": change.from, "to": change.to})
         });
-        let (stops, stopped) = self.core.pauses();
+        let (pauses, last_pause) = self.core.pauses();
         json!({"own": self.core.own(), "size": members.len(), "tier": self.section.tier,
                "period_ms": self.core.period() / 1000, "version": self.core.version,
                "digest": format!("{:08x}", self.core.digest()),
@@ -132,7 +132,7 @@
                "left": count(State::Left), "joining": count(State::Joining),
                "isolated": self.core.isolated(now), "minority": self.core.minority(),
                "bounds_ms": {"accused_after": self.core.suspicion_timeout() / 1000, "stale_after": self.core.stale_after() / 1000},
-               "own_stops": stops, "stopped_ms": stopped.map(ago), "datagrams": self.core.counts,
+               "own_stops": pauses, "stopped_ms": last_pause.map(ago), "datagrams": self.core.counts,
                "members": listed.collect::<Vec<_>>(), "changes": changes.collect::<Vec<_>>()})
     }
 }
--- a/src/net/parts/mod.rs
+++ b/src/net/parts/mod.rs
@@ -86,8 +86,8 @@
 
     /// Maximum size of the parts' files in the state folder, bytes.
     pub fn room(config: &Config) -> u64 {
-        let marks = config.draining.map_or(0, |section| DrainingPart::room(section.max_marks));
-        let index = config.status.as_ref().map_or(0, |section| StatusPart::room(section, config.disk));
+        let marks = config.draining.map_or(0, |section| DrainingPart::max_bytes(section.max_marks));
+        let index = config.status.as_ref().map_or(0, |section| StatusPart::max_bytes(section, config.disk));
         let list = config.start.as_ref().map_or(0, |_| MAX_FOLDER_BYTES);
         marks + index + list + config.takeover.as_ref().map_or(0, |_| DurableState::MAX_BYTES)
     }
@@ -95,15 +95,15 @@
     /// Applies a changed configuration. Draining, replication and the status index stay as they were at the
     /// start, because their disk space was reserved then.
     pub fn adopt(&mut self, config: &Config, now: Micros, out: &mut Out) {
-        self.estimate.iter_mut().for_each(|estimating| estimating.adopt(config));
+        self.estimate.iter_mut().for_each(|estimate| estimate.apply_config(config));
         match &mut self.plans {
-            Some(reading) => reading.adopt(config),
+            Some(plans) => plans.apply_config(config),
             None => self.plans = PlansPart::open(config),
         }
         match (&mut self.membership, &config.membership) {
-            (Some(view), Some(_)) => view.adopt(config, now),
-            (Some(view), None) => {
-                view.serving(now, false, out);
+            (Some(membership), Some(_)) => membership.apply_config(config, now),
+            (Some(membership), None) => {
+                membership.serving(now, false, out);
                 self.membership = None;
             }
             (None, _) => self.membership = MembershipPart::open(config, now),
@@ -112,56 +112,56 @@
 
     fn each(&mut self) -> impl Iterator<Item = &mut dyn Part> {
         let draining = self.draining.as_mut().map(|part| part as &mut dyn Part);
-        let view = self.membership.as_mut().map(|part| part as &mut dyn Part);
-        let covering = self.takeover.as_mut().map(|part| part as &mut dyn Part);
-        let estimating = self.estimate.as_mut().map(|part| part as &mut dyn Part);
-        let indexing = self.status.as_mut().map(|part| part as &mut dyn Part);
-        let starting = self.start.as_mut().map(|part| part as &mut dyn Part);
-        let early = draining.into_iter().chain(view).chain(covering);
-        early.chain(indexing).chain(estimating).chain(starting)
+        let membership = self.membership.as_mut().map(|part| part as &mut dyn Part);
+        let takeover = self.takeover.as_mut().map(|part| part as &mut dyn Part);
+        let estimate = self.estimate.as_mut().map(|part| part as &mut dyn Part);
+        let status = self.status.as_mut().map(|part| part as &mut dyn Part);
+        let start = self.start.as_mut().map(|part| part as &mut dyn Part);
+        let early = draining.into_iter().chain(membership).chain(takeover);
+        early.chain(status).chain(estimate).chain(start)
     }
 
     /// Time of the next call of [`Parts::tick`], if any part needs one.
     pub fn due(&self) -> Option<Micros> {
         let draining = self.draining.as_ref().and_then(Part::due);
-        let view = self.membership.as_ref().and_then(Part::due);
-        let covering = self.takeover.as_ref().and_then(Part::due);
-        let estimating = self.estimate.as_ref().and_then(Part::due);
-        let indexing = self.status.as_ref().and_then(Part::due);
-        let starting = self.start.as_ref().and_then(Part::due);
-        let early = draining.into_iter().chain(view).chain(covering);
+        let membership = self.membership.as_ref().and_then(Part::due);
+        let takeover = self.takeover.as_ref().and_then(Part::due);
+        let estimate = self.estimate.as_ref().and_then(Part::due);
+        let status = self.status.as_ref().and_then(Part::due);
+        let start = self.start.as_ref().and_then(Part::due);
+        let early = draining.into_iter().chain(membership).chain(takeover);
         // An answer of the index that is available is processed at once.
-        let answered = self.status.as_ref().filter(|indexing| indexing.has_answers()).map(|_| 0);
-        let reading = self.plans.as_ref().and_then(Part::due);
-        let index = indexing.into_iter().chain(answered).chain(reading).chain(estimating);
-        early.chain(index).chain(starting).min()
+        let answered = self.status.as_ref().filter(|status| status.has_answers()).map(|_| 0);
+        let plans = self.plans.as_ref().and_then(Part::due);
+        let index = status.into_iter().chain(answered).chain(plans).chain(estimate);
+        early.chain(index).chain(start).min()
     }
 
     /// Calls the parts whose time has come.
     pub fn tick(&mut self, now: Micros, out: &mut Out) {
-        if let Some(covering) = self.takeover.as_mut().filter(|covering| covering.may_choose_backups(now)) {
-            let facts = self.membership.as_ref().map(|view| view.view(now));
-            covering.update_view(facts.as_ref());
+        if let Some(takeover) = self.takeover.as_mut().filter(|takeover| takeover.may_choose_backups(now)) {
+            let view = self.membership.as_ref().map(|membership| membership.view(now));
+            takeover.update_view(view.as_ref());
         }
-        if let Some(indexing) = self.status.as_mut().filter(|indexing| indexing.core.view_due(now)) {
-            indexing.update_view(self.membership.as_ref().map(|view| view.view(now)));
+        if let Some(status) = self.status.as_mut().filter(|status| status.core.view_due(now)) {
+            status.update_view(self.membership.as_ref().map(|membership| membership.view(now)));
         }
-        if let Some(estimating) = &mut self.estimate {
-            estimating.update_view(now, self.membership.as_ref(), self.status.as_mut());
+        if let Some(estimate) = &mut self.estimate {
+            estimate.update_view(now, self.membership.as_ref(), self.status.as_mut());
         }
-        if let Some(starting) = self.start.as_mut().filter(|part| part.due().is_some_and(|due| due <= now)) {
-            starting.update_view(self.membership.as_ref().map(|view| view.view(now)).as_ref());
+        if let Some(start) = self.start.as_mut().filter(|part| part.due().is_some_and(|due| due <= now)) {
+            start.update_view(self.membership.as_ref().map(|membership| membership.view(now)).as_ref());
         }
         for part in self.each().filter(|part| part.due().is_some_and(|due| due <= now)) {
             part.tick(now, out);
         }
         let index = (&mut self.status, &mut self.estimate);
-        if let ((Some(indexing), Some(estimating)), Some(reading)) = (index, &mut self.plans) {
-            let answers = indexing.answers();
-            if !answers.is_empty() || reading.due().is_some_and(|due| due <= now) {
-                let facts = self.membership.as_ref().map(|view| view.view(now));
-                reading.update_view(now, (&mut *indexing, facts.as_ref(), &mut *estimating));
-                reading.advance(now, answers, (indexing, facts.as_ref(), estimating));
+        if let ((Some(status), Some(estimate)), Some(plans)) = (index, &mut self.plans) {
+            let answers = status.answers();
+            if !answers.is_empty() || plans.due().is_some_and(|due| due <= now) {
+                let view = self.membership.as_ref().map(|membership| membership.view(now));
+                plans.update_view(now, (&mut *status, view.as_ref(), &mut *estimate));
+                plans.advance(now, answers, (status, view.as_ref(), estimate));
             }
         }
     }
--- a/src/net/parts/plans.rs
+++ b/src/net/parts/plans.rs
@@ -27,7 +27,7 @@
 use super::super::journal::AcceptedMessage;
 use super::Part;
 use super::estimate::EstimatePart;
-use super::status::{StatusPart, refused};
+use super::status::{StatusPart, rejected};
 
 /// Maximum number of reads under way.
 const MAX_READS: usize = 64;
@@ -36,23 +36,23 @@
 const MARGIN: Micros = 30_000;
 /// Extra cost of reading at a sender that is not a chosen replica of the log, microseconds: the time that a
 /// detour takes if that sender does not answer in time.
-const NOT_CHOSEN: Micros = 150_000;
+const NOT_REPLICA_COST: Micros = 150_000;
 /// How often a read that waits for a share of its tenant's budget checks for it, microseconds.
-const LOOK_EVERY: Micros = 20_000;
+const BUDGET_CHECK_INTERVAL: Micros = 20_000;
 /// Number of candidate replicas of a log that are considered besides its owner. A replica further down the
 /// order, chosen because too many better candidates are away, is not queried.
-const KEEPERS: usize = MAX_HOLDERS - 1;
-/// Stands for an owner's current incarnation, whichever it is. Real incarnations are drawn from 1 on.
+const MAX_CANDIDATES: usize = MAX_HOLDERS - 1;
+/// Stands for an owner's current generation, whichever it is. Real generations are drawn from 1 on.
 const ANY_GENERATION: Generation = Generation(0);
 
 /// An answer of the index, with its rows and what it states about them.
-type Rows = Rc<Answer>;
+type SharedAnswer = Rc<Answer>;
 
 /// The other parts that a read needs: the index, the facts of the membership view, and the estimates.
-type Around<'a> = (&'a mut StatusPart, Option<&'a MembershipView>, &'a mut EstimatePart);
+type Context<'a> = (&'a mut StatusPart, Option<&'a MembershipView>, &'a mut EstimatePart);
 
 /// A read that is admitted by its plan and waits for its tenant's budget.
-struct Asked {
+struct QueuedRead {
     query: Query,
     plan: Plan,
     token: Token,
@@ -64,8 +64,8 @@
 }
 
 /// A read under way.
-struct Under {
-    core: Read<Rows>,
+struct ActiveRead {
+    core: Read<SharedAnswer>,
     query: Query,
     plan: String,
     token: Token,
@@ -75,13 +75,13 @@
     cut: Option<LimitExceeded>,
     begun: Micros,
     reply: oneshot::Sender<Reply>,
-    told: Vec<LogRead>,
+    log_reads: Vec<LogRead>,
     touched: Vec<Touched>,
     missing: Vec<Missing>,
 }
 
 /// A query to the index: the read that it belongs to, and which log is queried at which sender.
-struct Out {
+struct IndexQuery {
     read: u64,
     logs: Vec<(LogId, Need, Rank, u32)>,
 }
@@ -90,17 +90,17 @@
 pub struct PlansPart {
     plans: Plans,
     /// Whether the section is present. If it is removed, reads under way still complete.
-    on: bool,
+    enabled: bool,
     own: Rank,
     size: usize,
     tier: u32,
     next: u64,
-    under: BTreeMap<u64, Under>,
-    out: BTreeMap<u64, Out>,
+    active: BTreeMap<u64, ActiveRead>,
+    queries: BTreeMap<u64, IndexQuery>,
     /// Reads that wait for a share of their tenant's budget, at most [`MAX_READS`] together with those under
     /// way, and when they check again.
-    waiting: Vec<Asked>,
-    look_at: Micros,
+    waiting: Vec<QueuedRead>,
+    check_at: Micros,
 }
 
 impl PlansPart {
@@ -110,33 +110,33 @@
         config.status.as_ref()?;
         let own = config.rank()?;
         let tier = config.membership.as_ref().map_or(0, |membership| tier_of(&membership.tier));
-        let (under, out) = (BTreeMap::new(), BTreeMap::new());
+        let (active, queries) = (BTreeMap::new(), BTreeMap::new());
         let size = config.peers.len();
         let (plans, waiting) = (Plans::new(section), Vec::new());
-        Some(Self { plans, on: true, own, size, tier, next: 0, under, out, waiting, look_at: 0 })
+        Some(Self { plans, enabled: true, own, size, tier, next: 0, active, queries, waiting, check_at: 0 })
     }
 
     /// Applies a changed configuration.
-    pub fn adopt(&mut self, config: &Config) {
-        self.on = config.plans.is_some();
+    pub fn apply_config(&mut self, config: &Config) {
+        self.enabled = config.plans.is_some();
         self.plans.adopt(config.plans.clone().unwrap_or_default());
     }
 
     /// Whether the section is present.
     pub fn is_on(&self) -> bool {
-        self.on
+        self.enabled
     }
 
     /// The session token that a client gets with its 202, if its tenant's plan has sessions and the message
     /// is in the index.
-    pub fn token(&self, taken: &AcceptedMessage, indexing: &StatusPart) -> Option<String> {
-        let tenant = taken.owner.as_deref().unwrap_or_default();
-        if !self.on || !self.plans.entitled(tenant) {
+    pub fn token(&self, message: &AcceptedMessage, status: &StatusPart) -> Option<String> {
+        let tenant = message.owner.as_deref().unwrap_or_default();
+        if !self.enabled || !self.plans.entitled(tenant) {
             return None;
         }
-        let held = indexing.core.log().table().get(&key_of(tenant, &taken.id))?;
+        let held = status.core.log().table().get(&key_of(tenant, &message.id))?;
         let mut token = Token::default();
-        token.observe(indexing.core.own_log(), held.number);
+        token.observe(status.core.own_log(), held.number);
         Some(token.text(self.tier))
     }
 
@@ -146,7 +146,7 @@
         call: StatusCall,
         (now, within): (Micros, Micros),
         reply: oneshot::Sender<Reply>,
-        around: Around<'_>,
+        context: Context<'_>,
     ) {
         let StatusCall { query, token, route, estimate } = call;
         let admitted = self.plans.admit(&query.tenant, token.as_deref(), self.tier, now);
@@ -155,84 +155,84 @@
             Err(denied) => {
                 let (tenant, code) = (&query.tenant, denied.code());
                 tracing::info!(tenant, code, "read denied");
-                return drop(reply.send(denial(&denied)));
+                return drop(reply.send(denial_reply(&denied)));
             }
         };
-        if self.under.len() + self.waiting.len() >= MAX_READS {
-            return drop(reply.send(refused(&QueryRejected::Busy)));
+        if self.active.len() + self.waiting.len() >= MAX_READS {
+            return drop(reply.send(rejected(&QueryRejected::Busy)));
         }
         let shows = (route, route || estimate);
-        let asked = Asked { query, plan, token, shows, begun: now, within, reply };
-        self.take_on(asked, now, around);
+        let queued = QueuedRead { query, plan, token, shows, begun: now, within, reply };
+        self.start_or_queue(queued, now, context);
     }
 
     /// Denies a read and replies with the reason.
-    fn deny(&mut self, asked: Asked, denied: &Denied) {
-        let (tenant, code) = (&asked.query.tenant, denied.code());
+    fn deny(&mut self, queued: QueuedRead, denied: &Denied) {
+        let (tenant, code) = (&queued.query.tenant, denied.code());
         tracing::info!(tenant, code, "read denied");
         self.plans.denied(tenant);
         // The send fails if the caller is gone.
-        let _ = asked.reply.send(denial(denied));
+        let _ = queued.reply.send(denial_reply(denied));
     }
 
     /// Begins a read if its estimate and its tenant's budget allow it, or queues it until the requested share
     /// of the budget arrives.
-    fn take_on(&mut self, mut asked: Asked, now: Micros, around: Around<'_>) {
-        let name = self.plans.of(&asked.query.tenant).0.to_owned();
-        let estimating = around.2;
-        let begun = ChargedQuery::begin(&mut estimating.core, now, &asked.query);
+    fn start_or_queue(&mut self, mut queued: QueuedRead, now: Micros, context: Context<'_>) {
+        let name = self.plans.of(&queued.query.tenant).0.to_owned();
+        let estimator = context.2;
+        let begun = ChargedQuery::begin(&mut estimator.core, now, &queued.query);
         // Sends the budget messages now.
-        estimating.wake_now(now);
+        estimator.wake_now(now);
         let charged = match begun {
             Ok(charged) => charged,
             Err(decided) => {
                 if let Decision::Later { after, .. } = decided.decision {
-                    let until = asked.begun + asked.within.min(Micros::from(asked.plan.wait_ms) * 1000);
+                    let until = queued.begun + queued.within.min(Micros::from(queued.plan.wait_ms) * 1000);
                     let comes = after <= REQUEST_INTERVAL || now.saturating_add(after) <= until;
-                    if now < until && comes && !asked.reply.is_closed() {
-                        self.look_at = now + LOOK_EVERY;
-                        self.waiting.push(asked);
+                    if now < until && comes && !queued.reply.is_closed() {
+                        self.check_at = now + BUDGET_CHECK_INTERVAL;
+                        self.waiting.push(queued);
                         return;
                     }
-                    estimating.core.count_later();
+                    estimator.core.count_later();
                 }
-                let denied = denied(name, &asked.plan, &decided);
-                return self.deny(asked, &denied);
+                let denied = denied(name, &queued.plan, &decided);
+                return self.deny(queued, &denied);
             }
         };
         if let Decision::Narrowed { from, reason } = charged.decided.decision {
-            let seen = asked.token.overflowed() || asked.token.logs().next().is_some();
-            if seen && asked.plan.otherwise == Fallback::Refuse {
+            let seen = queued.token.overflowed() || queued.token.logs().next().is_some();
+            if seen && queued.plan.otherwise == Fallback::Refuse {
                 // What the session has already seen must not be left out.
-                let estimate = estimating.core.predict(now, &asked.query);
+                let estimate = estimator.core.predict(now, &queued.query);
                 let whole = Decided { decision: Decision::Refused { reason }, estimate };
-                let denied = denied(name, &asked.plan, &whole);
-                charged.end(&mut estimating.core, now, Ok(None));
-                return self.deny(asked, &denied);
+                let denied = denied(name, &queued.plan, &whole);
+                charged.end(&mut estimator.core, now, Ok(None));
+                return self.deny(queued, &denied);
             }
-            asked.query.from = from;
+            queued.query.from = from;
         }
-        let Asked { query, plan, token, shows, begun, within, reply } = asked;
+        let QueuedRead { query, plan, token, shows, begun, within, reply } = queued;
         let within = within.saturating_sub(now.saturating_sub(begun));
-        let around = (around.0, around.1, estimating);
-        let logs = self.logs(&token, around.0, now);
+        let context = (context.0, context.1, estimator);
+        let logs = self.logs(&token, context.0, now);
         let core = match Read::begin(&plan, token.clone(), logs.iter().copied(), now, within) {
             Ok(core) => core,
-            Err(wide) => {
-                charged.end(&mut around.2.core, now, Ok(None));
+            Err(too_wide) => {
+                charged.end(&mut context.2.core, now, Ok(None));
                 let remedy = "query by ids, or for a shorter time range";
                 return drop(reply.send(Reply::error_with_code(
                     StatusCode::BAD_REQUEST,
                     "read_wide",
-                    wide,
+                    too_wide,
                     remedy,
                 )));
             }
         };
         let plan = name;
-        let (told, touched, missing) = (Vec::new(), Vec::new(), Vec::new());
+        let (log_reads, touched, missing) = (Vec::new(), Vec::new(), Vec::new());
         let cut = None;
-        let under = Under {
+        let active = ActiveRead {
             core,
             query,
             plan,
@@ -243,20 +243,20 @@
             cut,
             begun,
             reply,
-            told,
+            log_reads,
             touched,
             missing,
         };
         self.next += 1;
-        self.under.insert(self.next, under);
-        self.advance(now, Vec::new(), around);
+        self.active.insert(self.next, active);
+        self.advance(now, Vec::new(), context);
     }
 
     /// The logs that a read consists of: those that its token names, and the current log of each owner,
-    /// whichever its incarnation is, unless the token names the only log of that owner known here.
-    fn logs(&self, token: &Token, indexing: &StatusPart, now: Micros) -> Vec<LogId> {
-        let positions = indexing.core.positions(now);
-        let hints = indexing.core.hints().values();
+    /// whichever its generation is, unless the token names the only log of that owner known here.
+    fn logs(&self, token: &Token, status: &StatusPart, now: Micros) -> Vec<LogId> {
+        let positions = status.core.positions(now);
+        let hints = status.core.hints().values();
         let mut known: BTreeMap<Rank, Vec<LogId>> = BTreeMap::new();
         for log in positions.keys().chain(hints.flat_map(BTreeMap::keys)) {
             let of = known.entry(log.owner).or_default();
@@ -275,53 +275,54 @@
     }
 
     /// Advances all reads: checks answers of the index, and queries the logs that are still open.
-    pub fn advance(&mut self, now: Micros, answers: Vec<(u64, Answer)>, around: Around<'_>) {
-        let (indexing, facts, estimating) = around;
+    pub fn advance(&mut self, now: Micros, answers: Vec<(u64, Answer)>, context: Context<'_>) {
+        let (status, view, estimator) = context;
         for (number, answer) in answers {
             self.answered(number, answer);
         }
-        let numbers: Vec<u64> = self.under.keys().copied().collect();
+        let numbers: Vec<u64> = self.active.keys().copied().collect();
         for number in numbers {
-            let Some(under) = self.under.get_mut(&number) else { continue };
-            let (logs, here) = holders(&under.logs, self.own, indexing, now);
-            if let Err(cut) = under.charged.check()
-                && !under.core.is_over()
+            let Some(active) = self.active.get_mut(&number) else { continue };
+            let (logs, here) = holders(&active.logs, self.own, status, now);
+            if let Err(cut) = active.charged.check()
+                && !active.core.is_over()
             {
-                under.core.cut();
-                under.cut = Some(cut);
+                active.core.cut();
+                active.cut = Some(cut);
             }
             let own = self.own;
-            let owners: BTreeSet<Rank> = under.logs.iter().map(|log| log.owner).collect();
+            let owners: BTreeSet<Rank> = active.logs.iter().map(|log| log.owner).collect();
             let chosen: BTreeMap<Rank, Vec<Rank>> =
-                owners.into_iter().map(|owner| (owner, indexing.core.replicas_of(owner))).collect();
+                owners.into_iter().map(|owner| (owner, status.core.replicas_of(owner))).collect();
             let cost = |rank: Rank, log: LogId| {
                 let of = chosen.get(&log.owner).is_some_and(|of| of.contains(&rank)) || rank == log.owner;
-                let more = if of || rank == own { 0 } else { NOT_CHOSEN };
-                estimating.core.price(now, rank).saturating_add(more)
+                let more = if of || rank == own { 0 } else { NOT_REPLICA_COST };
+                estimator.core.price(now, rank).saturating_add(more)
             };
-            let world = RouteContext { own, here: &here, facts, logs: &logs, cost: &cost, busy: &|_| false };
-            let asks = under.core.step(now, &world);
-            if under.core.is_over() {
-                if let Some(under) = self.under.remove(&number) {
-                    self.end(under, now, estimating);
+            let world =
+                RouteContext { own, here: &here, facts: view, logs: &logs, cost: &cost, busy: &|_| false };
+            let asks = active.core.step(now, &world);
+            if active.core.is_over() {
+                if let Some(active) = self.active.remove(&number) {
+                    self.end(active, now, estimator);
                 }
-            } else if let Err(why) = self.ask(number, asks, now, indexing)
-                && let Some(under) = self.under.remove(&number)
+            } else if let Err(why) = self.ask(number, asks, now, status)
+                && let Some(active) = self.active.remove(&number)
             {
-                under.charged.end(&mut estimating.core, now, Ok(None));
+                active.charged.end(&mut estimator.core, now, Ok(None));
                 // The send fails if the caller is gone.
-                let _ = under.reply.send(refused(&why));
+                let _ = active.reply.send(rejected(&why));
             }
         }
     }
 
     /// Retries the reads that wait for budget.
-    pub fn update_view(&mut self, now: Micros, (indexing, facts, estimating): Around<'_>) {
-        if now < self.look_at {
+    pub fn update_view(&mut self, now: Micros, (status, view, estimator): Context<'_>) {
+        if now < self.check_at {
             return;
         }
-        for asked in std::mem::take(&mut self.waiting) {
-            self.take_on(asked, now, (&mut *indexing, facts, &mut *estimating));
+        for queued in std::mem::take(&mut self.waiting) {
+            self.start_or_queue(queued, now, (&mut *status, view, &mut *estimator));
         }
     }
 
@@ -332,16 +333,16 @@
         read: u64,
         asks: Vec<Ask>,
         now: Micros,
-        indexing: &mut StatusPart,
+        status: &mut StatusPart,
     ) -> Result<(), QueryRejected> {
-        let Some(under) = self.under.get(&read) else { return Ok(()) };
-        let mut batches: Vec<(Routes, Out, Micros)> = Vec::new();
+        let Some(active) = self.active.get(&read) else { return Ok(()) };
+        let mut batches: Vec<(Routes, IndexQuery, Micros)> = Vec::new();
         for Ask { number, to, logs, by } in asks {
             for (log, need) in logs {
                 let fits = |routes: &Routes| routes.0.get(&log.owner).is_none_or(|to_whom| to_whom == &[to]);
                 let at = batches.iter().position(|batch| fits(&batch.0)).unwrap_or(batches.len());
                 if at == batches.len() {
-                    batches.push((Routes::default(), Out { read, logs: Vec::new() }, by));
+                    batches.push((Routes::default(), IndexQuery { read, logs: Vec::new() }, by));
                 }
                 batches[at].0.0.insert(log.owner, vec![to]);
                 batches[at].1.logs.push((log, need, to, number));
@@ -349,42 +350,46 @@
         }
         for (routes, out, by) in batches {
             // A message's state is known only after all logs are joined, so the states are filtered later.
-            let query = Query { states: Vec::new(), ..under.query.clone() };
+            let query = Query { states: Vec::new(), ..active.query.clone() };
             let within = by.saturating_sub(now).saturating_sub(MARGIN).max(MARGIN);
-            let number = indexing.core.ask(now, query, routes, within)?;
-            self.out.insert(number, out);
+            let number = status.core.ask(now, query, routes, within)?;
+            self.queries.insert(number, out);
         }
         Ok(())
     }
 
     fn answered(&mut self, number: u64, answer: Answer) {
-        let Some(Out { read, logs }) = self.out.remove(&number) else { return };
-        let Some(under) = self.under.get_mut(&read) else { return };
-        under.charged.touched(&answer.touched);
+        let Some(IndexQuery { read, logs }) = self.queries.remove(&number) else { return };
+        let Some(active) = self.active.get_mut(&read) else { return };
+        active.charged.touched(&answer.touched);
         let answer = Rc::new(answer);
-        under.told.extend(answer.logs.iter().cloned());
-        under.touched.extend(answer.touched.iter().cloned());
-        under.missing.extend(answer.missing.iter().cloned());
-        for told in answer.logs.iter().filter(|told| !logs.iter().any(|asked| asked.0 == told.log)) {
-            if told.shown > 0 {
-                under.core.record_shown(told.log, told.shown.max(told.reached.upto));
+        active.log_reads.extend(answer.logs.iter().cloned());
+        active.touched.extend(answer.touched.iter().cloned());
+        active.missing.extend(answer.missing.iter().cloned());
+        for log_read in
+            answer.logs.iter().filter(|log_read| !logs.iter().any(|asked| asked.0 == log_read.log))
+        {
+            if log_read.shown > 0 {
+                active.core.record_shown(log_read.log, log_read.shown.max(log_read.reached.upto));
             }
         }
         for (log, need, from, number) in logs {
-            let (stated, shown) = stated(&answer, log, need, from);
-            under.core.answered((from, number), log, stated, (shown, answer.clone()));
+            let (holder_reply, shown) = holder_reply(&answer, log, need, from);
+            active.core.answered((from, number), log, holder_reply, (shown, answer.clone()));
         }
     }
 
-    fn end(&mut self, under: Under, now: Micros, estimating: &mut EstimatePart) {
-        let Under { core, query, plan, token, shows, begun, reply: to, told, touched, missing, .. } = under;
-        let (charged, cut) = (under.charged, under.cut);
+    fn end(&mut self, active: ActiveRead, now: Micros, estimator: &mut EstimatePart) {
+        let ActiveRead {
+            core, query, plan, token, shows, begun, reply: to, log_reads, touched, missing, ..
+        } = active;
+        let (charged, cut) = (active.charged, active.cut);
         let ended = core.ended();
         let (tenant, level, outcome) = (query.tenant.clone(), ended.level, ended.outcome);
         let tally = tally(&ended);
         let verdicts = ended.parts.iter().map(|part| part.verdict);
         self.plans.ended(&tenant, level, outcome, verdicts, tally);
-        let named = |verdict| named(&ended, verdict);
+        let named = |verdict| parts_with(&ended, verdict);
         let (lost, late) = (named(Verdict::Lost), named(Verdict::Late));
         let took_us = now.saturating_sub(begun);
         let Tally { here, asked, waits } = tally;
@@ -417,9 +422,9 @@
             read["token_without_lost"] = json!(without.text(self.tier));
         }
         let estimate = estimate(&charged);
-        let left_out = left_out(&charged.decided.decision);
-        if let Some(left_out) = &left_out {
-            read["left_out"] = left_out.clone();
+        let omitted = omitted(&charged.decided.decision);
+        if let Some(omitted) = &omitted {
+            read["left_out"] = omitted.clone();
         }
         if let Some(cut) = &cut {
             read["cut"] = json!(cut.to_string());
@@ -429,21 +434,21 @@
         }
         let session = (level == Level::Session).then(|| ended.token.text(self.tier));
         let mut whole = Ok(None);
-        touched.iter().for_each(|link| estimating.core.learned.link(link.server, link.took_us));
+        touched.iter().for_each(|link| estimator.core.learned.link(link.server, link.took_us));
         let mut reply = if let (Some(cut), Outcome::Refused) = (cut, outcome) {
             let (code, remedy) = ("plan_cut", "query by ids, for a shorter time range, or in several parts");
-            let told = json!({"code": code, "error": cut.to_string(), "remedy": remedy, "read": read});
-            Reply::new(StatusCode::PAYLOAD_TOO_LARGE, &told)
+            let body = json!({"code": code, "error": cut.to_string(), "remedy": remedy, "read": read});
+            Reply::new(StatusCode::PAYLOAD_TOO_LARGE, &body)
         } else if outcome == Outcome::Refused {
-            refusal(&lost, &late, &read)
+            incomplete_reply(&lost, &late, &read)
         } else {
             let oldest = ended.parts.iter().filter_map(|part| part.answer.as_ref());
             let oldest = oldest.map(|answer| answer.1.as_of).min();
             read["age_ms"] = json!(oldest.map(|oldest| now.saturating_sub(oldest) / 1000));
-            let mut answer = put_together(&query, &ended, (told, touched, missing));
+            let mut answer = combine(&query, &ended, (log_reads, touched, missing));
             answer.took_us = took_us;
             // A caller that looks at this field only must see that there may be more rows.
-            answer.partial |= left_out.is_some();
+            answer.partial |= omitted.is_some();
             if outcome == Outcome::Kept {
                 whole = Ok(Some((answer.rows.len() as u64, took_us)));
             }
@@ -454,7 +459,7 @@
             }
             Reply::ok(&body)
         };
-        charged.end(&mut estimating.core, now, cut.map_or(whole, Err));
+        charged.end(&mut estimator.core, now, cut.map_or(whole, Err));
         reply.token = session;
         // The send fails if the caller is gone.
         let _ = to.send(reply);
@@ -463,8 +468,8 @@
 
 impl Part for PlansPart {
     fn due(&self) -> Option<Micros> {
-        let looks = (!self.waiting.is_empty()).then_some(self.look_at);
-        self.under.values().filter_map(|under| under.core.due()).chain(looks).min()
+        let looks = (!self.waiting.is_empty()).then_some(self.check_at);
+        self.active.values().filter_map(|active| active.core.due()).chain(looks).min()
     }
 
     fn report(&self, _now: Micros) -> Value {
@@ -483,7 +488,7 @@
                 (name, plan)
             })
             .collect();
-        json!({"plans": plans, "reads": counts.collect::<Vec<_>>(), "under_way": self.under.len(),
+        json!({"plans": plans, "reads": counts.collect::<Vec<_>>(), "under_way": self.active.len(),
                "waiting": self.waiting.len(),
                "bounds": {"reads": MAX_READS, "tenants": limits::MAX_TENANTS}})
     }
@@ -491,9 +496,12 @@
 
 /// What a queried sender states about a log, by the answer of the index, and the position up to which the
 /// answer may have shown the log.
-fn stated(answer: &Answer, log: LogId, need: Need, from: Rank) -> (HolderReply, u64) {
-    let of: Vec<&LogRead> =
-        answer.logs.iter().filter(|told| told.log.owner == log.owner && told.server == from).collect();
+fn holder_reply(answer: &Answer, log: LogId, need: Need, from: Rank) -> (HolderReply, u64) {
+    let of: Vec<&LogRead> = answer
+        .logs
+        .iter()
+        .filter(|log_read| log_read.log.owner == log.owner && log_read.server == from)
+        .collect();
     let Some(first) = of.first() else {
         let silent = answer
             .missing
@@ -503,8 +511,8 @@
     };
     let owner = from == log.owner;
     if log.generation == ANY_GENERATION {
-        // An owner reports its current incarnation first. Positions shown are counted per log, not here.
-        let newest = of.iter().max_by_key(|told| told.reached.as_of).unwrap_or(first);
+        // An owner reports its current generation first. Positions shown are counted per log, not here.
+        let newest = of.iter().max_by_key(|log_read| log_read.reached.as_of).unwrap_or(first);
         return match owner {
             true => (HolderReply::Has(first.reached), 0),
             // The replica has no claim about the log yet.
@@ -512,17 +520,17 @@
             false => (HolderReply::Has(newest.reached), 0),
         };
     }
-    match of.iter().find(|told| told.log == log) {
-        // The owner has got back from replicas what they stored of its earlier incarnation. That may be
+    match of.iter().find(|log_read| log_read.log == log) {
+        // The owner has got back from replicas what they stored of its earlier generation. That may be
         // enough for the read, but it is not complete.
-        Some(told) if owner && first.log != log => match need {
-            Need::Upto(_) if need.met(log, from, told.reached) => {
-                (HolderReply::Has(told.reached), told.shown)
+        Some(log_read) if owner && first.log != log => match need {
+            Need::Upto(_) if need.met(log, from, log_read.reached) => {
+                (HolderReply::Has(log_read.reached), log_read.shown)
             }
-            _ => (HolderReply::Over, told.shown),
+            _ => (HolderReply::Over, log_read.shown),
         },
-        Some(told) if !owner && told.reached.as_of == 0 => (HolderReply::Nothing, told.shown),
-        Some(told) => (HolderReply::Has(told.reached), told.shown),
+        Some(log_read) if !owner && log_read.reached.as_of == 0 => (HolderReply::Nothing, log_read.shown),
+        Some(log_read) => (HolderReply::Has(log_read.reached), log_read.shown),
         None if owner => (HolderReply::Over, 0),
         None => (HolderReply::Nothing, 0),
     }
@@ -530,8 +538,8 @@
 
 /// The senders that may hold each log, with their positions: possible replicas by the index, and senders that
 /// have announced the log. Second, the positions of the logs in this sender.
-fn holders(logs: &[LogId], own: Rank, indexing: &StatusPart, now: Micros) -> (Vec<Log>, Positions) {
-    let index = &indexing.core;
+fn holders(logs: &[LogId], own: Rank, status: &StatusPart, now: Micros) -> (Vec<Log>, Positions) {
+    let index = &status.core;
     let positions = index.positions(now);
     let none = Watermark { upto: 0, as_of: 0 };
     let reached = |positions: &Positions, log: LogId| match log.generation {
@@ -543,7 +551,7 @@
     };
     let mut here = Positions::new();
     let holders = |log: &LogId| {
-        let mut ranks = index.candidates_of(log.owner, KEEPERS);
+        let mut ranks = index.candidates_of(log.owner, MAX_CANDIDATES);
         ranks.push(log.owner);
         ranks.extend(index.hints().iter().filter(|hint| reached(hint.1, *log).is_some()).map(|hint| *hint.0));
         ranks.sort_unstable();
@@ -563,7 +571,7 @@
     (all, here)
 }
 
-fn tally(ended: &Ended<Rows>) -> Tally {
+fn tally(ended: &Ended<SharedAnswer>) -> Tally {
     let mut tally = Tally::default();
     for hop in ended.parts.iter().flat_map(|part| &part.hops) {
         match hop.route {
@@ -576,12 +584,12 @@
     tally
 }
 
-fn named(ended: &Ended<Rows>, verdict: Verdict) -> Vec<Value> {
+fn parts_with(ended: &Ended<SharedAnswer>, verdict: Verdict) -> Vec<Value> {
     let parts = ended.parts.iter().filter(|part| part.verdict == verdict);
     parts.map(|part| json!({"log": part.log, "need": part.need})).collect()
 }
 
-fn routes(ended: &Ended<Rows>) -> Value {
+fn routes(ended: &Ended<SharedAnswer>) -> Value {
     let parts = ended.parts.iter().map(|part| {
         let answer = part.answer.as_ref();
         let (server, reached) = (answer.map(|answer| answer.0), answer.map(|answer| answer.1));
@@ -591,18 +599,18 @@
     Value::Array(parts.collect())
 }
 
-fn denial(denied: &Denied) -> Reply {
+fn denial_reply(denied: &Denied) -> Reply {
     let status = match denied {
         Denied::NoSession { .. } | Denied::Shards { .. } => StatusCode::FORBIDDEN,
         Denied::Token(_) => StatusCode::BAD_REQUEST,
         Denied::Rate { .. } | Denied::Later { .. } => StatusCode::TOO_MANY_REQUESTS,
         Denied::Bytes { .. } => StatusCode::PAYLOAD_TOO_LARGE,
     };
-    let mut told = json!({"code": denied.code(), "error": denied.to_string(), "remedy": denied.remedy()});
+    let mut body = json!({"code": denied.code(), "error": denied.to_string(), "remedy": denied.remedy()});
     if let Some(again_ms) = denied.again_ms() {
-        told["again_ms"] = json!(again_ms);
+        body["again_ms"] = json!(again_ms);
     }
-    Reply::new(status, &told)
+    Reply::new(status, &body)
 }
 
 /// The reason why a read does not run as requested.
@@ -621,7 +629,7 @@
 }
 
 /// What was left out of a narrowed read.
-fn left_out(decision: &Decision) -> Option<Value> {
+fn omitted(decision: &Decision) -> Option<Value> {
     match decision {
         Decision::Narrowed { from, reason } => Some(json!({"before": from, "reason": reason})),
         _ => None,
@@ -637,7 +645,7 @@
 }
 
 /// The error reply to a read that would have shown less than its plan requires.
-fn refusal(lost: &[Value], late: &[Value], read: &Value) -> Reply {
+fn incomplete_reply(lost: &[Value], late: &[Value], read: &Value) -> Reply {
     let (status, code, error, remedy) = if lost.is_empty() {
         let error = format!("{} logs did not reach the position that the plan requires in time", late.len());
         let remedy = "read again; if it persists, check which owners are unavailable, or allow tell-stale";
@@ -651,12 +659,12 @@
 }
 
 /// Combines the answers of a read into one.
-fn put_together(
+fn combine(
     query: &Query,
-    ended: &Ended<Rows>,
-    (told, touched, missing): (Vec<LogRead>, Vec<Touched>, Vec<Missing>),
+    ended: &Ended<SharedAnswer>,
+    (log_reads, touched, missing): (Vec<LogRead>, Vec<Touched>, Vec<Missing>),
 ) -> Answer {
-    let mut answers: Vec<&Rows> = Vec::new();
+    let mut answers: Vec<&SharedAnswer> = Vec::new();
     let mut reached: Vec<Rank> = Vec::new();
     for (owner, (_, _, rows)) in
         ended.parts.iter().filter_map(|part| Some((part.log.owner, part.answer.as_ref()?)))
@@ -700,9 +708,9 @@
         }
     }
     let mut logs: Vec<LogRead> = Vec::new();
-    for told in told {
-        if !logs.iter().any(|known| known.log == told.log && known.server == told.server) {
-            logs.push(told);
+    for log_read in log_reads {
+        if !logs.iter().any(|known| known.log == log_read.log && known.server == log_read.server) {
+            logs.push(log_read);
         }
     }
     Answer {
--- a/src/net/parts/status.rs
+++ b/src/net/parts/status.rs
@@ -24,10 +24,10 @@
 use super::{Out, Part};
 
 /// Pause before the first retry after a failed write; it doubles with each further failure.
-const AGAIN: Micros = 5_000_000;
+const RETRY_PAUSE: Micros = 5_000_000;
 /// Maximum pause between retries. Retries are rare because each one writes the whole log before a client's
 /// 202.
-const AGAIN_AT_MOST: Micros = 300_000_000;
+const MAX_RETRY_PAUSE: Micros = 300_000_000;
 /// Maximum size of a segment file, bytes; a longer file is treated as corrupt.
 const MAX_SEGMENT_LEN: u64 = 64 << 20;
 
@@ -38,15 +38,15 @@
     own: Rank,
     folder: PathBuf,
     /// The segment that is being written.
-    open: Option<(u64, File)>,
+    open_segment: Option<(u64, File)>,
     /// Time of the last failed write, and the pause after it.
-    failed: Option<(Micros, Micros)>,
+    last_failure: Option<(Micros, Micros)>,
     /// Callers that wait for the answer to a query, by its number.
     waiting: BTreeMap<u64, oneshot::Sender<Reply>>,
     /// Answers of this turn, for the comparison with estimates.
     pub answered: Vec<(u64, Answer)>,
     /// Answers to queries of other parts.
-    others: Vec<(u64, Answer)>,
+    other_answers: Vec<(u64, Answer)>,
 }
 
 fn segment(folder: &Path, at: u64) -> PathBuf {
@@ -56,9 +56,9 @@
 /// Stands for a segment that cannot be read: an empty frame, which is not a valid head. An empty segment
 /// would pass for one that was only created, and the numbers used in the unreadable one would be assigned
 /// again.
-const SPOILT: [u8; 8] = [0; 8];
+const CORRUPT_SEGMENT: [u8; 8] = [0; 8];
 
-/// The segments in the folder, oldest first. An unreadable one counts as corrupt and causes a new incarnation
+/// The segments in the folder, oldest first. An unreadable one counts as corrupt and causes a new generation
 /// of the log.
 fn segments(folder: &Path) -> io::Result<Vec<(u64, Vec<u8>)>> {
     let mut found = Vec::new();
@@ -68,7 +68,7 @@
         let Some(at) = at else { continue };
         let readable = file.metadata().is_ok_and(|data| data.len() <= MAX_SEGMENT_LEN);
         let bytes = if readable { fs::read(file.path()).ok() } else { None };
-        found.push((at, bytes.unwrap_or_else(|| SPOILT.to_vec())));
+        found.push((at, bytes.unwrap_or_else(|| CORRUPT_SEGMENT.to_vec())));
     }
     found.sort();
     Ok(found)
@@ -76,18 +76,18 @@
 
 /// Identifies the machine's current boot. After a reboot, data written before may not have reached the disk.
 /// If the boot id cannot be read, the machine counts as rebooted.
-fn boot() -> u64 {
+fn boot_id() -> u64 {
     match fs::read("/proc/sys/kernel/random/boot_id") {
         Ok(id) => {
             let (first, second) = id.split_at(id.len() / 2);
             u64::from(crc32fast::hash(first)) << 32 | u64::from(crc32fast::hash(second))
         }
-        Err(_) => chance(),
+        Err(_) => random_id(),
     }
 }
 
 /// A random number, unique among all processes of all senders.
-fn chance() -> u64 {
+fn random_id() -> u64 {
     RandomState::new().hash_one(std::process::id())
 }
 
@@ -96,71 +96,71 @@
     pub fn open(config: &Config, folder: &Path, now: Micros) -> Option<Self> {
         let section = config.status.as_ref()?;
         let own = config.rank()?;
-        let boot = boot();
+        let boot = boot_id();
         let read = segments(folder).unwrap_or_else(|e| {
             tracing::error!("cannot read the status index; starting an empty one: {e}");
             Vec::new()
         });
         let restored: Restored = restore(&read, boot, now);
         if !read.is_empty() && restored.life.is_none() {
-            tracing::warn!("the status index begins a new incarnation; reports of the old one may be lost");
+            tracing::warn!("the status index begins a new generation; reports of the old one may be lost");
         }
         let hosts: Vec<_> = config.peers.iter().map(|peer| peer.ip()).collect();
         let host = |ip| hosts.iter().position(|other| other == ip).and_then(|at| u32::try_from(at).ok());
         let tier = config.membership.as_ref().map_or(0, |membership| tier_of(&membership.tier));
         let place = Place { own, tier, hosts: hosts.iter().map(|ip| host(ip).unwrap_or(0)).collect() };
         let old = read.iter().map(|(at, _)| *at).collect();
-        let room = Self::room(section, config.disk);
-        let core = Index::new(section, place, restored, old, (room, boot), chance(), now);
+        let room = Self::max_bytes(section, config.disk);
+        let core = Index::new(section, place, restored, old, (room, boot), random_id(), now);
         let folder = folder.to_owned();
         Some(Self {
             core,
             own,
             folder,
-            open: None,
-            failed: None,
+            open_segment: None,
+            last_failure: None,
             waiting: BTreeMap::new(),
             answered: Vec::new(),
-            others: Vec::new(),
+            other_answers: Vec::new(),
         })
     }
 
     /// Maximum size of the index in the state folder, bytes: at most a quarter of `disk`, the limit of the
     /// whole folder.
-    pub fn room(section: &Section, disk: u64) -> u64 {
+    pub fn max_bytes(section: &Section, disk: u64) -> u64 {
         (u64::from(section.room_mb) * 1_000_000).min(disk / 4).max(MIN_ROOM)
     }
 
     /// Reconciles the index with the journal at startup. Messages pending in the journal are added to the
     /// index if its files were lost; messages pending in the index but not in the journal have ended.
-    pub fn reconcile<'a>(&mut self, live: impl Iterator<Item = &'a PendingMessage> + Clone, now: Micros) {
-        let owed: std::collections::BTreeSet<&str> =
-            live.clone().map(|live| live.accepted.id.as_str()).collect();
-        self.core.settle(now, |entry| owed.contains(entry.id.as_str()));
-        for live in live {
-            let tenant = live.accepted.owner.as_deref().unwrap_or_default();
-            if !self.core.contains(tenant, &live.accepted.id) {
-                let first = live.attempts.first().map(|attempt| attempt.at);
-                let since = live.replicated.as_ref().map(|(_, since)| *since).or(first).unwrap_or(now);
-                self.message_accepted(&live.accepted, since.min(now), 0);
+    pub fn reconcile<'a>(&mut self, pending: impl Iterator<Item = &'a PendingMessage> + Clone, now: Micros) {
+        let pending_ids: std::collections::BTreeSet<&str> =
+            pending.clone().map(|pending| pending.accepted.id.as_str()).collect();
+        self.core.settle(now, |entry| pending_ids.contains(entry.id.as_str()));
+        for pending in pending {
+            let tenant = pending.accepted.owner.as_deref().unwrap_or_default();
+            if !self.core.contains(tenant, &pending.accepted.id) {
+                let first = pending.attempts.first().map(|attempt| attempt.at);
+                let since = pending.replicated.as_ref().map(|(_, since)| *since).or(first).unwrap_or(now);
+                self.message_accepted(&pending.accepted, since.min(now), 0);
             }
-            if let Some(how) = live.given_up {
-                self.message_ended(&live.accepted, final_state(how), now);
+            if let Some(how) = pending.given_up {
+                self.message_ended(&pending.accepted, final_state(how), now);
             }
         }
     }
 
     /// Adds an accepted message: with epoch 0 if it was submitted here, with a later one if it was adopted
     /// from another sender.
-    pub fn message_accepted(&mut self, taken: &AcceptedMessage, at: Micros, epoch: u32) -> Option<u64> {
+    pub fn message_accepted(&mut self, message: &AcceptedMessage, at: Micros, epoch: u32) -> Option<u64> {
         self.core.accepted(Entry {
-            id: taken.id.clone(),
-            class: taken.class.clone(),
-            tenant: taken.owner.clone().unwrap_or_default(),
-            destination: taken.destination,
-            key: taken.key.as_ref().map(|key| crc32fast::hash(key.as_bytes())),
+            id: message.id.clone(),
+            class: message.class.clone(),
+            tenant: message.owner.clone().unwrap_or_default(),
+            destination: message.destination,
+            key: message.key.as_ref().map(|key| crc32fast::hash(key.as_bytes())),
             taken_at: at,
-            deadline: taken.deadline,
+            deadline: message.deadline,
             changed_at: at,
             attempts: 0,
             states: myrtleyard::status::States::default().with(State::Taken),
@@ -169,39 +169,41 @@
     }
 
     /// Records the start of a call for a message.
-    pub fn attempt_begun(&mut self, taken: &AcceptedMessage, attempt: u16, now: Micros) {
-        let tenant = taken.owner.as_deref().unwrap_or_default();
-        self.core.change(now, tenant, &taken.id, |entry| {
+    pub fn attempt_begun(&mut self, message: &AcceptedMessage, attempt: u16, now: Micros) {
+        let tenant = message.owner.as_deref().unwrap_or_default();
+        self.core.change(now, tenant, &message.id, |entry| {
             entry.states = entry.states.with(State::Calling);
             entry.attempts = entry.attempts.max(attempt.saturating_add(1));
         });
     }
 
     /// Records the end of a message.
-    pub fn message_ended(&mut self, taken: &AcceptedMessage, end: State, now: Micros) {
-        let tenant = taken.owner.as_deref().unwrap_or_default();
-        self.core.change(now, tenant, &taken.id, |entry| entry.states = entry.states.with(end));
+    pub fn message_ended(&mut self, message: &AcceptedMessage, end: State, now: Micros) {
+        let tenant = message.owner.as_deref().unwrap_or_default();
+        self.core.change(now, tenant, &message.id, |entry| entry.states = entry.states.with(end));
     }
 
     /// Writes the changes to the folder. They are not sent to any other sender before.
     pub fn store(&mut self, now: Micros) {
-        if self.core.is_not_persisted() && self.failed.is_none_or(|(at, pause)| now >= at + pause) {
+        if self.core.is_not_persisted() && self.last_failure.is_none_or(|(at, pause)| now >= at + pause) {
             self.core.resume_writing();
         }
         for step in self.core.write() {
-            if let Err(e) = self.carry_out(&step) {
+            if let Err(e) = self.execute(&step) {
                 tracing::error!("cannot write the status index; continuing in memory: {e}");
-                let pause = match self.failed {
+                let pause = match self.last_failure {
                     // A folder that occasionally accepts a few writes still counts as failing.
-                    Some((at, pause)) if now < at + pause + AGAIN_AT_MOST => (pause * 2).min(AGAIN_AT_MOST),
-                    _ => AGAIN,
+                    Some((at, pause)) if now < at + pause + MAX_RETRY_PAUSE => {
+                        (pause * 2).min(MAX_RETRY_PAUSE)
+                    }
+                    _ => RETRY_PAUSE,
                 };
-                self.failed = Some((now, pause));
-                self.open = None;
+                self.last_failure = Some((now, pause));
+                self.open_segment = None;
                 for step in self.core.write_failed(now) {
-                    // After a failed step, carrying out the others would leave an incarnation that looks
+                    // After a failed step, carrying out the others would leave a generation that looks
                     // complete.
-                    if let Err(e) = self.carry_out(&step) {
+                    if let Err(e) = self.execute(&step) {
                         tracing::error!("cannot remove the old files of the status index: {e}");
                         return;
                     }
@@ -211,16 +213,16 @@
         }
     }
 
-    fn carry_out(&mut self, step: &Step) -> io::Result<()> {
+    fn execute(&mut self, step: &Step) -> io::Result<()> {
         match step {
             Step::Begin(at, bytes) => {
                 let path = segment(&self.folder, *at);
                 let mut file = OpenOptions::new().create_new(true).append(true).open(path)?;
                 file.write_all(bytes)?;
-                self.open = Some((*at, file));
+                self.open_segment = Some((*at, file));
                 Ok(())
             }
-            Step::Append(at, bytes) => match &mut self.open {
+            Step::Append(at, bytes) => match &mut self.open_segment {
                 Some((open, file)) if open == at => file.write_all(bytes),
                 _ => Err(io::Error::other(format!("segment {at} of the status index is not open"))),
             },
@@ -238,8 +240,8 @@
     }
 
     /// Updates the membership view.
-    pub fn update_view(&mut self, facts: Option<MembershipView>) {
-        self.core.set_view(facts);
+    pub fn update_view(&mut self, view: Option<MembershipView>) {
+        self.core.set_view(view);
     }
 
     /// Writes the changes to the folder, replicates them, and delivers answers.
@@ -250,7 +252,7 @@
             match self.waiting.remove(&number) {
                 // The send fails if the caller is gone.
                 Some(waiting) => drop(waiting.send(Reply::ok(&answer))),
-                None => self.others.push((number, answer.clone())),
+                None => self.other_answers.push((number, answer.clone())),
             }
             self.answered.push((number, answer));
         }
@@ -258,12 +260,12 @@
 
     /// Takes the answers to queries of other parts.
     pub fn answers(&mut self) -> Vec<(u64, Answer)> {
-        std::mem::take(&mut self.others)
+        std::mem::take(&mut self.other_answers)
     }
 
     /// Whether there are answers to queries of other parts.
     pub fn has_answers(&self) -> bool {
-        !self.others.is_empty()
+        !self.other_answers.is_empty()
     }
 
     /// Queries the tier. The answer is sent to `reply` within the given time; the returned number identifies
@@ -282,7 +284,7 @@
                 Some(number)
             }
             Err(why) => {
-                drop(reply.send(refused(&why)));
+                drop(reply.send(rejected(&why)));
                 None
             }
         }
@@ -290,7 +292,7 @@
 }
 
 /// The reply to a rejected query.
-pub fn refused(why: &QueryRejected) -> Reply {
+pub fn rejected(why: &QueryRejected) -> Reply {
     let status = match why {
         QueryRejected::Busy => StatusCode::SERVICE_UNAVAILABLE,
         QueryRejected::Ids(_) | QueryRejected::Limit(_) => StatusCode::BAD_REQUEST,
--- a/src/net/parts/takeover.rs
+++ b/src/net/parts/takeover.rs
@@ -21,15 +21,15 @@
 pub struct TakeoverPart {
     /// The protocol.
     pub core: Takeover,
-    at: PathBuf,
+    path: PathBuf,
     /// Whether each sender, by rank, is on another host than this one.
-    elsewhere: Vec<bool>,
+    other_host: Vec<bool>,
     /// A promise has not been persisted yet; nothing is sent until it is.
-    unwritten: bool,
+    unsaved: bool,
 }
 
 /// A random number, unique among all processes of all senders.
-fn chance() -> u64 {
+fn random_id() -> u64 {
     RandomState::new().hash_one(std::process::id())
 }
 
@@ -38,21 +38,21 @@
     pub fn open(config: &Config, folder: &Path, now: Micros) -> Option<Self> {
         let section = config.takeover.as_ref()?;
         let own = config.rank()?;
-        let at = folder.join("promises");
-        let read = state_file::read(&at).map_err(|e| e.to_string());
+        let path = folder.join("promises");
+        let read = state_file::read(&path).map_err(|e| e.to_string());
         let read = read.and_then(|text| {
             text.map(|text| postcard::from_bytes(&text)).transpose().map_err(|e| e.to_string())
         });
-        let memory = read.unwrap_or_else(|e| {
+        let state = read.unwrap_or_else(|e| {
             tracing::error!("cannot read the promises to other senders; they count as forgotten: {e}");
             None
         });
-        let unwritten = memory.is_none();
-        let memory = memory.unwrap_or_else(|| DurableState { id: chance(), promises: BTreeMap::new() });
+        let unsaved = state.is_none();
+        let state = state.unwrap_or_else(|| DurableState { id: random_id(), promises: BTreeMap::new() });
         let host = |rank: usize| config.peers.get(rank).map(|peer| peer.ip());
-        let elsewhere = (0..config.peers.len()).map(|rank| host(rank) != host(own.into())).collect();
-        let core = Takeover::new(section, own, config.peers.len(), chance(), memory, now);
-        Some(Self { core, at, elsewhere, unwritten })
+        let other_host = (0..config.peers.len()).map(|rank| host(rank) != host(own.into())).collect();
+        let core = Takeover::new(section, own, config.peers.len(), random_id(), state, now);
+        Some(Self { core, path, other_host, unsaved })
     }
 
     /// Whether the next tick may choose backups.
@@ -61,22 +61,22 @@
     }
 
     /// Updates, from the membership view, which senders are suitable as backups.
-    pub fn update_view(&mut self, facts: Option<&MembershipView>) {
-        let fit = |(rank, elsewhere): (usize, &bool)| match facts.and_then(|facts| facts.members.get(rank)) {
-            _ if !elsewhere => BackupFitness::Unfit,
+    pub fn update_view(&mut self, view: Option<&MembershipView>) {
+        let fit = |(rank, other_host): (usize, &bool)| match view.and_then(|view| view.members.get(rank)) {
+            _ if !other_host => BackupFitness::Unfit,
             Some(MemberView { state: State::Dead | State::Left, .. }) => BackupFitness::Unfit,
             Some(MemberView { same_zone: true, .. }) => BackupFitness::Near,
             _ => BackupFitness::Far,
         };
-        self.core.set_backup_fitness(self.elsewhere.iter().enumerate().map(fit).collect());
+        self.core.set_backup_fitness(self.other_host.iter().enumerate().map(fit).collect());
     }
 
     /// Sends what is due, after the promises that it depends on are persisted.
     pub fn flush(&mut self, now: Micros, out: &mut Out) {
-        self.unwritten |= self.core.take_unsaved_state().is_some();
-        if self.unwritten {
+        self.unsaved |= self.core.take_unsaved_state().is_some();
+        if self.unsaved {
             let written = postcard::to_allocvec(self.core.durable_state()).map_err(std::io::Error::other);
-            self.unwritten = match written.and_then(|bytes| state_file::write(&self.at, &bytes)) {
+            self.unsaved = match written.and_then(|bytes| state_file::write(&self.path, &bytes)) {
                 Ok(()) => false,
                 Err(e) => {
                     tracing::error!("cannot persist the promises to other senders; none is sent: {e}");
@@ -84,7 +84,7 @@
                 }
             };
         }
-        if !self.unwritten {
+        if !self.unsaved {
             self.core.flush(now, out);
         }
     }
@@ -116,10 +116,10 @@
 
     fn report(&self, now: Micros) -> Value {
         let (groups, messages, bytes) = self.core.held_for_others();
-        let covers = self.core.current_backups(now).into_iter();
-        let covers: Vec<Value> =
-            covers.map(|(rank, heard)| json!({"rank": rank, "heard_ms": heard / 1000})).collect();
-        let mut report = json!({"lease_ms": self.core.lease() / 1000, "covers": covers,
+        let backups = self.core.current_backups(now).into_iter();
+        let backups: Vec<Value> =
+            backups.map(|(rank, heard)| json!({"rank": rank, "heard_ms": heard / 1000})).collect();
+        let mut report = json!({"lease_ms": self.core.lease() / 1000, "covers": backups,
                                 "held_for_others": {"lots": groups, "messages": messages, "bytes": bytes}});
         if let (Some(report), Ok(Value::Object(counts))) =
             (report.as_object_mut(), serde_json::to_value(&self.core.counts))
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -13,14 +13,14 @@
 use super::config::Config;
 
 /// Maximum size of a datagram; longer ones are neither sent nor received. Bytes.
-const NOTE_LIMIT: usize = 256;
+const MAX_DATAGRAM: usize = 256;
 
 /// The socket for datagrams to and from the other senders.
 pub struct Peers {
     socket: Rc<UdpSocket>,
     peers: Rc<RefCell<Vec<SocketAddr>>>,
-    strangers: Rc<Cell<u64>>,
-    all: Option<SocketAddr>,
+    unknown_senders: Rc<Cell<u64>>,
+    broadcast: Option<SocketAddr>,
     receiving: JoinHandle<()>,
 }
 
@@ -33,31 +33,31 @@
         let Some(listen) = config.peer_listen else { return Ok(None) };
         let socket = Rc::new(UdpSocket::bind(listen).await?);
         let peers = Rc::new(RefCell::new(config.peers.clone()));
-        let strangers = Rc::new(Cell::new(0));
-        let (from_peers, known, others) = (socket.clone(), peers.clone(), strangers.clone());
+        let unknown_senders = Rc::new(Cell::new(0));
+        let (from_peers, addresses, unknown) = (socket.clone(), peers.clone(), unknown_senders.clone());
         let receiving = tokio::task::spawn_local(async move {
-            let mut note = [0; NOTE_LIMIT + 1];
+            let mut datagram = [0; MAX_DATAGRAM + 1];
             loop {
                 // An error here reports an earlier datagram that could not be delivered.
-                let Ok((size, from)) = from_peers.recv_from(&mut note).await else {
+                let Ok((size, from)) = from_peers.recv_from(&mut datagram).await else {
                     tokio::task::yield_now().await;
                     continue;
                 };
-                let rank = known.borrow().iter().position(|peer| *peer == from);
+                let rank = addresses.borrow().iter().position(|peer| *peer == from);
                 let Some(rank) = rank.and_then(|rank| u16::try_from(rank).ok()) else {
-                    others.set(others.get() + 1);
+                    unknown.set(unknown.get() + 1);
                     continue;
                 };
-                if size > NOTE_LIMIT {
+                if size > MAX_DATAGRAM {
                     continue;
                 }
-                let told = Inbound::Datagram(rank, note[..size].to_vec());
-                if inbound.send(told).is_err() {
+                let event = Inbound::Datagram(rank, datagram[..size].to_vec());
+                if inbound.send(event).is_err() {
                     return;
                 }
             }
         });
-        Ok(Some(Self { socket, peers, strangers, all: config.peers_all, receiving }))
+        Ok(Some(Self { socket, peers, unknown_senders, broadcast: config.peers_all, receiving }))
     }
 
     /// Replaces the addresses of the senders of the tier.
@@ -67,7 +67,7 @@
 
     /// Number of datagrams dropped because their source is not a sender of the tier.
     pub fn unknown_senders(&self) -> u64 {
-        self.strangers.get()
+        self.unknown_senders.get()
     }
 
     /// Stops receiving and releases the address.
@@ -80,9 +80,9 @@
     pub fn send(&self, to: Option<u16>, content: &[u8]) {
         let address = match to {
             Some(rank) => self.peers.borrow().get(usize::from(rank)).copied(),
-            None => self.all,
+            None => self.broadcast,
         };
-        if let (Some(address), true) = (address, content.len() <= NOTE_LIMIT) {
+        if let (Some(address), true) = (address, content.len() <= MAX_DATAGRAM) {
             let _ = self.socket.try_send_to(content, address);
         }
     }
--- a/src/net/state_file.rs
+++ b/src/net/state_file.rs
@@ -18,10 +18,10 @@
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
         Err(e) => return Err(e),
     };
-    let spoilt = || io::Error::new(io::ErrorKind::InvalidData, "corrupt file: length or checksum mismatch");
-    let (head, content) = bytes.split_at_checked(HEAD).ok_or_else(spoilt)?;
+    let corrupt = || io::Error::new(io::ErrorKind::InvalidData, "corrupt file: length or checksum mismatch");
+    let (head, content) = bytes.split_at_checked(HEAD).ok_or_else(corrupt)?;
     let expected = [(content.len() as u32).to_le_bytes(), crc32fast::hash(content).to_le_bytes()].concat();
-    if head == expected { Ok(Some(content.to_vec())) } else { Err(spoilt()) }
+    if head == expected { Ok(Some(content.to_vec())) } else { Err(corrupt()) }
 }
 
 /// Replaces a file atomically: a process killed meanwhile leaves either the old file or the new one.
