--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -24,7 +24,7 @@
 
 /// A truncated file, or one with missing keys or invalid values, must not replace the settings in force.
 #[test]
-fn a_broken_file_is_turned_down_whole() -> Result<(), Box<dyn std::error::Error>> {
+fn invalid_file_is_rejected_as_a_whole() -> Result<(), Box<dyn std::error::Error>> {
     let whole = document();
     let text = whole.to_string();
     parsed(text.as_bytes(), Some(&whole))?;
@@ -58,7 +58,7 @@
 /// Messages under way refer to their class by position: its position and meaning must not change while it is
 /// in use.
 #[test]
-fn a_class_keeps_its_position_whatever_comes_and_goes() -> Result<(), Box<dyn std::error::Error>> {
+fn class_in_use_keeps_its_position_across_reloads() -> Result<(), Box<dyn std::error::Error>> {
     let first = parsed(document().to_string().as_bytes(), None)?;
     let mut changed = document();
     changed["settings"]["classes"][0]["effect"] = json!("once");
@@ -80,7 +80,7 @@
 /// The number of positions must not grow: after a thousand files, each with another class, there are as many
 /// as are in use.
 #[test]
-fn classes_that_nothing_is_held_for_leave_no_trace() -> Result<(), Box<dyn std::error::Error>> {
+fn positions_of_unused_classes_are_reused() -> Result<(), Box<dyn std::error::Error>> {
     let first = parsed(document().to_string().as_bytes(), None)?;
     let (mut settings, mut names) = (first.settings, first.names);
     for n in 1..1_000u64 {
@@ -124,14 +124,14 @@
 /// Found with 5,000 endpoints: the file was rejected for the length of its list, although discovery may send
 /// lists of any length.
 #[test]
-fn a_long_list_is_taken_and_left_out_of_the_document() -> Result<(), Box<dyn std::error::Error>> {
+fn long_list_is_accepted_and_left_out_of_the_document() -> Result<(), Box<dyn std::error::Error>> {
     let (short, whole) = (long(100), long(5000).to_string());
     assert!(whole.len() > check::MAX_DOCUMENT_BYTES);
     assert_eq!(list_version(&parsed(short.to_string().as_bytes(), None)?.known), (41, Some(100)));
     let config = parsed(whole.as_bytes(), Some(&short))?;
     assert_eq!(list_version(&config.known), (41, Some(5000)));
-    let said = config.document["known"]["endpoints"].as_str().ok_or("the list is not left out")?;
-    assert!(said.starts_with("5000 endpoints, CRC-32 "), "{said}");
+    let summary = config.document["known"]["endpoints"].as_str().ok_or("the list is not left out")?;
+    assert!(summary.starts_with("5000 endpoints, CRC-32 "), "{summary}");
     // Another list of the same length is a change; the same list is none.
     let other = whole.replace("10.0.0.1:9000", "10.0.0.2:9000");
     let changes = check::changes(&config.document, &parsed(other.as_bytes(), None)?.document);
@@ -143,17 +143,17 @@
 
 /// Faults of a long document, inside its list or elsewhere, are reported as for any other document.
 #[test]
-fn faults_of_a_long_document_are_told_by_key() -> Result<(), Box<dyn std::error::Error>> {
+fn faults_of_a_long_document_are_reported_by_key() -> Result<(), Box<dyn std::error::Error>> {
     let whole = long(5000).to_string();
     let keys = |text: &str| -> Vec<String> {
         let faults = check(text.as_bytes(), None).err().unwrap_or_default();
         faults.into_iter().map(|fault| fault.key).collect()
     };
     let last = whole.rfind("\"group\":4999").ok_or("the list has no last entry")?;
-    let spoilt = format!("{}\"group\":-1{}", &whole[..last], &whole[last + "\"group\":4999".len()..]);
-    assert_eq!(keys(&spoilt), ["known.endpoints"]);
+    let invalid = format!("{}\"group\":-1{}", &whole[..last], &whole[last + "\"group\":4999".len()..]);
+    assert_eq!(keys(&invalid), ["known.endpoints"]);
     assert_eq!(
-        keys(&spoilt.replace("\"try_limit\":6", "\"try_limit\":0")),
+        keys(&invalid.replace("\"try_limit\":6", "\"try_limit\":0")),
         ["settings.limits.try_limit", "known.endpoints"]
     );
     assert_eq!(keys(&whole.replace("\"seed\":\"1\"", "\"seed\":3")), ["seed"]);
@@ -170,16 +170,16 @@
 
 /// A list beyond its bounds is rejected with the same remedy as one from discovery.
 #[test]
-fn a_list_beyond_its_bounds_says_what_can_be_done() -> Result<(), Box<dyn std::error::Error>> {
+fn list_beyond_its_bounds_is_rejected_with_a_remedy() -> Result<(), Box<dyn std::error::Error>> {
     let whole = long(5000).to_string();
     let bounds = Bounds { bytes: 10, ..Bounds::default() };
     let faults = split::split(whole.as_bytes(), &bounds).err().unwrap_or_default();
-    let told = faults.first().ok_or("it is accepted")?.to_string();
-    assert!(told.contains("over 262154 bytes") && told.contains("known.endpoints"), "{told}");
+    let error = faults.first().ok_or("it is accepted")?.to_string();
+    assert!(error.contains("over 262154 bytes") && error.contains("known.endpoints"), "{error}");
     let apart = split::split(whole.as_bytes(), &Bounds::default()).map_err(|faults| faults[0].to_string())?;
     let list = apart.list.ok_or("the document has no list")?;
-    let spoilt = [&list[..list.len() - 1], b"!"].concat();
-    let told = split::read(&spoilt, 41, &Bounds::default()).err().ok_or("it is accepted")?.to_string();
-    assert!(told.contains("list.malformed") && told.contains("look at what discovery answers"), "{told}");
+    let invalid = [&list[..list.len() - 1], b"!"].concat();
+    let error = split::read(&invalid, 41, &Bounds::default()).err().ok_or("it is accepted")?.to_string();
+    assert!(error.contains("list.malformed") && error.contains("look at what discovery answers"), "{error}");
     Ok(())
 }
--- a/src/net/errors/tests.rs
+++ b/src/net/errors/tests.rs
@@ -17,7 +17,7 @@
 use super::*;
 
 /// Codes of error replies without an error type of their own, with the source file that produces them.
-const BARE: [(&str, &[&str]); 2] = [
+const UNTYPED: [(&str, &[&str]); 2] = [
     (include_str!("../driver/status_index.rs"), &["status-off", "plans-off"]),
     (include_str!("../parts/plans.rs"), &["read_wide", "read_late", "read_lost", "plan_cut"]),
 ];
@@ -33,7 +33,7 @@
 
 /// The page must list every error code of the sender, and no others.
 #[test]
-fn the_page_has_every_code_of_the_sender() {
+fn operations_page_lists_every_error_code_of_the_sender() {
     let own = [
         StartError::CODES,
         CallError::CODES,
@@ -54,7 +54,7 @@
         &status(),
     ];
     let mut own: BTreeSet<&str> = own.concat().into_iter().collect();
-    for (source, codes) in BARE {
+    for (source, codes) in UNTYPED {
         assert!(codes.iter().all(|code| source.contains(&format!("\"{code}\""))), "{codes:?}");
         own.extend(codes);
     }
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -15,7 +15,7 @@
 
 /// A serving process must not hand over to a peer that connects to the socket but is no successor.
 #[tokio::test(start_paused = true)]
-async fn only_who_asks_for_it_takes_over() -> io::Result<()> {
+async fn only_a_peer_that_sends_the_request_becomes_successor() -> io::Result<()> {
     let folder = tempfile::tempdir()?;
     let asked = wait_for_successor(folder.path());
     let calls = async {
@@ -41,7 +41,7 @@
 
 /// A serving process must not give up its state to a successor that is gone or could not decode it.
 #[tokio::test]
-async fn only_what_can_be_read_and_has_a_reader_is_offered() -> io::Result<()> {
+async fn handover_is_not_prepared_for_a_closed_peer_or_an_oversized_state() -> io::Result<()> {
     let (here, there) = UnixStream::pair()?;
     drop(there);
     assert!(prepare_handover(here, &"all").await.is_err(), "the peer has closed");
@@ -50,14 +50,14 @@
         prepare_handover(here, &vec![0u8; MAX_FRAME as usize]).await.is_err(),
         "longer than the frame limit"
     );
-    let mut told = Vec::new();
-    assert_eq!(there.read_to_end(&mut told).await?, 0, "no part of it is written");
+    let mut received = Vec::new();
+    assert_eq!(there.read_to_end(&mut received).await?, 0, "no part of it is written");
     let (here, mut there) = UnixStream::pair()?;
     let PreparedHandover { mut stream, last } = prepare_handover(here, &"all").await?;
     let whole = frame(&"all")?;
-    let mut told = vec![0; whole.len() - 1];
-    there.read_exact(&mut told).await?;
-    assert_eq!(told, whole[..whole.len() - 1]);
+    let mut received = vec![0; whole.len() - 1];
+    there.read_exact(&mut received).await?;
+    assert_eq!(received, whole[..whole.len() - 1]);
     stream.write_all(&[last]).await?;
     assert_eq!(there.read_u8().await?, whole[whole.len() - 1]);
     Ok(())
@@ -65,7 +65,7 @@
 
 /// A serving process must not wait forever for a successor that reads nothing.
 #[tokio::test(start_paused = true)]
-async fn who_does_not_read_is_not_waited_for() -> io::Result<()> {
+async fn handover_to_a_peer_that_does_not_read_times_out() -> io::Result<()> {
     let (here, _there) = UnixStream::pair()?;
     let more_than_a_socket_holds = vec![0u8; 8 << 20];
     let begun = tokio::time::Instant::now();
--- a/src/net/journal/tests.rs
+++ b/src/net/journal/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn what_was_appended_is_read_back() -> io::Result<()> {
+fn appended_records_are_read_back() -> io::Result<()> {
     let folder = tempfile::tempdir()?;
     let mut journal = Journal::open(folder.path(), 1_000_000)?;
     journal.append(&[Record::Accepted(1, taken(3)), begun(1, 0), Record::Accepted(2, taken(0))])?;
@@ -41,7 +41,7 @@
 /// The effect in force when a message was accepted must survive a restart and a compaction. Records of older
 /// versions have none.
 #[test]
-fn what_repeating_does_is_kept_with_the_message() -> io::Result<()> {
+fn effect_survives_restart_and_compaction() -> io::Result<()> {
     let folder = tempfile::tempdir()?;
     let limit = 20_000;
     let mut journal = Journal::open(folder.path(), limit)?;
@@ -61,7 +61,7 @@
 /// A process killed during a write leaves a torn record. Earlier records must still be read, and so must
 /// records appended later.
 #[test]
-fn a_torn_tail_is_cut_off_wherever_it_was_torn() -> io::Result<()> {
+fn torn_tail_is_truncated_at_any_length() -> io::Result<()> {
     let folder = tempfile::tempdir()?;
     let path = folder.path().join("journal");
     Journal::open(folder.path(), 1_000_000)?.append(&[Record::Accepted(1, taken(3))])?;
@@ -85,7 +85,7 @@
 /// The old and the new file of a compaction together must stay within the disk limit, however many messages
 /// pass.
 #[test]
-fn the_files_stay_within_their_limit() -> io::Result<()> {
+fn old_and_new_file_together_stay_within_the_limit() -> io::Result<()> {
     let folder = tempfile::tempdir()?;
     let limit = 50_000;
     let mut journal = Journal::open(folder.path(), limit)?;
--- a/src/net/log/tests.rs
+++ b/src/net/log/tests.rs
@@ -3,7 +3,7 @@
 /// A burst of lines from one callsite must neither fill the disk nor slow the process down, and must not
 /// suppress lines of other callsites.
 #[test]
-fn a_storm_of_one_kind_is_bounded_and_told_and_hides_no_other() {
+fn burst_from_one_callsite_is_limited_counted_and_suppresses_no_other() {
     let (one, other) = (tracing::info_span!("one"), tracing::info_span!("other"));
     let kind = |span: &tracing::Span| span.metadata().map(tracing::Metadata::callsite);
     let bounded = RateLimiter::default();
--- a/src/net/mgmt/tests.rs
+++ b/src/net/mgmt/tests.rs
@@ -4,7 +4,7 @@
 
 /// Callers that occupy every connection and send nothing, or half a request, must not delay operators.
 #[tokio::test(start_paused = true)]
-async fn a_call_is_answered_within_a_second_behind_silent_callers() -> std::io::Result<()> {
+async fn call_behind_silent_callers_is_answered_within_a_second() -> std::io::Result<()> {
     let (inbound, _events) = tokio::sync::mpsc::unbounded_channel();
     let (_standing, standing) = watch::channel(ServiceState::InService);
     let listener = TcpListener::bind("127.0.0.1:0").await?;
@@ -24,9 +24,9 @@
             let begun = Instant::now();
             let mut caller = TcpStream::connect(address).await?;
             caller.write_all(b"GET /control/ready HTTP/1.1\r\nHost: mgmt\r\n\r\n").await?;
-            let mut told = String::new();
-            caller.read_to_string(&mut told).await?;
-            assert!(told.starts_with("HTTP/1.1 200 "), "{told}");
+            let mut response = String::new();
+            caller.read_to_string(&mut response).await?;
+            assert!(response.starts_with("HTTP/1.1 200 "), "{response}");
             assert!(begun.elapsed() < Duration::from_secs(1), "{:?}", begun.elapsed());
             Ok(())
         })
@@ -35,7 +35,7 @@
 
 /// An early answer must reach the operator although closing with an unread body would reset the connection.
 #[tokio::test]
-async fn an_answer_to_a_call_that_is_too_long_arrives_whole() -> std::io::Result<()> {
+async fn answer_to_an_oversized_call_arrives_complete() -> std::io::Result<()> {
     let (inbound, _events) = tokio::sync::mpsc::unbounded_channel();
     let (_standing, standing) = watch::channel(ServiceState::InService);
     let listener = TcpListener::bind("127.0.0.1:0").await?;
@@ -48,11 +48,11 @@
     local.spawn_local(Rc::new(Mgmt::new(standing, Rc::default(), Rc::default(), inbound)).listen(listener));
     local
         .run_until(async {
-            let mut told = String::new();
+            let mut response = String::new();
             let mut caller = TcpStream::from_std(caller)?;
-            caller.read_to_string(&mut told).await?;
+            caller.read_to_string(&mut response).await?;
             assert!(caller.take_error()?.is_none(), "no reset follows the end");
-            assert!(told.starts_with("HTTP/1.1 413 "), "{told}");
+            assert!(response.starts_with("HTTP/1.1 413 "), "{response}");
             Ok(())
         })
         .await
--- a/src/net/parts/start/tests.rs
+++ b/src/net/parts/start/tests.rs
@@ -29,12 +29,12 @@
     let folder = tempfile::tempdir()?;
     let open = |tier: &str, known, now| StartPart::open(&configured(tier, known)?, folder.path(), now);
     let from = |tier: &str, known, now| open(tier, known, now).and_then(|part| part.initial_list);
-    let kept = [listing("s-1"), listing("s-2")];
-    let Some(mut first) = open("x", 40, NOW) else { panic!("the part is off") };
+    let cached = [listing("s-1"), listing("s-2")];
+    let Some(mut first) = open("x", 40, NOW) else { panic!("the part is disabled") };
     assert_eq!((first.source, first.core.borrow().failed_starts()), ("none", 0));
-    first.list_received(NOW, 43, &kept);
+    first.list_received(NOW, 43, &cached);
     let Some(second) = from("x", 40, NOW + 1) else { panic!("the cached list is not used") };
-    assert_eq!((second.index, &second.endpoints[..]), (43, &kept[..]));
+    assert_eq!((second.index, &second.endpoints[..]), (43, &cached[..]));
     // Additions are stored only after a while; removals are stored at once.
     let mut later = vec![listing("s-1"), listing("s-2"), listing("s-3")];
     first.list_received(NOW + 2, 44, &later);
@@ -45,7 +45,7 @@
     later.remove(0);
     first.list_received(NOW + 4, 46, &later);
     assert_eq!(from("x", 40, NOW + 4).map(|from| from.endpoints), Some(later));
-    first.list_received(NOW + MIN_WRITE_INTERVAL + 4, 43, &kept);
+    first.list_received(NOW + MIN_WRITE_INTERVAL + 4, 43, &cached);
     assert!(from("y", 40, NOW).is_none() && from("x", 44, NOW).is_none());
     assert!(from("x", 40, NOW + 86_400_000_000).is_none() && from("x", 40, NOW - 86_400_000_000).is_none());
     // No process has completed its start yet; six were begun.
--- a/src/net/parts/status/tests.rs
+++ b/src/net/parts/status/tests.rs
@@ -16,10 +16,10 @@
 
 /// Numbers must not be assigned twice: a segment that cannot be read may contain any of them.
 #[test]
-fn a_segment_that_cant_be_read_makes_for_a_new_life() -> io::Result<()> {
-    let (Some(config), folder) = (configured(), tempfile::tempdir()?) else { panic!("the part is off") };
+fn unreadable_segment_starts_a_new_generation() -> io::Result<()> {
+    let (Some(config), folder) = (configured(), tempfile::tempdir()?) else { panic!("the part is disabled") };
     let open = || StatusPart::open(&config, folder.path(), 1_000_000);
-    let Some(mut first) = open() else { panic!("the part is off") };
+    let Some(mut first) = open() else { panic!("the part is disabled") };
     first.store(1_000_000);
     let life = first.core.own_log();
     assert_eq!(open().map(|part| part.core.own_log()), Some(life));
@@ -31,10 +31,10 @@
 
 /// A disk that stays full must not delay clients' answers: each retry writes the whole log.
 #[test]
-fn a_folder_that_stays_full_is_tried_ever_more_rarely() -> io::Result<()> {
-    let (Some(config), folder) = (configured(), tempfile::tempdir()?) else { panic!("the part is off") };
+fn writes_to_a_full_folder_are_retried_with_increasing_pauses() -> io::Result<()> {
+    let (Some(config), folder) = (configured(), tempfile::tempdir()?) else { panic!("the part is disabled") };
     let gone = folder.path().join("gone");
-    let Some(mut part) = StatusPart::open(&config, &gone, 0) else { panic!("the part is off") };
+    let Some(mut part) = StatusPart::open(&config, &gone, 0) else { panic!("the part is disabled") };
     (0..1_000).for_each(|second| part.store(second * 1_000_000));
     // Retries at 0, 5, 15, 35, 75, 155, 315, 615 and 915 s.
     assert_eq!(part.core.counts.renewed, 9);
--- a/src/net/state_file/tests.rs
+++ b/src/net/state_file/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_read_is_what_was_written_or_nothing() -> io::Result<()> {
+fn read_returns_the_written_content_or_an_error() -> io::Result<()> {
     let folder = tempfile::tempdir()?;
     let path = folder.path().join("marks");
     assert!(read(&path)?.is_none());
