--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -340,13 +340,13 @@
     {
         return Err(("draining.max_marks", format!("{max_marks}, which needs over a quarter of disk_mb,")));
     }
-    let own = raw.peer_listen.is_some_and(|own| raw.peers.contains(&own));
-    if raw.membership.is_some() && (!own || raw.peers.len() > membership::MAX_MEMBERS) {
+    let own_listed = raw.peer_listen.is_some_and(|own| raw.peers.contains(&own));
+    if raw.membership.is_some() && (!own_listed || raw.peers.len() > membership::MAX_MEMBERS) {
         let why = "a section with peers that lack peer_listen or number over 1,024".to_owned();
         return Err(("membership", why));
     }
     if raw.takeover.is_some() {
-        if !own || !(3..=membership::MAX_MEMBERS).contains(&raw.peers.len()) {
+        if !own_listed || !(3..=membership::MAX_MEMBERS).contains(&raw.peers.len()) {
             let why = "a section with peers that lack peer_listen or number under 3 or over 1,024".to_owned();
             return Err(("takeover", why));
         }
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -14,7 +14,8 @@
         "limits": {"disk_mb": 3}, "known": {},
         "settings": {
             "classes": [
-                {"name": "note", "effect": "by_key", "dedup_window_us": 9, "on_time_us": 5, "hard_limit_us": 9},
+                {"name": "note", "effect": "by_key", "dedup_window_us": 9, "on_time_us": 5,
+                 "hard_limit_us": 9},
                 {"name": "order", "effect": "once", "on_time_us": 5, "hard_limit_us": 9}],
             "family_info": {"calls_out": 8}, "period_us": 5,
             "limits": {"max_open": 100, "try_limit": 6, "connect_timeout_us": 7},
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -119,24 +119,24 @@
 /// Limits the lines of each callsite per window. The map is small, because callsites are places in the code.
 #[derive(Default)]
 struct RateLimiter {
-    kinds: Mutex<HashMap<Identifier, CallsiteRate>>,
+    callsites: Mutex<HashMap<Identifier, CallsiteRate>>,
 }
 
 impl RateLimiter {
     /// Whether a line from this callsite is written, and how many were suppressed before it.
-    fn admits(&self, kind: Identifier, now: Instant) -> (bool, u64) {
-        let Ok(mut kinds) = self.kinds.lock() else { return (true, 0) };
-        let kind = kinds.entry(kind).or_insert(CallsiteRate { since: now, lines: 0, suppressed: 0 });
+    fn admits(&self, callsite: Identifier, now: Instant) -> (bool, u64) {
+        let Ok(mut callsites) = self.callsites.lock() else { return (true, 0) };
+        let rate = callsites.entry(callsite).or_insert(CallsiteRate { since: now, lines: 0, suppressed: 0 });
         let mut suppressed = 0;
-        if now >= kind.since + WINDOW {
-            suppressed = kind.suppressed;
-            *kind = CallsiteRate { since: now, lines: 0, suppressed: 0 };
+        if now >= rate.since + WINDOW {
+            suppressed = rate.suppressed;
+            *rate = CallsiteRate { since: now, lines: 0, suppressed: 0 };
         }
-        if kind.lines == MAX_LINES {
-            kind.suppressed += 1;
+        if rate.lines == MAX_LINES {
+            rate.suppressed += 1;
             return (false, 0);
         }
-        kind.lines += 1;
+        rate.lines += 1;
         (true, suppressed)
     }
 }
--- a/src/net/mgmt.rs
+++ b/src/net/mgmt.rs
@@ -125,20 +125,20 @@
             }
             "/control/out-of-service" if post => match drain_time(request.uri().query()) {
                 Ok(None) => self.service(false).await,
-                Ok(within) => self.ask(ControlRequest::OutOfService(within)).await,
+                Ok(within) => self.forward(ControlRequest::OutOfService(within)).await,
                 Err(why) => to_response(Reply::call_error(&why)),
             },
             "/control/in-service" if post => self.service(true).await,
-            "/control/drain" if get => self.ask(ControlRequest::Drain).await,
-            "/control/endpoints" if get => self.ask(ControlRequest::Endpoints).await,
-            "/control/members" if get => self.ask(ControlRequest::Members).await,
-            "/control/takeover" if get => self.ask(ControlRequest::Takeover).await,
-            "/control/estimate" if get => self.ask(ControlRequest::Estimates).await,
+            "/control/drain" if get => self.forward(ControlRequest::Drain).await,
+            "/control/endpoints" if get => self.forward(ControlRequest::Endpoints).await,
+            "/control/members" if get => self.forward(ControlRequest::Members).await,
+            "/control/takeover" if get => self.forward(ControlRequest::Takeover).await,
+            "/control/estimate" if get => self.forward(ControlRequest::Estimates).await,
             "/control/estimate" if post => {
-                self.ask_with(request, |body| Ok(ControlRequest::Estimate(body.to_vec()))).await
+                self.forward_with_body(request, |body| Ok(ControlRequest::Estimate(body.to_vec()))).await
             }
-            "/control/status" if get => self.ask(ControlRequest::Status).await,
-            "/control/plans" if get => self.ask(ControlRequest::Plans).await,
+            "/control/status" if get => self.forward(ControlRequest::Status).await,
+            "/control/plans" if get => self.forward(ControlRequest::Plans).await,
             "/control/status/query" if post => {
                 let token = session_token(&request);
                 let wants =
@@ -149,7 +149,7 @@
                         Ok(query) => self.status(StatusCall { query, token, route, estimate }, begun).await,
                         Err(e) => to_response(Reply::call_error(&CallError::Query(e))),
                     },
-                    Err(no) => to_response(no),
+                    Err(reply) => to_response(reply),
                 }
             }
             path if get && path.starts_with(MESSAGE_STATUS_PATH) => {
@@ -161,12 +161,14 @@
                     None => to_response(Reply::call_error(&CallError::Message)),
                 }
             }
-            "/control/start" if get => self.ask(ControlRequest::Start).await,
+            "/control/start" if get => self.forward(ControlRequest::Start).await,
             "/control/endpoints/drain" if post => {
-                self.ask_with(request, |body| parse_json(body).map(ControlRequest::DrainEndpoints)).await
+                self.forward_with_body(request, |body| parse_json(body).map(ControlRequest::DrainEndpoints))
+                    .await
             }
             "/control/endpoints/restore" if post => {
-                self.ask_with(request, |body| parse_json(body).map(ControlRequest::RestoreEndpoints)).await
+                self.forward_with_body(request, |body| parse_json(body).map(ControlRequest::RestoreEndpoints))
+                    .await
             }
             "/control/config/check" if post => to_response(self.check(request).await),
             "/control/ready" | "/control/counters" | "/control/drain" | "/control/endpoints"
@@ -200,12 +202,12 @@
 
     /// Forwards a request to the driver and answers with its reply. While the process is starting there is no
     /// driver to ask.
-    async fn ask(&self, ask: ControlRequest) -> Response<Full<Bytes>> {
+    async fn forward(&self, control_request: ControlRequest) -> Response<Full<Bytes>> {
         if *self.standing.borrow() == ServiceState::Starting {
             return to_response(Reply::call_error(&CallError::Starting));
         }
         let (reply, replied) = oneshot::channel();
-        let _ = self.inbound.send(Inbound::Control(ask, reply));
+        let _ = self.inbound.send(Inbound::Control(control_request, reply));
         let gone = || Reply::call_error(&CallError::Stopping);
         to_response(replied.await.unwrap_or_else(|_| gone()))
     }
@@ -222,18 +224,18 @@
         to_response(replied.await.unwrap_or_else(|_| gone()))
     }
 
-    /// Like [`Mgmt::ask`], for a call with a body. Nothing is done before the whole body is read.
-    async fn ask_with(
+    /// Like [`Mgmt::forward`], for a call with a body. Nothing is done before the whole body is read.
+    async fn forward_with_body(
         &self,
         request: Request<Incoming>,
         read: impl FnOnce(&[u8]) -> Result<ControlRequest, CallError>,
     ) -> Response<Full<Bytes>> {
         match read_body(request, MAX_CALL_BODY).await {
             Ok(body) => match read(&body) {
-                Ok(ask) => self.ask(ask).await,
+                Ok(control_request) => self.forward(control_request).await,
                 Err(why) => to_response(Reply::call_error(&why)),
             },
-            Err(no) => to_response(no),
+            Err(reply) => to_response(reply),
         }
     }
 
@@ -241,7 +243,7 @@
     async fn check(&self, request: Request<Incoming>) -> Reply {
         let text = match read_body(request, check::MAX_DOCUMENT_BYTES).await {
             Ok(text) => text,
-            Err(no) => return no,
+            Err(reply) => return reply,
         };
         let in_force = self.in_force.borrow().clone();
         // Runs outside the event loop that serves clients: a large document takes milliseconds.
--- a/src/net/parts/estimate.rs
+++ b/src/net/parts/estimate.rs
@@ -127,11 +127,17 @@
 
     fn report(&self, now: Micros) -> Value {
         let (gossip, datagrams) = self.core.traffic();
-        let owners: Vec<Value> = self.core.known.all().map(|held| {
-            let catalogue = &held.catalogue;
-            json!({"owner": catalogue.log.owner, "upto": catalogue.version.upto, "age_ms": held.age(now) / 1000,
-                   "spans": catalogue.spans.len(), "summaries": held.summaries.len(), "over": held.over.is_some()})
-        }).collect();
+        let owners: Vec<Value> = self
+            .core
+            .known
+            .all()
+            .map(|held| {
+                let catalogue = &held.catalogue;
+                json!({"owner": catalogue.log.owner, "upto": catalogue.version.upto,
+                   "age_ms": held.age(now) / 1000, "spans": catalogue.spans.len(),
+                   "summaries": held.summaries.len(), "over": held.over.is_some()})
+            })
+            .collect();
         json!({"owners": owners, "bytes": self.core.known.bytes(), "gossip": gossip, "datagrams": datagrams,
                "queries": self.core.counts})
     }
--- a/src/net/parts/membership.rs
+++ b/src/net/parts/membership.rs
@@ -60,7 +60,8 @@
                "host": address.map(|address| address.ip().to_string()),
                "zone": self.zones.get(usize::from(member.record.zone)),
                "state": member.state, "for_ms": ago(member.since), "incarnation": member.record.incarnation,
-               "heard_ms": member.last_heard.map(ago), "news_ms": ago(member.last_updated), "accused_by": suspected_by})
+               "heard_ms": member.last_heard.map(ago), "news_ms": ago(member.last_updated),
+               "accused_by": suspected_by})
     }
 }
 
@@ -131,7 +132,8 @@
                "alive": count(State::Alive), "suspect": count(State::Suspect), "dead": count(State::Dead),
                "left": count(State::Left), "joining": count(State::Joining),
                "isolated": self.core.isolated(now), "minority": self.core.minority(),
-               "bounds_ms": {"accused_after": self.core.suspicion_timeout() / 1000, "stale_after": self.core.stale_after() / 1000},
+               "bounds_ms": {"accused_after": self.core.suspicion_timeout() / 1000,
+                             "stale_after": self.core.stale_after() / 1000},
                "own_stops": pauses, "stopped_ms": last_pause.map(ago), "datagrams": self.core.counts,
                "members": listed.collect::<Vec<_>>(), "changes": changes.collect::<Vec<_>>()})
     }
--- a/src/net/parts/mod.rs
+++ b/src/net/parts/mod.rs
@@ -160,7 +160,7 @@
             let answers = status.answers();
             if !answers.is_empty() || plans.due().is_some_and(|due| due <= now) {
                 let view = self.membership.as_ref().map(|membership| membership.view(now));
-                plans.update_view(now, (&mut *status, view.as_ref(), &mut *estimate));
+                plans.retry_waiting(now, (&mut *status, view.as_ref(), &mut *estimate));
                 plans.advance(now, answers, (status, view.as_ref(), estimate));
             }
         }
--- a/src/net/parts/plans.rs
+++ b/src/net/parts/plans.rs
@@ -317,7 +317,7 @@
     }
 
     /// Retries the reads that wait for budget.
-    pub fn update_view(&mut self, now: Micros, (status, view, estimator): Context<'_>) {
+    pub fn retry_waiting(&mut self, now: Micros, (status, view, estimator): Context<'_>) {
         if now < self.check_at {
             return;
         }
@@ -348,12 +348,12 @@
                 batches[at].1.logs.push((log, need, to, number));
             }
         }
-        for (routes, out, by) in batches {
+        for (routes, index_query, by) in batches {
             // A message's state is known only after all logs are joined, so the states are filtered later.
             let query = Query { states: Vec::new(), ..active.query.clone() };
             let within = by.saturating_sub(now).saturating_sub(MARGIN).max(MARGIN);
             let number = status.core.ask(now, query, routes, within)?;
-            self.queries.insert(number, out);
+            self.queries.insert(number, index_query);
         }
         Ok(())
     }
@@ -481,8 +481,9 @@
             .plans
             .in_force()
             .map(|(name, plan)| {
-                let plan = json!({"level": plan.level, "staleness_ms": plan.staleness_ms, "wait_ms": plan.wait_ms,
-                                  "or": plan.otherwise, "reads_per_s": plan.reads_per_s,
+                let plan = json!({"level": plan.level, "staleness_ms": plan.staleness_ms,
+                                  "wait_ms": plan.wait_ms, "or": plan.otherwise,
+                                  "reads_per_s": plan.reads_per_s,
                                   "queries_per_min": plan.queries_per_min, "shards": plan.shards,
                                   "bytes_per_min": plan.bytes_per_min});
                 (name, plan)
@@ -593,8 +594,8 @@
     let parts = ended.parts.iter().map(|part| {
         let answer = part.answer.as_ref();
         let (server, reached) = (answer.map(|answer| answer.0), answer.map(|answer| answer.1));
-        json!({"owner": part.log.owner, "life": part.log.generation, "need": part.need, "verdict": part.verdict,
-               "hops": part.hops, "server": server, "reached": reached})
+        json!({"owner": part.log.owner, "life": part.log.generation, "need": part.need,
+               "verdict": part.verdict, "hops": part.hops, "server": server, "reached": reached})
     });
     Value::Array(parts.collect())
 }
--- a/src/net/parts/start.rs
+++ b/src/net/parts/start.rs
@@ -257,7 +257,8 @@
         let (version, received_at) = core.list();
         let ago = |at: Micros| now.saturating_sub(at) / 1000;
         json!({"phase": phase, "for_ms": ago(since), "waits_for": core.waits_for(now),
-               "list": {"source": self.source, "version": version, "age_ms": received_at.or(self.cached_at).map(ago),
+               "list": {"source": self.source, "version": version,
+                        "age_ms": received_at.or(self.cached_at).map(ago),
                         "told_by_others_to_be_gone": core.hidden()},
                "calls": core.counts, "old_messages_waiting": core.backlog.left(),
                "starting": core.starters() as u64, "spread_ms": core.spread(now) / 1000,
--- a/src/net/parts/start/tests.rs
+++ b/src/net/parts/start/tests.rs
@@ -25,7 +25,7 @@
 /// A process starts from the cached list of an earlier one only if the file is intact, of this tier, recent
 /// enough, and not older than the configuration's list.
 #[test]
-fn a_kept_list_is_begun_from_or_left_out_and_early_ends_are_counted() -> std::io::Result<()> {
+fn cached_list_is_used_only_if_usable_and_failed_starts_are_counted() -> std::io::Result<()> {
     let folder = tempfile::tempdir()?;
     let open = |tier: &str, known, now| StartPart::open(&configured(tier, known)?, folder.path(), now);
     let from = |tier: &str, known, now| open(tier, known, now).and_then(|part| part.initial_list);
