--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -81,7 +81,7 @@
 }
 
 impl Counts {
-    fn of(&mut self, end: MessageEnd) -> &mut BTreeMap<String, u64> {
+    fn by_end(&mut self, end: MessageEnd) -> &mut BTreeMap<String, u64> {
         match end {
             MessageEnd::Answered => &mut self.answered,
             MessageEnd::Deferred => &mut self.deferred,
@@ -100,14 +100,14 @@
         let mut counts = self.0.borrow_mut();
         for end in [MessageEnd::Answered, MessageEnd::Deferred, MessageEnd::Errored] {
             for class in &names.classes {
-                counts.of(end).entry(class.clone()).or_default();
+                counts.by_end(end).entry(class.clone()).or_default();
             }
         }
     }
 
     /// Counts the end of a message of this class.
     pub fn count_ended(&self, class: &str, end: MessageEnd) {
-        *self.0.borrow_mut().of(end).entry(class.to_owned()).or_default() += 1;
+        *self.0.borrow_mut().by_end(end).entry(class.to_owned()).or_default() += 1;
     }
 
     /// Counts messages that were completely written to an endpoint.
--- a/src/net/parts/plans.rs
+++ b/src/net/parts/plans.rs
@@ -57,7 +57,7 @@
     plan: Plan,
     token: Token,
     /// Whether the answer is to contain routes, and the estimate.
-    shows: (bool, bool),
+    include: (bool, bool),
     begun: Micros,
     within: Micros,
     reply: oneshot::Sender<Reply>,
@@ -70,7 +70,7 @@
     plan: String,
     token: Token,
     logs: Vec<LogId>,
-    shows: (bool, bool),
+    include: (bool, bool),
     charged: ChargedQuery,
     cut: Option<LimitExceeded>,
     begun: Micros,
@@ -161,8 +161,8 @@
         if self.active.len() + self.waiting.len() >= MAX_READS {
             return drop(reply.send(rejected(&QueryRejected::Busy)));
         }
-        let shows = (route, route || estimate);
-        let queued = QueuedRead { query, plan, token, shows, begun: now, within, reply };
+        let include = (route, route || estimate);
+        let queued = QueuedRead { query, plan, token, include, begun: now, within, reply };
         self.start_or_queue(queued, now, context);
     }
 
@@ -212,7 +212,7 @@
             }
             queued.query.from = from;
         }
-        let QueuedRead { query, plan, token, shows, begun, within, reply } = queued;
+        let QueuedRead { query, plan, token, include, begun, within, reply } = queued;
         let within = within.saturating_sub(now.saturating_sub(begun));
         let context = (context.0, context.1, estimator);
         let logs = self.logs(&token, context.0, now);
@@ -238,7 +238,7 @@
             plan,
             token,
             logs,
-            shows,
+            include,
             charged,
             cut,
             begun,
@@ -381,7 +381,17 @@
 
     fn end(&mut self, active: ActiveRead, now: Micros, estimator: &mut EstimatePart) {
         let ActiveRead {
-            core, query, plan, token, shows, begun, reply: to, log_reads, touched, missing, ..
+            core,
+            query,
+            plan,
+            token,
+            include,
+            begun,
+            reply: to,
+            log_reads,
+            touched,
+            missing,
+            ..
         } = active;
         let (charged, cut) = (active.charged, active.cut);
         let ended = core.ended();
@@ -429,7 +439,7 @@
         if let Some(cut) = &cut {
             read["cut"] = json!(cut.to_string());
         }
-        if shows.0 {
+        if include.0 {
             read["routes"] = routes(&ended);
         }
         let session = (level == Level::Session).then(|| ended.token.text(self.tier));
@@ -454,7 +464,7 @@
             }
             let mut body = serde_json::to_value(&answer).unwrap_or_default();
             body["read"] = read;
-            if shows.1 {
+            if include.1 {
                 body["estimate"] = estimate;
             }
             Reply::ok(&body)
