--- a/src/channel/tests.rs
+++ b/src/channel/tests.rs
@@ -51,7 +51,7 @@
 /// Checks order and exactly-once delivery under loss, delay and duplication, for messages from zero bytes up
 /// to many segments.
 #[test]
-fn all_arrives_once_and_in_order() {
+fn messages_arrive_exactly_once_and_in_order() {
     for (seed, loss) in (0..12).zip([0.0, 0.05, 0.2, 0.4].into_iter().cycle()) {
         let mut pair = Pair::new(seed, loss);
         let messages: Vec<Vec<u8>> = (0..120).map(|n| vec![n as u8; pair.rng.usize(0..2_000)]).collect();
@@ -68,7 +68,7 @@
 
 /// Guards against datagrams sent by or to an earlier process: after a restart none of them is accepted.
 #[test]
-fn nothing_crosses_a_restart() {
+fn no_datagram_is_accepted_across_a_restart() {
     for seed in 0..12 {
         let mut pair = Pair::new(seed, 0.2);
         pair.sides[0].greet(5);
@@ -91,7 +91,7 @@
 
 /// Guards against datagrams that are truncated, corrupt, empty or from another tier.
 #[test]
-fn what_is_not_sound_is_dropped() {
+fn invalid_datagrams_are_dropped() {
     let mut other = Channel::new(TAKEOVER, 1, 9);
     other.greet(77);
     let mut sent = vec![];
--- a/src/drain/tests.rs
+++ b/src/drain/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn what_is_asked_for_is_done_as_a_whole_or_not_at_all() {
+fn drain_request_is_applied_as_a_whole_or_not_at_all() {
     let list = list(&[("a", 7, true), ("b", 7, true), ("c", 7, true)]);
     let marks = Marks::new(1).with(&names(&["a"]), false, 1, &list).unwrap();
     assert_eq!(marks.with(&names(&[]), true, 2, &list), Err(Refusal::Nothing));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_mark_is_laid_over_the_list_and_never_brings_back_what_discovery_took_out() {
+fn mark_drains_a_ready_endpoint_and_never_restores_a_removed_one() {
     let marks =
         Marks::new(8).with(&names(&["a"]), false, 1, &list(&[("a", 7, true), ("b", 7, true)])).unwrap();
     assert_eq!(marks.apply_to("a", Listing::Ready), Listing::Draining);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn marks_are_read_back_as_they_were_written() {
+fn stored_marks_round_trip() {
     let marks =
         Marks::new(8).with(&names(&["a", "b"]), true, 5, &list(&[("a", 7, true), ("b", 8, true)])).unwrap();
     assert_eq!(Marks::read(8, &marks.to_json()).unwrap(), marks);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn the_verdict_names_what_stands_in_the_way() {
+fn verdict_names_the_remaining_work() {
     let left = RemainingWork { owed: 3, calls_out: 1, clients: 2, unwritten: 0 };
     assert_eq!(left.verdict(true), "not yet: it is serving, 1 calls out, 2 clients connected");
     assert_eq!(left.state(false), State::Draining);
--- a/src/mesh/tests.rs
+++ b/src/mesh/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn messages_arrive_whole_and_in_order_though_every_third_datagram_is_lost() {
+fn messages_arrive_whole_and_in_order_when_every_third_datagram_is_lost() {
     let mut sides = pair();
     let messages: Vec<Vec<u8>> = (0..40).map(|n: u8| vec![n; 700]).collect();
     for message in &messages {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn whoever_never_answers_is_given_up_and_told_of_once() {
+fn silent_peer_is_dropped_and_reported_once() {
     let mut sides = pair();
     assert_eq!(sides[0].send(0, 1, b"anybody"), Ok(()));
     assert_eq!(play(&mut sides, 0, GIVEN_UP + 2_000, |_| true), Vec::<Vec<u8>>::new());
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_is_beyond_the_bounds_is_refused_and_named() {
+fn send_beyond_the_limits_is_rejected_with_a_reason() {
     let mut mesh = Mesh::new(STATUS, 0, 300, 9, 1);
     assert_eq!(mesh.send(0, 0, b"own"), Err(SendError::UnknownPeer(0)));
     assert_eq!(mesh.send(0, 300, b"none"), Err(SendError::UnknownPeer(300)));
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn all_faults_are_told_at_once_each_with_its_key_and_what_is_expected() {
+fn all_faults_are_reported_at_once_with_key_and_expectation() {
     assert_eq!(check::faults(&document()), []);
     let mut broken = document();
     broken["seed"] = json!("xyz");
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn what_is_no_document_is_told_as_one_fault() {
+fn invalid_document_is_reported_as_one_fault() {
     let text = document().to_string();
     let twice = text.replacen("\"seed\"", "\"seed\":\"1\",\"seed\"", 1);
     let deep = text.replacen("\"index\":1", "\"index\":1,\"index\":2", 1);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn changes_say_when_they_take_effect_and_what_they_mean() {
+fn changes_report_when_they_take_effect_and_what_they_affect() {
     let mut after = document();
     after["settings"]["limits"]["try_limit"] = json!(3);
     after["settings"]["classes"][1]["name"] = json!("bill");
@@ -128,7 +128,7 @@
     /// The validation terminates for any value at any place, and whatever it accepts, the policy module's own
     /// parser accepts too.
     #[test]
-    fn what_passes_the_check_can_be_read(at in any::<prop::sample::Index>(), kind in 0..9usize, remove in any::<bool>()) {
+    fn valid_document_can_be_parsed(at in any::<prop::sample::Index>(), kind in 0..9usize, remove in any::<bool>()) {
         let mut candidate = document();
         let mut all = vec![];
         places(&candidate, "", &mut all);
--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn what_fits_into_the_drain_is_delivered_and_nothing_outlasts_it() {
+fn messages_that_fit_into_the_drain_are_delivered_and_none_outlasts_it() {
     let mut s = warm();
     let before = s.sent.len();
     drain(&mut s, 2 * SECOND);
@@ -49,7 +49,7 @@
 
 /// A message that never ran and cannot be delivered within the drain must not wait for the drain's end.
 #[test]
-fn what_cannot_fit_and_never_ran_is_deferred_at_once_with_when_to_come_again() {
+fn unrun_message_that_cannot_fit_is_deferred_at_once_with_a_retry_time() {
     for (within, wait, why) in [
         (5 * SECOND, Some(6 * SECOND), "a wait outlasts the drain"),
         (SECOND / 100, None, "too little time for an answer"),
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn back_in_service_a_message_has_its_own_time_again() {
+fn message_regains_its_own_deadline_when_service_resumes() {
     let mut s = warm();
     s.handle(vec![Event::Changes(vec![listed(1, Listing::Draining)])]);
     s.handle(vec![Event::Service { wanted: false, until: None }]);
@@ -112,7 +112,7 @@
 
 /// Guards the breaker: that endpoints left and returned says nothing about a destination's health.
 #[test]
-fn an_endpoint_that_returns_finds_its_breaker_as_it_was() {
+fn returning_endpoint_keeps_its_breaker_state() {
     let mut s = warm();
     s.fail_calls(5, Outcome::Error);
     let before = s.sent.len();
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn all_that_start_cold_know_each_other_soon_and_a_crash_is_seen_by_all() {
+fn cold_started_members_converge_and_all_detect_a_crash() {
     for (size, seed, known, seen) in
         [(2, 1, 6, 0), (3, 2, 6, 8), (10, 3, 6, 8), (100, 4, 10, 10), (300, 5, 15, 12)]
     {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_a_member_costs_does_not_grow_with_the_tier() {
+fn datagrams_per_member_do_not_grow_with_tier_size() {
     let cost = |size| {
         let mut tier = settled(size, 5);
         let sent = |tier: &Tier| tier.members.iter().flatten().map(|m| m.counts.sent).sum::<u64>();
@@ -56,7 +56,7 @@
 
 /// Guards against false deaths: no running member is ever considered dead under heavy datagram loss.
 #[test]
-fn losses_kill_nobody() {
+fn datagram_loss_causes_no_false_death() {
     for (size, loss, seed) in [(5, 0.4, 1), (30, 0.05, 2), (30, 0.2, 3), (30, 0.4, 4), (100, 0.4, 5)] {
         let mut tier = settled(size, seed);
         tier.loss = loss;
@@ -72,7 +72,7 @@
 
 /// Guards the tier's views against a single bad link or a single bad member.
 #[test]
-fn a_bad_link_or_a_bad_member_accuses_nobody_for_the_tier() {
+fn bad_link_or_bad_member_causes_no_false_death() {
     type Cut = Box<dyn Fn(Rank, Rank, Micros) -> bool>;
     let cuts: [(&str, Cut); 5] = [
         ("one way", Box::new(|a, b, _| (a, b) == (3, 4))),
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_split_is_seen_as_one_and_heals() {
+fn split_is_detected_on_all_sides_and_heals() {
     let halves: fn(Rank) -> usize = |rank| usize::from(rank < 15);
     let thirds: fn(Rank) -> usize = |rank| usize::from(rank % 3);
     let one: fn(Rank) -> usize = |rank| usize::from(rank == 4);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn who_leaves_is_not_held_for_dead_and_may_come_back() {
+fn leaving_member_is_not_dead_and_can_rejoin() {
     let mut tier = settled(20, 12);
     let mut out = vec![];
     let now = tier.now;
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn seven_in_ten_killed_at_once_are_seen_gone_and_back_together() {
+fn seventy_percent_crash_is_detected_and_so_is_the_restart() {
     let mut tier = settled(50, 13);
     (0..35).for_each(|rank| drop(tier.remove(rank)));
     let gone = tier.until(40, |t| (0..35).all(|rank| t.all_see(rank, State::Dead)) && t.views_equal());
@@ -164,7 +164,7 @@
 
 /// A paused process must attribute the silence to its own pause: it suspects nobody when it resumes.
 #[test]
-fn who_was_stopped_finds_itself_to_blame() {
+fn resumed_member_suspects_nobody() {
     let mut tier = settled(10, 14);
     let stopped = tier.remove(2);
     assert!(tier.until(20, |tier| tier.all_see(2, State::Dead)).is_some());
@@ -185,7 +185,7 @@
 
 /// Guards the users of the view: a member that comes and goes changes it only a bounded number of times.
 #[test]
-fn a_member_that_comes_and_goes_does_not_flap_in_the_view() {
+fn intermittent_member_causes_few_view_changes() {
     let changes = |away: u64, back: u64, cycles: u64| {
         let mut tier = settled(20, 15);
         let before = tier.members[0].as_ref().unwrap().version;
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_restart_faster_than_detection_is_a_new_life_also_without_a_folder() {
+fn fast_restart_without_a_folder_is_a_new_incarnation() {
     let mut tier = settled(10, 16);
     for life in 2..6 {
         tier.remove(3);
@@ -230,7 +230,7 @@
 /// Guards against invalid, misdirected and hostile datagrams: they neither crash a member, nor make its
 /// memory or its answers grow, nor damage its view for long.
 #[test]
-fn hostile_datagrams_neither_kill_nor_end_a_member() {
+fn hostile_datagrams_neither_crash_nor_damage_a_member() {
     let mut tier = settled(10, 17);
     let (now, mut out) = (tier.now, vec![]);
     let member = tier.members[0].as_mut().unwrap();
@@ -274,7 +274,7 @@
 
 /// Guards the rollout of a longer list: members with the old and with the new list see each other alive.
 #[test]
-fn members_whose_lists_differ_in_length_hear_each_other() {
+fn members_with_lists_of_different_length_see_each_other_alive() {
     let now = START;
     let mut old = Membership::new(&config(), place(0, 3), 1, now);
     let mut new = Membership::new(&config(), place(2, 5), 2, now);
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn another_tier_at_one_address_is_a_stranger() {
+fn datagrams_of_another_tier_are_dropped() {
     let mut one = Membership::new(&config(), Place { tier: tier_of("a"), ..place(0, 3) }, 1, START);
     let mut other = Membership::new(&config(), Place { tier: tier_of("b"), ..place(1, 3) }, 2, START);
     let mut out = vec![];
@@ -301,7 +301,7 @@
 }
 
 #[test]
-fn a_tier_of_one_says_nothing_and_is_not_isolated() {
+fn single_member_sends_nothing_and_is_not_isolated() {
     let mut tier = Tier::new(1, 1);
     tier.pass(100 * PERIOD);
     assert_eq!(tier.sent, 0);
@@ -314,7 +314,7 @@
 
     /// Merging records is a join: neither the order nor the repetition of datagrams matters.
     #[test]
-    fn order_and_repetition_do_not_matter(
+    fn records_merge_independently_of_order_and_repetition(
         said in prop::collection::vec((1u16..4, 1u32..4, 0u32..5), 1..24),
         seed in any::<u64>(),
     ) {
@@ -338,7 +338,7 @@
 
     /// Decoding any bytes terminates, and the result is within its bounds.
     #[test]
-    fn any_bytes_are_read_or_turned_down(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn any_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         if let Some(read) = Datagram::read(&bytes) {
             prop_assert!(read.records.len() <= MAX_RECORDS);
         }
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -223,19 +223,19 @@
 }
 
 #[test]
-fn three_members_come_to_agree_after_any_two_spells_of_faults() {
+fn three_members_agree_after_any_two_fault_intervals() {
     assert!(checked(Checked::new(3, 2)) > 5_000);
 }
 
 #[test]
-fn four_members_come_to_agree_after_any_spell_of_cut_links() {
+fn four_members_agree_after_any_interval_of_cut_links() {
     assert!(checked(Checked::new(4, 1)) > 4_000);
     assert!(checked(Checked { most_links: 1, ..Checked::new(4, 2) }) > 400);
 }
 
 /// Guards against a checker that finds nothing.
 #[test]
-fn a_planted_fault_is_found() {
+fn checker_finds_a_planted_fault() {
     let model = Checked { mute_to_dead: true, ..Checked::new(4, 1) };
     let checker = model.checker().spawn_bfs().join();
     assert!(checker.discovery("running members are eventually alive in all views").is_some());
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -30,7 +30,7 @@
 /// Two tenants swap positions while messages are held: each message must still count for its own tenant's
 /// rate and share.
 #[test]
-fn a_tenants_traffic_is_charged_to_no_other_that_has_its_place() {
+fn traffic_stays_with_its_tenant_when_tenants_swap_positions() {
     let mut sender = Sender::new(shared(vec![tenant("loud", 0.01), tenant("quiet", 100.0)]), &[]);
     let (loud, quiet) = ([sender.accept_of(0), sender.accept_of(0)], sender.accept_of(1));
     sender.adopt(shared(vec![tenant("quiet", 100.0), tenant("loud", 0.01)]));
@@ -45,7 +45,7 @@
 /// A removed tenant's position goes to a new tenant, which has sent nothing: the messages still held must not
 /// count for the new one.
 #[test]
-fn a_tenant_that_is_gone_leaves_nothing_to_who_has_its_place() {
+fn removed_tenants_messages_do_not_count_for_its_successor() {
     let mut sender = Sender::new(shared(vec![tenant("loud", 0.01), tenant("quiet", 100.0)]), &[]);
     for _ in 0..4 {
         sender.accept_of(0);
@@ -68,7 +68,7 @@
 
 /// A class that accepts no more messages must not influence a breaker's timing.
 #[test]
-fn a_retired_class_decides_no_time() {
+fn retired_class_does_not_change_breaker_timing() {
     let trial = |settings: Settings| {
         let mut sender = Sender::new(settings.clone(), &[entry(1, 0)]);
         // The last class is a retired one, without messages in hand.
@@ -96,7 +96,7 @@
 
 /// A listed endpoint whose kind and zone change is used with the new ones from the next call on.
 #[test]
-fn a_listed_endpoint_takes_on_its_changed_kind_and_zone() {
+fn listed_endpoint_adopts_its_changed_kind_and_zone() {
     let mut sender = Sender::new(settings(), &[entry(1, 0)]);
     let changed = Settings { tolls: vec![0.0, 0.0, 9.0], ..settings() };
     let listed = |n, kind, zone| Entry { zone, ..entry(n, kind) };
@@ -109,7 +109,7 @@
 
 /// A requested wait (Retry-After) must outlast a change that splits or joins routes.
 #[test]
-fn a_wait_binds_whatever_becomes_of_the_route() {
+fn requested_wait_survives_a_change_of_route() {
     for (before, after) in [(0, 1), (1, 0)] {
         let mut sender = Sender::new(settings(), &[entry(1, before)]);
         sender.handle(vec![Event::RetryAfter { endpoint: endpoint(1), wait: 3 * SECOND }]);
@@ -126,7 +126,7 @@
 /// Two endpoints in zones that the settings do not name must not count as one zone: a key known in the one
 /// may be new in the other.
 #[test]
-fn zones_that_are_not_named_are_not_one() {
+fn unnamed_zones_are_not_treated_as_one() {
     let mut own = settings();
     own.classes[KEYED].effect = Effect::Keyed { group: DedupScope::Zone, window: 6 * SECOND };
     let unnamed = |n| Entry { zone: u16::MAX, ..entry(n, 0) };
@@ -141,7 +141,7 @@
 /// A limit derived from a weight or a load report must be dropped when the settings interpret these
 /// differently.
 #[test]
-fn a_limit_that_was_told_in_another_form_is_forgotten() {
+fn limit_is_dropped_when_weights_change_meaning() {
     let nominal = Settings { weights: Weights::Nominal, ..settings() };
     let mut sender = Sender::new(nominal, &[Entry { weight: 30.0, ..entry(1, 0) }]);
     assert_eq!(sender.policy.destination_summary(DEST, 0).routes[0].limit, 30.0);
