--- a/src/channel.rs
+++ b/src/channel.rs
@@ -21,25 +21,25 @@
 /// First byte for estimates.
 pub const ESTIMATE: u8 = 0xe3;
 const VERSION: u8 = 1;
-const HEAD: usize = 38;
+const HEADER_LEN: usize = 38;
 /// Maximum length of a datagram, in bytes.
-const DATAGRAM: usize = 256;
+const MAX_DATAGRAM_LEN: usize = 256;
 /// Maximum length of a segment, in bytes.
-pub const SEGMENT: usize = DATAGRAM - HEAD;
+pub const SEGMENT: usize = MAX_DATAGRAM_LEN - HEADER_LEN;
 /// Maximum number of segments in flight.
 const WINDOW: usize = 64;
 /// Maximum number of segments sent at once, so that a burst does not overflow queues on the path.
 const BURST: usize = 16;
 /// Minimum time between two bursts.
-const PACE: Micros = 2_000;
+const BURST_INTERVAL: Micros = 2_000;
 /// Maximum number of bytes queued; a message beyond it breaks the channel.
-pub const MAX_WAITING: usize = 1 << 20;
+pub const MAX_QUEUED_BYTES: usize = 1 << 20;
 /// Maximum length of a message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 80 * 1024;
 /// Minimum and maximum of the first retransmission time-out.
-const AGAIN: (Micros, Micros) = (40_000, 500_000);
+const RETRANSMIT_RANGE: (Micros, Micros) = (40_000, 500_000);
 /// Assumed round-trip time before the first measurement.
-const FIRST_TRIP: Micros = 60_000;
+const INITIAL_ROUND_TRIP: Micros = 60_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Kind {
@@ -53,17 +53,17 @@
     seq: u32,
     bytes: Vec<u8>,
     sent: Option<Micros>,
-    tries: u32,
-    arrived: bool,
+    attempts: u32,
+    acknowledged: bool,
 }
 
 /// The result of receiving a datagram.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Came {
+pub struct ReceivedDatagram {
     /// Complete messages, in order.
     pub messages: Vec<Vec<u8>>,
     /// The peer restarted: everything in flight is lost.
-    pub anew: bool,
+    pub peer_restarted: bool,
     /// The datagram is from the peer's current process.
     pub heard: bool,
     /// The datagram does not belong to this channel, or to its current processes.
@@ -80,16 +80,16 @@
     /// The unverified peer number, the challenge, and when it was last sent.
     challenge: Option<(u64, u32, Micros)>,
     /// The peer number whose hello is to be answered, and its challenge.
-    welcome: Option<(u64, u32)>,
-    waiting: VecDeque<u8>,
+    pending_welcome: Option<(u64, u32)>,
+    queue: VecDeque<u8>,
     window: VecDeque<Segment>,
     next: u32,
-    came: u32,
-    early: BTreeMap<u32, Vec<u8>>,
+    received_upto: u32,
+    out_of_order: BTreeMap<u32, Vec<u8>>,
     partial: Vec<u8>,
-    answer: bool,
-    trip: Micros,
-    rested: Micros,
+    ack_due: bool,
+    round_trip: Micros,
+    last_burst: Micros,
     sent: Micros,
 }
 
@@ -103,16 +103,16 @@
             own,
             peer: None,
             challenge: None,
-            welcome: None,
-            waiting: VecDeque::new(),
+            pending_welcome: None,
+            queue: VecDeque::new(),
             window: VecDeque::new(),
             next: 1,
-            came: 0,
-            early: BTreeMap::new(),
+            received_upto: 0,
+            out_of_order: BTreeMap::new(),
             partial: Vec::new(),
-            answer: false,
-            trip: FIRST_TRIP,
-            rested: 0,
+            ack_due: false,
+            round_trip: INITIAL_ROUND_TRIP,
+            last_burst: 0,
             sent: 0,
         }
     }
@@ -128,13 +128,13 @@
     }
 
     /// Number of queued bytes that were not sent yet.
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    pub fn queued_bytes(&self) -> usize {
+        self.queue.len()
     }
 
     /// Whether anything is queued or not acknowledged.
     pub fn busy(&self) -> bool {
-        !self.waiting.is_empty() || !self.window.is_empty()
+        !self.queue.is_empty() || !self.window.is_empty()
     }
 
     /// Starts the handshake, if the channel is not established.
@@ -146,30 +146,30 @@
 
     /// Sends a keep-alive at the next flush, if nothing else is sent.
     pub fn ping(&mut self) {
-        self.answer = true;
+        self.ack_due = true;
     }
 
     /// Queues a message. Returns false if it exceeds the channel's limits: the channel must then be
     /// discarded.
     #[must_use]
     pub fn send(&mut self, message: &[u8]) -> bool {
-        if message.len() > MAX_MESSAGE_BYTES || self.waiting.len() + message.len() + 4 > MAX_WAITING {
+        if message.len() > MAX_MESSAGE_BYTES || self.queue.len() + message.len() + 4 > MAX_QUEUED_BYTES {
             return false;
         }
-        self.waiting.extend((message.len() as u32).to_le_bytes());
-        self.waiting.extend(message);
+        self.queue.extend((message.len() as u32).to_le_bytes());
+        self.queue.extend(message);
         true
     }
 
     /// Handles a datagram. `challenge` is a fresh random number.
-    pub fn receive(&mut self, now: Micros, bytes: &[u8], challenge: u32) -> Came {
-        let dropped = Came { dropped: true, ..Came::default() };
-        let Some((kind, from, to, [seq, ack, sack])) = self.read(bytes) else { return dropped };
+    pub fn receive(&mut self, now: Micros, bytes: &[u8], challenge: u32) -> ReceivedDatagram {
+        let dropped = ReceivedDatagram { dropped: true, ..ReceivedDatagram::default() };
+        let Some((kind, from, to, [seq, ack, sack])) = self.decode(bytes) else { return dropped };
         match kind {
             Kind::Hello => {
-                self.welcome = Some((from, seq));
-                self.doubt(from, challenge);
-                Came::default()
+                self.pending_welcome = Some((from, seq));
+                self.challenge_number(from, challenge);
+                ReceivedDatagram::default()
             }
             Kind::Welcome => {
                 let meant = self.challenge.is_some_and(|(_, asked, sent)| asked == seq && sent > 0);
@@ -177,53 +177,53 @@
                     return dropped;
                 }
                 self.challenge = None;
-                let anew = self.peer.is_some_and(|peer| peer != from);
-                if anew {
+                let peer_restarted = self.peer.is_some_and(|peer| peer != from);
+                if peer_restarted {
                     // Everything sent so far went to a process that has ended.
                     *self = Self {
-                        welcome: self.welcome,
+                        pending_welcome: self.pending_welcome,
                         sent: self.sent,
                         ..Self::new(self.magic, self.own, self.tier)
                     };
                 }
                 self.peer = Some(from);
-                self.answer = true;
-                Came { anew, heard: true, ..Came::default() }
+                self.ack_due = true;
+                ReceivedDatagram { peer_restarted, heard: true, ..ReceivedDatagram::default() }
             }
             Kind::Data if self.peer != Some(from) => {
-                self.doubt(from, challenge);
+                self.challenge_number(from, challenge);
                 dropped
             }
             Kind::Data if to != self.own => dropped,
             Kind::Data => {
-                self.acknowledged(now, ack, sack);
-                let mut came = Came { heard: true, ..Came::default() };
+                self.process_acks(now, ack, sack);
+                let mut received = ReceivedDatagram { heard: true, ..ReceivedDatagram::default() };
                 if seq > 0 {
-                    self.answer = true;
-                    let ahead = seq > self.came && seq - self.came <= WINDOW as u32;
+                    self.ack_due = true;
+                    let ahead = seq > self.received_upto && seq - self.received_upto <= WINDOW as u32;
                     if ahead {
-                        self.early.entry(seq).or_insert_with(|| bytes[HEAD..].to_vec());
+                        self.out_of_order.entry(seq).or_insert_with(|| bytes[HEADER_LEN..].to_vec());
                     }
-                    while let Some(segment) = self.early.remove(&(self.came + 1)) {
-                        self.came += 1;
+                    while let Some(segment) = self.out_of_order.remove(&(self.received_upto + 1)) {
+                        self.received_upto += 1;
                         self.partial.extend(segment);
                     }
-                    self.whole(&mut came.messages);
+                    self.take_messages(&mut received.messages);
                 }
-                came
+                received
             }
         }
     }
 
     /// Challenges the user of an unknown number to prove that it is running now.
-    fn doubt(&mut self, number: u64, challenge: u32) {
+    fn challenge_number(&mut self, number: u64, challenge: u32) {
         let known = self.peer == Some(number);
         if !known && self.challenge.is_none_or(|(asked, ..)| asked != number) {
             self.challenge = Some((number, challenge, 0));
         }
     }
 
-    fn whole(&mut self, messages: &mut Vec<Vec<u8>>) {
+    fn take_messages(&mut self, messages: &mut Vec<Vec<u8>>) {
         let mut at = 0;
         while let Some(length) = self.partial.get(at..at + 4).and_then(|l| l.try_into().ok()) {
             let length = u32::from_le_bytes(length) as usize;
@@ -241,101 +241,107 @@
         self.partial.drain(..at);
     }
 
-    fn acknowledged(&mut self, now: Micros, ack: u32, sack: u32) {
+    fn process_acks(&mut self, now: Micros, ack: u32, sack: u32) {
         for segment in &mut self.window {
             let ahead = segment.seq.wrapping_sub(ack.wrapping_add(2));
-            let told = segment.seq <= ack || ahead < 32 && sack & 1 << ahead != 0;
-            if told && !segment.arrived {
-                segment.arrived = true;
-                if let (Some(sent), 1) = (segment.sent, segment.tries) {
-                    let trip = now.saturating_sub(sent);
-                    self.trip = (self.trip * 7 + trip) / 8;
+            let acked = segment.seq <= ack || ahead < 32 && sack & 1 << ahead != 0;
+            if acked && !segment.acknowledged {
+                segment.acknowledged = true;
+                if let (Some(sent), 1) = (segment.sent, segment.attempts) {
+                    let round_trip = now.saturating_sub(sent);
+                    self.round_trip = (self.round_trip * 7 + round_trip) / 8;
                 }
             }
         }
-        while self.window.front().is_some_and(|segment| segment.arrived) {
+        while self.window.front().is_some_and(|segment| segment.acknowledged) {
             self.window.pop_front();
         }
     }
 
-    fn again_after(&self, tries: u32) -> Micros {
-        let first = (self.trip * 2 + 20_000).clamp(AGAIN.0, AGAIN.1);
-        (first << tries.saturating_sub(1).min(3)).min(AGAIN.1 * 2)
+    fn retransmit_after(&self, attempts: u32) -> Micros {
+        let first = (self.round_trip * 2 + 20_000).clamp(RETRANSMIT_RANGE.0, RETRANSMIT_RANGE.1);
+        (first << attempts.saturating_sub(1).min(3)).min(RETRANSMIT_RANGE.1 * 2)
     }
 
     /// Sends what is due: handshake answers, a challenge, new and lost segments, acknowledgements.
     pub fn flush(&mut self, now: Micros, out: &mut impl FnMut(Vec<u8>)) {
-        if let Some((to, seq)) = self.welcome.take() {
-            out(self.write(Kind::Welcome, to, [seq, 0, 0], &[]));
+        if let Some((to, seq)) = self.pending_welcome.take() {
+            out(self.encode(Kind::Welcome, to, [seq, 0, 0], &[]));
         }
         if let Some((to, seq, sent)) = self.challenge
-            && now >= sent + 2 * FIRST_TRIP
+            && now >= sent + 2 * INITIAL_ROUND_TRIP
         {
             self.challenge = Some((to, seq, now));
-            out(self.write(Kind::Hello, to, [seq, 0, 0], &[]));
+            out(self.encode(Kind::Hello, to, [seq, 0, 0], &[]));
         }
         let Some(peer) = self.peer else { return };
-        let burst = if now >= self.rested + PACE { BURST } else { 0 };
+        let burst = if now >= self.last_burst + BURST_INTERVAL { BURST } else { 0 };
         for _ in 0..burst {
-            if self.window.len() == WINDOW || self.waiting.is_empty() {
+            if self.window.len() == WINDOW || self.queue.is_empty() {
                 break;
             }
-            let size = self.waiting.len().min(SEGMENT);
-            let bytes = self.waiting.drain(..size).collect();
-            self.window.push_back(Segment { seq: self.next, bytes, sent: None, tries: 0, arrived: false });
+            let size = self.queue.len().min(SEGMENT);
+            let bytes = self.queue.drain(..size).collect();
+            self.window.push_back(Segment {
+                seq: self.next,
+                bytes,
+                sent: None,
+                attempts: 0,
+                acknowledged: false,
+            });
             self.next += 1;
         }
-        let seen = self.window.iter().rposition(|segment| segment.arrived).unwrap_or(0);
+        let seen = self.window.iter().rposition(|segment| segment.acknowledged).unwrap_or(0);
         let due: Vec<usize> = (0..self.window.len()).filter(|at| self.is_due(*at, seen, now)).collect();
-        let mut told = false;
+        let mut sent_any = false;
         for at in due.into_iter().take(burst) {
-            let head = [self.window[at].seq, self.came, self.missing()];
-            out(self.write(Kind::Data, peer, head, &self.window[at].bytes));
+            let head = [self.window[at].seq, self.received_upto, self.selective_ack()];
+            out(self.encode(Kind::Data, peer, head, &self.window[at].bytes));
             let segment = &mut self.window[at];
-            (segment.sent, segment.tries) = (Some(now), segment.tries + 1);
-            told = true;
+            (segment.sent, segment.attempts) = (Some(now), segment.attempts + 1);
+            sent_any = true;
         }
-        if told {
-            self.rested = now;
+        if sent_any {
+            self.last_burst = now;
         }
-        if std::mem::take(&mut self.answer) && !told {
-            out(self.write(Kind::Data, peer, [0, self.came, self.missing()], &[]));
-            told = true;
+        if std::mem::take(&mut self.ack_due) && !sent_any {
+            out(self.encode(Kind::Data, peer, [0, self.received_upto, self.selective_ack()], &[]));
+            sent_any = true;
         }
-        if told {
+        if sent_any {
             self.sent = now;
         }
     }
 
     fn is_due(&self, at: usize, seen: usize, now: Micros) -> bool {
         let segment = &self.window[at];
-        let Some(sent) = segment.sent.filter(|_| !segment.arrived) else { return !segment.arrived };
-        let overtaken = at < seen && now >= sent + self.trip + self.trip / 4 + 5_000;
-        overtaken || now >= sent + self.again_after(segment.tries)
+        let Some(sent) = segment.sent.filter(|_| !segment.acknowledged) else { return !segment.acknowledged };
+        let overtaken = at < seen && now >= sent + self.round_trip + self.round_trip / 4 + 5_000;
+        overtaken || now >= sent + self.retransmit_after(segment.attempts)
     }
 
     /// When the next flush is due.
     pub fn due(&self) -> Option<Micros> {
-        let challenge = self.challenge.map(|(_, _, sent)| sent + 2 * FIRST_TRIP);
-        let rested = self.rested + PACE;
-        let fresh = (!self.waiting.is_empty() && self.window.len() < WINDOW).then_some(rested);
-        let again = self.window.iter().filter(|segment| !segment.arrived).map(|segment| {
-            let sent = segment.sent.map_or(0, |sent| sent + self.again_after(segment.tries));
-            sent.max(rested)
+        let challenge = self.challenge.map(|(_, _, sent)| sent + 2 * INITIAL_ROUND_TRIP);
+        let next_burst = self.last_burst + BURST_INTERVAL;
+        let fresh = (!self.queue.is_empty() && self.window.len() < WINDOW).then_some(next_burst);
+        let again = self.window.iter().filter(|segment| !segment.acknowledged).map(|segment| {
+            let sent = segment.sent.map_or(0, |sent| sent + self.retransmit_after(segment.attempts));
+            sent.max(next_burst)
         });
         let up = fresh.into_iter().chain(again).min().filter(|_| self.peer.is_some());
-        let answer = (self.answer && self.peer.is_some() || self.welcome.is_some()).then_some(0);
-        challenge.into_iter().chain(up).chain(answer).min()
+        let ack_due = (self.ack_due && self.peer.is_some() || self.pending_welcome.is_some()).then_some(0);
+        challenge.into_iter().chain(up).chain(ack_due).min()
     }
 
     /// Selective acknowledgement: bitmap of the segments received beyond the next missing one.
-    fn missing(&self) -> u32 {
-        let bit = |seq: &u32| seq.wrapping_sub(self.came + 2);
-        self.early.keys().map(bit).filter(|bit| *bit < 32).fold(0, |bits, bit| bits | 1 << bit)
+    fn selective_ack(&self) -> u32 {
+        let bit = |seq: &u32| seq.wrapping_sub(self.received_upto + 2);
+        self.out_of_order.keys().map(bit).filter(|bit| *bit < 32).fold(0, |bits, bit| bits | 1 << bit)
     }
 
-    fn write(&self, kind: Kind, to: u64, numbers: [u32; 3], body: &[u8]) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(HEAD + body.len());
+    fn encode(&self, kind: Kind, to: u64, numbers: [u32; 3], body: &[u8]) -> Vec<u8> {
+        let mut bytes = Vec::with_capacity(HEADER_LEN + body.len());
         bytes.extend([self.magic, VERSION << 4 | kind as u8]);
         bytes.extend(self.tier.to_le_bytes());
         bytes.extend([0; 4]);
@@ -350,7 +356,7 @@
 
     /// Decodes a datagram: kind; the writer's and the reader's number; segment, cumulative and selective
     /// acknowledgement.
-    fn read(&self, bytes: &[u8]) -> Option<(Kind, u64, u64, [u32; 3])> {
+    fn decode(&self, bytes: &[u8]) -> Option<(Kind, u64, u64, [u32; 3])> {
         let long = |at: usize| Some(u64::from_le_bytes(bytes.get(at..at + 8)?.try_into().ok()?));
         let short = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
         let kind = match bytes.get(1)? {
@@ -363,7 +369,7 @@
         blank.get_mut(6..10)?.fill(0);
         let sound = bytes[0] == self.magic && short(2)? == self.tier && short(6)? == crc32fast::hash(&blank);
         let read = (kind, long(10)?, long(18)?, [short(26)?, short(30)?, short(34)?]);
-        Some(read).filter(|_| sound && bytes.len() <= DATAGRAM)
+        Some(read).filter(|_| sound && bytes.len() <= MAX_DATAGRAM_LEN)
     }
 }
 
--- a/src/channel/tests.rs
+++ b/src/channel/tests.rs
@@ -3,20 +3,20 @@
 /// Two sides and the datagrams in flight between them; each may be lost, delayed or duplicated.
 struct Pair {
     sides: [Channel; 2],
-    under_way: Vec<(Micros, usize, Vec<u8>)>,
+    in_flight: Vec<(Micros, usize, Vec<u8>)>,
     rng: fastrand::Rng,
     now: Micros,
     loss: f64,
-    got: [Vec<Vec<u8>>; 2],
-    anew: [usize; 2],
+    messages: [Vec<Vec<u8>>; 2],
+    restarts: [usize; 2],
 }
 
 impl Pair {
     fn new(seed: u64, loss: f64) -> Self {
         let sides = [Channel::new(TAKEOVER, seed * 2 + 1, 9), Channel::new(TAKEOVER, seed * 2 + 2, 9)];
         let rng = fastrand::Rng::with_seed(seed);
-        let (got, anew) = (Default::default(), [0; 2]);
-        Self { sides, under_way: vec![], rng, now: 1_000_000, loss, got, anew }
+        let (messages, restarts) = (Default::default(), [0; 2]);
+        Self { sides, in_flight: vec![], rng, now: 1_000_000, loss, messages, restarts }
     }
 
     fn run(&mut self, time: Micros) {
@@ -27,22 +27,22 @@
                 let mut out = vec![];
                 self.sides[side].flush(self.now, &mut |bytes| out.push(bytes));
                 for bytes in out {
-                    assert!(bytes.len() <= DATAGRAM);
+                    assert!(bytes.len() <= MAX_DATAGRAM_LEN);
                     let copies = if self.rng.f64() < 0.1 { 2 } else { 1 };
                     for _ in 0..copies {
                         let late = self.rng.u64(1_000..40_000);
                         if self.rng.f64() >= self.loss {
-                            self.under_way.push((self.now + late, 1 - side, bytes.clone()));
+                            self.in_flight.push((self.now + late, 1 - side, bytes.clone()));
                         }
                     }
                 }
             }
-            let (come, later) = self.under_way.drain(..).partition(|passed| passed.0 <= self.now);
-            self.under_way = later;
+            let (come, later) = self.in_flight.drain(..).partition(|passed| passed.0 <= self.now);
+            self.in_flight = later;
             for (_, side, bytes) in come {
-                let came = self.sides[side].receive(self.now, &bytes, self.rng.u32(1..));
-                self.got[side].extend(came.messages);
-                self.anew[side] += usize::from(came.anew);
+                let received = self.sides[side].receive(self.now, &bytes, self.rng.u32(1..));
+                self.messages[side].extend(received.messages);
+                self.restarts[side] += usize::from(received.peer_restarted);
             }
         }
     }
@@ -61,7 +61,7 @@
             pair.run(2_000);
         }
         pair.run(30_000_000);
-        assert!(pair.got[1] == messages, "seed {seed}, loss {loss}: {} of 120", pair.got[1].len());
+        assert!(pair.messages[1] == messages, "seed {seed}, loss {loss}: {} of 120", pair.messages[1].len());
         assert!(pair.sides[0].window.is_empty() && pair.sides[0].due().is_none());
     }
 }
@@ -77,15 +77,15 @@
             assert!(pair.sides[0].send(&[n; 700]) && pair.sides[1].send(&[n; 700]));
         }
         pair.run(30_000);
-        let before = pair.got[1].len();
+        let before = pair.messages[1].len();
         pair.sides[1] = Channel::new(TAKEOVER, 1_000 + seed, 9);
         pair.run(3_000_000);
-        assert_eq!((pair.got[1].len(), pair.anew[0]), (before, 1), "seed {seed}");
-        let heard = pair.got[0].len();
+        assert_eq!((pair.messages[1].len(), pair.restarts[0]), (before, 1), "seed {seed}");
+        let heard = pair.messages[0].len();
         assert!(pair.sides[0].send(b"to the new") && pair.sides[1].send(b"from the new"));
         pair.run(3_000_000);
-        assert_eq!(pair.got[1][before..], [b"to the new".to_vec()], "seed {seed}");
-        assert_eq!(pair.got[0][heard..], [b"from the new".to_vec()], "seed {seed}");
+        assert_eq!(pair.messages[1][before..], [b"to the new".to_vec()], "seed {seed}");
+        assert_eq!(pair.messages[0][heard..], [b"from the new".to_vec()], "seed {seed}");
     }
 }
 
@@ -100,9 +100,9 @@
     let mut side = Channel::new(TAKEOVER, 2, 9);
     for cut in 0..sound.len() {
         assert!(side.receive(0, &sound[..cut], 1).dropped);
-        let mut spoilt = sound.clone();
-        spoilt[cut] ^= 0x10;
-        assert!(side.receive(0, &spoilt, 1).dropped);
+        let mut corrupt = sound.clone();
+        corrupt[cut] ^= 0x10;
+        assert!(side.receive(0, &corrupt, 1).dropped);
     }
     assert!(Channel::new(TAKEOVER, 2, 8).receive(0, &sound, 1).dropped);
     assert!(!side.receive(0, &sound, 1).dropped);
--- a/src/check.rs
+++ b/src/check.rs
@@ -15,9 +15,9 @@
 /// Maximum size of a document, in bytes.
 pub const MAX_DOCUMENT_BYTES: usize = 256 * 1024;
 /// Maximum number of faults or changes reported.
-pub const MAX_TOLD: usize = 64;
+pub const MAX_REPORTED: usize = 64;
 /// Maximum number of characters of a value in a report.
-const SHOWN: usize = 60;
+const MAX_SHOWN_CHARS: usize = 60;
 
 /// A fault of the document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -71,23 +71,27 @@
 
 fn shown(value: &Value) -> String {
     let text = value.to_string();
-    if text.chars().count() <= SHOWN { text } else { text.chars().take(SHOWN).chain(['…']).collect() }
+    if text.chars().count() <= MAX_SHOWN_CHARS {
+        text
+    } else {
+        text.chars().take(MAX_SHOWN_CHARS).chain(['…']).collect()
+    }
 }
 
 /// Parses any JSON, and collects keys that occur twice in an object: the last one would win unnoticed.
-struct Read<'a> {
+struct JsonSeed<'a> {
     path: String,
-    twice: &'a RefCell<Vec<String>>,
+    duplicates: &'a RefCell<Vec<String>>,
 }
 
-impl<'de> DeserializeSeed<'de> for Read<'_> {
+impl<'de> DeserializeSeed<'de> for JsonSeed<'_> {
     type Value = Value;
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<Value, D::Error> {
         deserializer.deserialize_any(self)
     }
 }
 
-impl<'de> Visitor<'de> for Read<'_> {
+impl<'de> Visitor<'de> for JsonSeed<'_> {
     type Value = Value;
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("JSON")
@@ -114,7 +118,7 @@
         let mut values = Vec::new();
         loop {
             let path = format!("{}[{}]", self.path, values.len());
-            match seq.next_element_seed(Read { path, twice: self.twice })? {
+            match seq.next_element_seed(JsonSeed { path, duplicates: self.duplicates })? {
                 Some(value) => values.push(value),
                 None => return Ok(Value::Array(values)),
             }
@@ -125,9 +129,9 @@
         while let Some(key) = map.next_key::<String>()? {
             let path = join(&self.path, &key);
             if values.contains_key(&key) {
-                self.twice.borrow_mut().push(path.clone());
+                self.duplicates.borrow_mut().push(path.clone());
             }
-            let value = map.next_value_seed(Read { path, twice: self.twice })?;
+            let value = map.next_value_seed(JsonSeed { path, duplicates: self.duplicates })?;
             values.insert(key, value);
         }
         Ok(Value::Object(values))
@@ -153,22 +157,23 @@
     if let Err(e) = std::str::from_utf8(text) {
         return Err(whole(format!("byte {} is not UTF-8", e.valid_up_to()), "UTF-8"));
     }
-    let twice = RefCell::default();
+    let duplicates = RefCell::default();
     let mut parser = serde_json::Deserializer::from_slice(text);
-    let read = Read { path: String::new(), twice: &twice }.deserialize(&mut parser);
+    let read = JsonSeed { path: String::new(), duplicates: &duplicates }.deserialize(&mut parser);
     let document = read.and_then(|document| parser.end().map(|()| document));
     let document = document.map_err(|e| whole(e.to_string(), "JSON"))?;
     if !document.is_object() {
         return Err(whole(shown(&document), "a JSON object"));
     }
-    let twice = twice.into_inner().into_iter().take(MAX_TOLD);
-    let twice: Vec<Fault> = twice.map(|key| Fault::new(key, "given twice", "each key once")).collect();
-    if twice.is_empty() { Ok(document) } else { Err(twice) }
+    let duplicates = duplicates.into_inner().into_iter().take(MAX_REPORTED);
+    let duplicates: Vec<Fault> =
+        duplicates.map(|key| Fault::new(key, "given twice", "each key once")).collect();
+    if duplicates.is_empty() { Ok(document) } else { Err(duplicates) }
 }
 
 /// The form that a value must have.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Is {
+enum ValueKind {
     Text,
     Address,
     Addresses,
@@ -191,7 +196,7 @@
     OneOf(&'static [&'static str]),
 }
 
-impl Is {
+impl ValueKind {
     fn expected(self) -> String {
         match self {
             Self::Text => "a string".into(),
@@ -240,32 +245,34 @@
 
 /// Whether a key may be left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Need {
-    Must,
-    May,
+enum Presence {
+    Required,
+    Optional,
     /// The key may also be null.
     Null,
 }
 
-use Is::{Address, Addresses, Array, Flag, Flags, Hex, Numbers, Object, OneOf, Over0, Text, Texts, Time};
-use Is::{Number as Figure, Whole, Wholes};
-use Need::{May, Must, Null};
+use Presence::{Null, Optional, Required};
+use ValueKind::{
+    Address, Addresses, Array, Flag, Flags, Hex, Numbers, Object, OneOf, Over0, Text, Texts, Time,
+};
+use ValueKind::{Number as Figure, Whole, Wholes};
 
-const ANY: Is = Whole(0, u64::MAX);
+const ANY: ValueKind = Whole(0, u64::MAX);
 
 /// The known keys of the platform's documents.
-const TOP: &[(&str, Is, Need)] = &[
-    ("name", Text, Must),
-    ("listen", Address, Must),
-    ("discovery", Address, Must),
-    ("seed", Hex, Must),
-    ("limits", Object, Must),
+const TOP: &[(&str, ValueKind, Presence)] = &[
+    ("name", Text, Required),
+    ("listen", Address, Required),
+    ("discovery", Address, Required),
+    ("seed", Hex, Required),
+    ("limits", Object, Required),
     ("mgmt", Address, Null),
     ("peer_listen", Address, Null),
-    ("peers", Addresses, May),
+    ("peers", Addresses, Optional),
     ("peers_all", Address, Null),
-    ("known", Object, May),
-    ("settings", Object, Must),
+    ("known", Object, Optional),
+    ("settings", Object, Required),
     ("draining", Object, Null),
     ("membership", Object, Null),
     ("takeover", Object, Null),
@@ -273,102 +280,123 @@
     ("status", Object, Null),
     ("plans", Object, Null),
 ];
-const LIMITS: &[(&str, Is, Need)] = &[("sockets", ANY, May), ("disk_mb", Over0, Must)];
-const SETTINGS: &[(&str, Is, Need)] = &[
-    ("classes", Array, Must),
-    ("realms", Array, May),
-    ("skus", Array, May),
-    ("family_info", Object, Must),
-    ("limits", Object, Must),
-    ("obligations", Object, Must),
-    ("load_report", Object, May),
-    ("charges", Object, May),
+const LIMITS: &[(&str, ValueKind, Presence)] = &[("sockets", ANY, Optional), ("disk_mb", Over0, Required)];
+const SETTINGS: &[(&str, ValueKind, Presence)] = &[
+    ("classes", Array, Required),
+    ("realms", Array, Optional),
+    ("skus", Array, Optional),
+    ("family_info", Object, Required),
+    ("limits", Object, Required),
+    ("obligations", Object, Required),
+    ("load_report", Object, Optional),
+    ("charges", Object, Optional),
     ("balancers", ANY, Null),
     ("discovery", Text, Null),
     ("weights", Text, Null),
-    ("over_share_worth", Figure, May),
-    ("period_us", Figure, Must),
+    ("over_share_worth", Figure, Optional),
+    ("period_us", Figure, Required),
 ];
-const CLASS: &[(&str, Is, Need)] = &[
-    ("name", Text, Must),
-    ("effect", OneOf(&["repeatable", "once", "by_key"]), Must),
+const CLASS: &[(&str, ValueKind, Presence)] = &[
+    ("name", Text, Required),
+    ("effect", OneOf(&["repeatable", "once", "by_key"]), Required),
     ("group", Text, Null),
     ("dedup_window_us", Figure, Null),
-    ("on_time_us", Time, Must),
-    ("hard_limit_us", Time, Must),
-    ("importance", Figure, May),
+    ("on_time_us", Time, Required),
+    ("hard_limit_us", Time, Required),
+    ("importance", Figure, Optional),
     ("late_worth", Figure, Null),
     ("in_order", Flag, Null),
 ];
-const REALM: &[(&str, Is, Need)] = &[("quota_per_s", Figure, Must)];
-const FAMILY: &[(&str, Is, Need)] = &[
-    ("calls_out", ANY, Must),
-    ("own_limits", Flags, May),
-    ("bundle_max", Wholes, May),
+const REALM: &[(&str, ValueKind, Presence)] = &[("quota_per_s", Figure, Required)];
+const FAMILY: &[(&str, ValueKind, Presence)] = &[
+    ("calls_out", ANY, Required),
+    ("own_limits", Flags, Optional),
+    ("bundle_max", Wholes, Optional),
     ("decay", OneOf(&["line", "halves"]), Null),
     ("turned_away_price", Figure, Null),
-    ("toll", Numbers, May),
+    ("toll", Numbers, Optional),
 ];
-const SETTINGS_LIMITS: &[(&str, Is, Need)] = &[
-    ("cancelling", Flag, May),
-    ("probing", Flag, May),
-    ("peers", Flag, May),
-    ("second_copies", Flag, May),
-    ("connect_timeout_us", Figure, May),
+const SETTINGS_LIMITS: &[(&str, ValueKind, Presence)] = &[
+    ("cancelling", Flag, Optional),
+    ("probing", Flag, Optional),
+    ("peers", Flag, Optional),
+    ("second_copies", Flag, Optional),
+    ("connect_timeout_us", Figure, Optional),
     ("idle_close_us", Figure, Null),
-    ("max_open", ANY, Must),
-    ("max_retry_after_us", Figure, May),
-    ("try_limit", Whole(1, u32::MAX as u64), Must),
+    ("max_open", ANY, Required),
+    ("max_retry_after_us", Figure, Optional),
+    ("try_limit", Whole(1, u32::MAX as u64), Required),
 ];
-const OBLIGATIONS: &[(&str, Is, Need)] = &[
-    ("answer_slack_us", Figure, Must),
+const OBLIGATIONS: &[(&str, ValueKind, Presence)] = &[
+    ("answer_slack_us", Figure, Required),
     ("ask_every_us", Figure, Null),
-    ("cold_share", Figure, Must),
-    ("warm_within_us", Figure, Must),
-    ("fall_multiple", Figure, Must),
-    ("overload_for_us", Figure, Must),
-    ("stop_sending_within_us", Figure, Must),
+    ("cold_share", Figure, Required),
+    ("warm_within_us", Figure, Required),
+    ("fall_multiple", Figure, Required),
+    ("overload_for_us", Figure, Required),
+    ("stop_sending_within_us", Figure, Required),
     ("order_pause_us", Figure, Null),
 ];
-const REPORT: &[(&str, Is, Need)] = &[("fields", Texts, May)];
-const CHARGES: &[(&str, Is, Need)] = &[("probe", Figure, May)];
-const DRAINING: &[(&str, Is, Need)] = &[("max_marks", Whole(1, crate::drain::MAX_MARKS as u64), May)];
-const MEMBERSHIP: &[(&str, Is, Need)] = &[
-    ("period_ms", Whole(crate::membership::PERIODS_MS.0 as u64, crate::membership::PERIODS_MS.1 as u64), May),
-    ("tier", Text, May),
+const REPORT: &[(&str, ValueKind, Presence)] = &[("fields", Texts, Optional)];
+const CHARGES: &[(&str, ValueKind, Presence)] = &[("probe", Figure, Optional)];
+const DRAINING: &[(&str, ValueKind, Presence)] =
+    &[("max_marks", Whole(1, crate::drain::MAX_MARKS as u64), Optional)];
+const MEMBERSHIP: &[(&str, ValueKind, Presence)] = &[
+    (
+        "period_ms",
+        Whole(crate::membership::PERIOD_MS_RANGE.0 as u64, crate::membership::PERIOD_MS_RANGE.1 as u64),
+        Optional,
+    ),
+    ("tier", Text, Optional),
 ];
-const TAKEOVER: &[(&str, Is, Need)] = &[
-    ("lease_ms", Whole(crate::takeover::LEASES_MS.0 as u64, crate::takeover::LEASES_MS.1 as u64), May),
-    ("max_body", Whole(crate::takeover::BODIES.0 as u64, crate::takeover::BODIES.1 as u64), May),
-    ("room_mb", Whole(crate::takeover::ROOM_MB.0 as u64, crate::takeover::ROOM_MB.1 as u64), May),
-    ("tier", Text, May),
+const TAKEOVER: &[(&str, ValueKind, Presence)] = &[
+    (
+        "lease_ms",
+        Whole(crate::takeover::LEASE_MS_RANGE.0 as u64, crate::takeover::LEASE_MS_RANGE.1 as u64),
+        Optional,
+    ),
+    (
+        "max_body",
+        Whole(crate::takeover::BODY_BYTES_RANGE.0 as u64, crate::takeover::BODY_BYTES_RANGE.1 as u64),
+        Optional,
+    ),
+    (
+        "room_mb",
+        Whole(crate::takeover::ROOM_MB_RANGE.0 as u64, crate::takeover::ROOM_MB_RANGE.1 as u64),
+        Optional,
+    ),
+    ("tier", Text, Optional),
 ];
-const STATUS: &[(&str, Is, Need)] = &[
-    ("room_mb", Whole(crate::status::ROOM_MB.0 as u64, crate::status::ROOM_MB.1 as u64), May),
-    ("keep_s", Whole(crate::status::KEEP_S.0 as u64, crate::status::KEEP_S.1 as u64), May),
-    ("replicas", Whole(crate::status::REPLICAS.0 as u64, crate::status::REPLICAS.1 as u64), May),
-    ("span_s", Whole(crate::status::SPAN_S.0 as u64, crate::status::SPAN_S.1 as u64), May),
+const STATUS: &[(&str, ValueKind, Presence)] = &[
+    ("room_mb", Whole(crate::status::ROOM_MB.0 as u64, crate::status::ROOM_MB.1 as u64), Optional),
+    ("keep_s", Whole(crate::status::KEEP_S.0 as u64, crate::status::KEEP_S.1 as u64), Optional),
+    ("replicas", Whole(crate::status::REPLICAS.0 as u64, crate::status::REPLICAS.1 as u64), Optional),
+    ("span_s", Whole(crate::status::SPAN_S.0 as u64, crate::status::SPAN_S.1 as u64), Optional),
 ];
-const PLAN: &[(&str, Is, Need)] = &[
-    ("level", OneOf(&["any", "bounded", "session"]), May),
-    ("staleness_ms", Whole(crate::plans::STALENESS_MS.0 as u64, crate::plans::STALENESS_MS.1 as u64), May),
-    ("wait_ms", Whole(crate::plans::WAIT_MS.0 as u64, crate::plans::WAIT_MS.1 as u64), May),
-    ("or", OneOf(&["refuse", "tell-stale"]), May),
-    ("reads_per_s", Whole(1, u32::MAX as u64), May),
-    ("queries_per_min", Whole(1, u32::MAX as u64), May),
-    ("shards", Whole(1, u32::MAX as u64), May),
-    ("bytes_per_min", Whole(1, u64::MAX), May),
+const PLAN: &[(&str, ValueKind, Presence)] = &[
+    ("level", OneOf(&["any", "bounded", "session"]), Optional),
+    (
+        "staleness_ms",
+        Whole(crate::plans::STALENESS_MS.0 as u64, crate::plans::STALENESS_MS.1 as u64),
+        Optional,
+    ),
+    ("wait_ms", Whole(crate::plans::WAIT_MS.0 as u64, crate::plans::WAIT_MS.1 as u64), Optional),
+    ("or", OneOf(&["refuse", "tell-stale"]), Optional),
+    ("reads_per_s", Whole(1, u32::MAX as u64), Optional),
+    ("queries_per_min", Whole(1, u32::MAX as u64), Optional),
+    ("shards", Whole(1, u32::MAX as u64), Optional),
+    ("bytes_per_min", Whole(1, u64::MAX), Optional),
 ];
-const START: &[(&str, Is, Need)] = &[
-    ("tier", Text, May),
-    ("source", OneOf(&["agent", "service"]), May),
+const START: &[(&str, ValueKind, Presence)] = &[
+    ("tier", Text, Optional),
+    ("source", OneOf(&["agent", "service"]), Optional),
     (
         "bears_per_s",
         Whole(crate::start::CAPACITY_PER_S.0 as u64, crate::start::CAPACITY_PER_S.1 as u64),
         Null,
     ),
 ];
-type Keys = &'static [(&'static str, Is, Need)];
+type Keys = &'static [(&'static str, ValueKind, Presence)];
 /// Sections of optional components, and their keys.
 const SECTIONS: &[(&str, Keys)] = &[
     ("draining", DRAINING),
@@ -378,13 +406,18 @@
     ("status", STATUS),
 ];
 
-fn object(faults: &mut Vec<Fault>, path: &str, value: Option<&Value>, keys: &[(&str, Is, Need)]) {
+fn check_object(
+    faults: &mut Vec<Fault>,
+    path: &str,
+    value: Option<&Value>,
+    keys: &[(&str, ValueKind, Presence)],
+) {
     // A value that is not an object is reported with its own key.
     let Some(Value::Object(object)) = value else { return };
     for (key, is, need) in keys {
         let at = join(path, key);
         match object.get(*key) {
-            None if *need == Must => faults.push(Fault::new(at, "missing", is.expected())),
+            None if *need == Required => faults.push(Fault::new(at, "missing", is.expected())),
             Some(Value::Null) if *need == Null => {}
             Some(value) if !is.holds(value) => faults.push(Fault::new(at, shown(value), is.expected())),
             None | Some(_) => {}
@@ -392,7 +425,12 @@
     }
 }
 
-fn unheard_of(faults: &mut Vec<Fault>, path: &str, value: &Value, keys: &[(&str, Is, Need)]) {
+fn check_unknown_keys(
+    faults: &mut Vec<Fault>,
+    path: &str,
+    value: &Value,
+    keys: &[(&str, ValueKind, Presence)],
+) {
     for key in value.as_object().into_iter().flatten().map(|(key, _)| key) {
         if !keys.iter().any(|known| known.0 == key) {
             let known: Vec<&str> = keys.iter().map(|known| known.0).collect();
@@ -401,13 +439,18 @@
     }
 }
 
-fn entries(faults: &mut Vec<Fault>, path: &str, list: Option<&Value>, keys: &[(&str, Is, Need)]) {
+fn check_entries(
+    faults: &mut Vec<Fault>,
+    path: &str,
+    list: Option<&Value>,
+    keys: &[(&str, ValueKind, Presence)],
+) {
     for (at, entry) in list.and_then(Value::as_array).into_iter().flatten().enumerate() {
         let path = format!("{path}[{at}]");
         if !entry.is_object() {
             faults.push(Fault::new(&path, shown(entry), Object.expected()));
         }
-        object(faults, &path, Some(entry), keys);
+        check_object(faults, &path, Some(entry), keys);
     }
 }
 
@@ -415,26 +458,26 @@
 pub fn faults(document: &Value) -> Vec<Fault> {
     let mut faults = Vec::new();
     let at = |path: &str| document.pointer(path);
-    object(&mut faults, "", Some(document), TOP);
-    object(&mut faults, "limits", at("/limits"), LIMITS);
-    object(&mut faults, "settings", at("/settings"), SETTINGS);
-    entries(&mut faults, "settings.classes", at("/settings/classes"), CLASS);
-    entries(&mut faults, "settings.realms", at("/settings/realms"), REALM);
-    object(&mut faults, "settings.family_info", at("/settings/family_info"), FAMILY);
-    object(&mut faults, "settings.limits", at("/settings/limits"), SETTINGS_LIMITS);
-    object(&mut faults, "settings.obligations", at("/settings/obligations"), OBLIGATIONS);
-    object(&mut faults, "settings.load_report", at("/settings/load_report"), REPORT);
-    object(&mut faults, "settings.charges", at("/settings/charges"), CHARGES);
+    check_object(&mut faults, "", Some(document), TOP);
+    check_object(&mut faults, "limits", at("/limits"), LIMITS);
+    check_object(&mut faults, "settings", at("/settings"), SETTINGS);
+    check_entries(&mut faults, "settings.classes", at("/settings/classes"), CLASS);
+    check_entries(&mut faults, "settings.realms", at("/settings/realms"), REALM);
+    check_object(&mut faults, "settings.family_info", at("/settings/family_info"), FAMILY);
+    check_object(&mut faults, "settings.limits", at("/settings/limits"), SETTINGS_LIMITS);
+    check_object(&mut faults, "settings.obligations", at("/settings/obligations"), OBLIGATIONS);
+    check_object(&mut faults, "settings.load_report", at("/settings/load_report"), REPORT);
+    check_object(&mut faults, "settings.charges", at("/settings/charges"), CHARGES);
     for (section, keys) in SECTIONS {
-        object(&mut faults, section, document.get(*section), keys);
+        check_object(&mut faults, section, document.get(*section), keys);
     }
     for (name, plan) in document.get("plans").and_then(Value::as_object).into_iter().flatten() {
         let path = join("plans", name);
         if !plan.is_object() {
             faults.push(Fault::new(&path, shown(plan), Object.expected()));
         }
-        object(&mut faults, &path, Some(plan), PLAN);
-        unheard_of(&mut faults, &path, plan, PLAN);
+        check_object(&mut faults, &path, Some(plan), PLAN);
+        check_unknown_keys(&mut faults, &path, plan, PLAN);
     }
     if let Some(plans) = document.get("plans").and_then(Value::as_object)
         && plans.len() > crate::plans::MAX_PLANS
@@ -468,9 +511,9 @@
     }
     // Sections of optional components are this program's own: an unknown key in them is a mistake.
     for (section, keys) in SECTIONS {
-        unheard_of(&mut faults, section, &document[*section], keys);
+        check_unknown_keys(&mut faults, section, &document[*section], keys);
     }
-    faults.truncate(MAX_TOLD);
+    faults.truncate(MAX_REPORTED);
     faults
 }
 
@@ -483,7 +526,7 @@
                 for (key, value) in there {
                     let at = join(path, key);
                     match here.get(key) {
-                        None if path.is_empty() && OPTIONAL.contains(&key.as_str()) => {}
+                        None if path.is_empty() && OPTIONAL_SECTIONS.contains(&key.as_str()) => {}
                         None => {
                             faults.push(Fault::new(at, "missing", "a key that the document in force has"));
                         }
@@ -505,12 +548,12 @@
     }
     let mut faults = Vec::new();
     walk("", document, in_force, &mut faults);
-    faults.truncate(MAX_TOLD);
+    faults.truncate(MAX_REPORTED);
     faults
 }
 
 /// Sections of optional components: leaving one out turns the component off.
-const OPTIONAL: &[&str] = &["draining", "membership", "takeover", "start", "status", "plans"];
+const OPTIONAL_SECTIONS: &[&str] = &["draining", "membership", "takeover", "start", "status", "plans"];
 
 /// The changes from one document to another, key by key; a class is identified by its name, and compared as a
 /// whole.
@@ -530,7 +573,7 @@
             (before, after, path == "settings.classes")
         else {
             let show = |value: Option<&Value>| value.map_or("missing".into(), shown);
-            let (takes, under_way) = meaning(path);
+            let (takes, under_way) = effect_of(path);
             let (before, after) = (show(before), show(after));
             changes.push(Change { key: path.to_owned(), before, after, takes, under_way });
             return;
@@ -543,7 +586,7 @@
             let (b, a) = (named(b, name), named(a, name));
             let show = |value: &Option<Value>| value.as_ref().map_or("missing".into(), shown);
             if a != b {
-                let (takes, under_way) = meaning(path);
+                let (takes, under_way) = effect_of(path);
                 let key = format!("{path}[{name}]");
                 changes.push(Change { key, before: show(&b), after: show(&a), takes, under_way });
             }
@@ -551,12 +594,12 @@
     }
     let mut changes = Vec::new();
     walk("", Some(before), Some(after), &mut changes);
-    changes.truncate(MAX_TOLD);
+    changes.truncate(MAX_REPORTED);
     changes
 }
 
 /// When a change of a key takes effect, and what it means for messages in hand.
-fn meaning(path: &str) -> (Takes, &'static str) {
+fn effect_of(path: &str) -> (Takes, &'static str) {
     let under_way = match path {
         p if p.starts_with("settings.classes") => "messages in hand keep the class they were accepted with",
         "settings.limits.try_limit" => "messages that already had that many attempts end at once",
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -38,37 +38,37 @@
 /// Datagrams per period sent to the observers.
 const TO_OBSERVERS: usize = 8;
 /// Datagrams per period sent to random members, dead ones included.
-const TO_ANY: usize = 2;
+const TO_RANDOM: usize = 2;
 /// Datagrams that a member sends per period.
-pub const DATAGRAMS_PER_PERIOD: usize = TO_OBSERVERS + TO_ANY;
+pub const DATAGRAMS_PER_PERIOD: usize = TO_OBSERVERS + TO_RANDOM;
 /// Heartbeats that must be lost, over nearly all observers together, before a member is declared dead: at 40%
 /// loss, 0.4 to this power is 2e-13.
-const LOST_BEATS: usize = 32;
+const LOST_HEARTBEATS: usize = 32;
 /// Of the heartbeats to a dead observer, one in this many is sent; the others go to random live members, so
 /// that a tier that has lost many members sends as much as before.
-const TO_DEAD: u32 = 4;
+const TO_DEAD_ONE_IN: u32 = 4;
 /// Maximum factor by which the suspicion timeout of a member that came and went is extended.
-const MAX_PATIENCE: u32 = 8;
+const MAX_TIMEOUT_FACTOR: u32 = 8;
 /// After this many stable periods the factor is halved.
-const CALM_PERIODS: Micros = 60;
+const STABLE_PERIODS: Micros = 60;
 /// Maximum number of replies that a member sends per period, however many ask.
-const ANSWERS: u32 = 4 * DATAGRAMS_PER_PERIOD as u32;
+const MAX_REPLIES: u32 = 4 * DATAGRAMS_PER_PERIOD as u32;
 /// Number of view changes kept.
-pub const HISTORY: usize = 256;
+pub const MAX_HISTORY: usize = 256;
 /// A record may be at most this many incarnations ahead of the known one, and no incarnation may reach
-/// [`LAST_LIFE`]: nobody can use up another member's incarnations.
-const LEAP: u32 = 1000;
-/// See [`LEAP`].
-const LAST_LIFE: u32 = 1 << 31;
+/// [`INCARNATION_LIMIT`]: nobody can use up another member's incarnations.
+const MAX_INCARNATION_JUMP: u32 = 1000;
+/// See [`MAX_INCARNATION_JUMP`].
+const INCARNATION_LIMIT: u32 = 1 << 31;
 
 const VERSION: u8 = 1;
-const HEAD: usize = 15;
+const HEADER_LEN: usize = 15;
 /// Minimum and maximum encoded length of a record.
-const RECORD: (usize, usize) = (5, 15);
+const RECORD_LEN: (usize, usize) = (5, 15);
 /// Maximum number of records in a datagram.
-pub const MAX_RECORDS: usize = (MAX_DATAGRAM_LEN - HEAD) / RECORD.0;
+pub const MAX_RECORDS: usize = (MAX_DATAGRAM_LEN - HEADER_LEN) / RECORD_LEN.0;
 /// A member's heartbeat, to an observer or to any member.
-const BEAT: u8 = 1;
+const HEARTBEAT: u8 = 1;
 /// Informs a member of a later incarnation of its own, or has the records that it asked for. It is not
 /// answered.
 const REPLY: u8 = 2;
@@ -130,9 +130,9 @@
     /// When its record last advanced, directly or through gossip.
     pub last_updated: Micros,
     /// Number of its observers that suspect it.
-    pub accusers: u8,
+    pub suspecting_observers: u8,
     /// How many more times its record is sent as an update.
-    retell: u32,
+    resends: u32,
 }
 
 /// A member that this one observes.
@@ -142,9 +142,9 @@
     /// Start of the present silence.
     since: Option<Micros>,
     /// Factor on the suspicion timeout.
-    patience: u32,
+    timeout_factor: u32,
     /// When that factor last changed.
-    patient_since: Micros,
+    factor_changed_at: Micros,
 }
 
 /// The `membership` section of the configuration. It must be the same at all members of a tier.
@@ -177,7 +177,7 @@
 }
 
 /// Range of the period, in milliseconds.
-pub const PERIODS_MS: (u32, u32) = (50, 60_000);
+pub const PERIOD_MS_RANGE: (u32, u32) = (50, 60_000);
 
 /// Datagram counters.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
@@ -258,20 +258,20 @@
     strides: Vec<usize>,
     observed: Vec<Observed>,
     /// Members whose records are sent as updates, the least often sent first.
-    news: BTreeSet<(Reverse<u32>, Rank)>,
+    updates: BTreeSet<(Reverse<u32>, Rank)>,
     /// Next rank to ask for, time of the last ask, and whether it brought anything.
     wanted: (usize, Micros, bool),
     /// Next rank in the round-robin over all records.
-    fill: usize,
+    next_fill: usize,
     slot: usize,
     next: Micros,
-    heard_any: Micros,
+    any_heard_at: Micros,
     /// Start of the current reply period, and the replies sent in it.
     answered: (Micros, u32),
     /// Something changed that may affect states.
     dirty: bool,
     /// How often this member found that it had been paused, and when last.
-    stops: (u64, Option<Micros>),
+    pauses: (u64, Option<Micros>),
     history: VecDeque<Change>,
     /// Rises with each change of a state or an incarnation.
     pub version: u64,
@@ -312,7 +312,7 @@
     pub fn new(config: &Config, place: Place, seed: u64, now: Micros) -> Self {
         let Place { own, size, tier, zone } = place;
         let mut rng = fastrand::Rng::with_seed(seed);
-        let period = Micros::from(config.period_ms.clamp(PERIODS_MS.0, PERIODS_MS.1)) * 1000;
+        let period = Micros::from(config.period_ms.clamp(PERIOD_MS_RANGE.0, PERIOD_MS_RANGE.1)) * 1000;
         let size = size.min(MAX_MEMBERS);
         let member = |rank: usize| {
             let own = rank == usize::from(own);
@@ -322,16 +322,16 @@
                 since: now,
                 last_heard: None,
                 last_updated: now,
-                accusers: 0,
-                retell: 0,
+                suspecting_observers: 0,
+                resends: 0,
             }
         };
         let strides = strides(size, tier);
         let back = |stride: &usize| Observed {
             rank: ((usize::from(own) + size - stride) % size) as Rank,
             since: None,
-            patience: 1,
-            patient_since: now,
+            timeout_factor: 1,
+            factor_changed_at: now,
         };
         Self {
             own,
@@ -340,16 +340,16 @@
             members: (0..size).map(member).collect(),
             observed: strides.iter().map(back).collect(),
             strides,
-            news: BTreeSet::new(),
+            updates: BTreeSet::new(),
             wanted: (rng.usize(0..size.max(1)), now, true),
-            fill: rng.usize(0..size.max(1)),
+            next_fill: rng.usize(0..size.max(1)),
             slot: rng.usize(0..DATAGRAMS_PER_PERIOD),
             // Members that start together do not send in lockstep.
             next: now + rng.u64(0..period / DATAGRAMS_PER_PERIOD as Micros + 1),
-            heard_any: now,
+            any_heard_at: now,
             answered: (now, 0),
             dirty: false,
-            stops: (0, None),
+            pauses: (0, None),
             history: VecDeque::new(),
             version: 0,
             counts: Counts::default(),
@@ -402,19 +402,19 @@
     /// Whether nothing has been heard for so long that this member's opinion of others means nothing. It then
     /// declares nobody dead.
     pub fn isolated(&self, now: Micros) -> bool {
-        self.members.len() > 1 && now >= self.heard_any + self.suspicion_timeout()
+        self.members.len() > 1 && now >= self.any_heard_at + self.suspicion_timeout()
     }
 
     /// Whether at most half of the members that were ever heard of and have not left are alive or suspect.
     pub fn minority(&self) -> bool {
         let of = |states: &[State]| self.members.iter().filter(|m| states.contains(&m.state)).count();
-        let there = of(&[State::Alive, State::Suspect]);
-        there * 2 <= there + of(&[State::Dead])
+        let live = of(&[State::Alive, State::Suspect]);
+        live * 2 <= live + of(&[State::Dead])
     }
 
     /// How often this member found that it had been paused, and when last.
     pub fn pauses(&self) -> (u64, Option<Micros>) {
-        self.stops
+        self.pauses
     }
 
     /// The latest changes, oldest first.
@@ -439,10 +439,10 @@
         self.strides.iter().map(move |stride| (usize::from(rank) + stride) % self.members.len())
     }
 
-    /// Number of suspecting observers, out of `there` live ones, at which a member is dead: all but one in
+    /// Number of suspecting observers, out of `live` ones that are alive, at which a member is dead: all but one in
     /// eight.
-    fn deadly(there: usize) -> usize {
-        there - there / OBSERVERS
+    fn death_threshold(live: usize) -> usize {
+        live - live / OBSERVERS
     }
 
     /// The observers that do not hear a member, as far as is known here.
@@ -456,7 +456,7 @@
     /// How long an observer waits for a heartbeat before it suspects the member.
     pub fn suspicion_timeout(&self) -> Micros {
         let observers = self.strides.len().max(1);
-        let beats = LOST_BEATS.div_ceil(Self::deadly(observers).max(1)) as Micros;
+        let beats = LOST_HEARTBEATS.div_ceil(Self::death_threshold(observers).max(1)) as Micros;
         // With few observers, each is sent several heartbeats per period.
         let a_period = (TO_OBSERVERS / observers).max(1) as Micros;
         beats.div_ceil(a_period) * self.period
@@ -481,37 +481,37 @@
         if now >= self.next + self.period {
             // This member itself was paused: that time does not count as anybody's silence.
             let missed = now - self.next;
-            self.stops = (self.stops.0 + 1, Some(now));
+            self.pauses = (self.pauses.0 + 1, Some(now));
             self.observed
                 .iter_mut()
                 .for_each(|observed| observed.since = observed.since.map(|at| at + missed));
             self.members.iter_mut().for_each(|member| member.last_updated += missed);
-            self.heard_any += missed;
+            self.any_heard_at += missed;
         }
         self.next = now + self.step();
-        self.observe(now);
-        self.judge(now);
-        self.beat();
+        self.update_suspicions(now);
+        self.recompute_states(now);
+        self.advance_heartbeat();
         let observer = match self.slot {
             slot if slot < TO_OBSERVERS => self.strides.get(slot % self.strides.len().max(1)),
             _ => None,
         };
         let observer = observer.map(|stride| (usize::from(self.own) + stride) % self.members.len());
         let to = match observer {
-            Some(rank) if self.members[rank].state != State::Dead || self.rng.u32(..TO_DEAD) == 0 => {
+            Some(rank) if self.members[rank].state != State::Dead || self.rng.u32(..TO_DEAD_ONE_IN) == 0 => {
                 Some(rank as Rank)
             }
-            Some(_) => self.there(),
-            None => self.any(),
+            Some(_) => self.random_alive(),
+            None => self.random_member(),
         };
         self.slot = (self.slot + 1) % DATAGRAMS_PER_PERIOD;
         if let Some(to) = to {
-            self.write(to, BEAT, None, out);
+            self.send(to, HEARTBEAT, None, out);
         }
     }
 
     /// Advances the heartbeat of its own record.
-    fn beat(&mut self) {
+    fn advance_heartbeat(&mut self) {
         let record = &mut self.members[usize::from(self.own)].record;
         match record.beat.checked_add(1) {
             Some(beat) => record.beat = beat,
@@ -520,16 +520,16 @@
     }
 
     /// A random other member that is alive.
-    fn there(&mut self) -> Option<Rank> {
+    fn random_alive(&mut self) -> Option<Rank> {
         let own = self.own;
         let members = self.members.iter().enumerate();
-        let there = members.filter(|(rank, m)| *rank != usize::from(own) && m.state == State::Alive);
-        let there: Vec<Rank> = there.map(|(rank, _)| rank as Rank).collect();
-        (!there.is_empty()).then(|| there[self.rng.usize(..there.len())])
+        let live = members.filter(|(rank, m)| *rank != usize::from(own) && m.state == State::Alive);
+        let live: Vec<Rank> = live.map(|(rank, _)| rank as Rank).collect();
+        (!live.is_empty()).then(|| live[self.rng.usize(..live.len())])
     }
 
     /// A random other member that has not left: dead ones too, since a split heals from both sides.
-    fn any(&mut self) -> Option<Rank> {
+    fn random_member(&mut self) -> Option<Rank> {
         let others = self.members.len().saturating_sub(1);
         for _ in 0..4 {
             if others == 0 {
@@ -544,8 +544,8 @@
     }
 
     /// Suspects the observed members that have not been heard for too long.
-    fn observe(&mut self, now: Micros) {
-        let patience = self.suspicion_timeout();
+    fn update_suspicions(&mut self, now: Micros) {
+        let timeout = self.suspicion_timeout();
         let mut silent = 0;
         for (place, observed) in self.observed.iter_mut().enumerate() {
             let member = &self.members[usize::from(observed.rank)];
@@ -554,10 +554,11 @@
                 continue;
             }
             let since = *observed.since.get_or_insert(now);
-            if observed.patience > 1 && now >= observed.patient_since + CALM_PERIODS * self.period {
-                (observed.patience, observed.patient_since) = (observed.patience / 2, now);
+            if observed.timeout_factor > 1 && now >= observed.factor_changed_at + STABLE_PERIODS * self.period
+            {
+                (observed.timeout_factor, observed.factor_changed_at) = (observed.timeout_factor / 2, now);
             }
-            if now >= since + patience * Micros::from(observed.patience) {
+            if now >= since + timeout * Micros::from(observed.timeout_factor) {
                 silent |= 1 << place;
             }
         }
@@ -569,80 +570,83 @@
     }
 
     /// Recomputes the states of all members.
-    fn judge(&mut self, now: Micros) {
+    fn recompute_states(&mut self, now: Micros) {
         // Staleness depends on time alone; it is checked once per period.
         if !self.dirty && self.slot != 0 {
             return;
         }
         self.dirty = false;
         let size = self.members.len();
-        let accused = |observer: usize, place: usize| self.members[observer].record.silent & 1 << place != 0;
-        let mut accusers = vec![0u8; size];
-        for (rank, count) in accusers.iter_mut().enumerate() {
+        let suspected =
+            |observer: usize, place: usize| self.members[observer].record.silent & 1 << place != 0;
+        let mut suspecting_observers = vec![0u8; size];
+        for (rank, count) in suspecting_observers.iter_mut().enumerate() {
             let observers = self.observers(rank as Rank).enumerate();
-            *count = observers.filter(|(place, observer)| accused(*observer, *place)).count() as u8;
+            *count = observers.filter(|(place, observer)| suspected(*observer, *place)).count() as u8;
         }
         let half = self.strides.len().div_ceil(2).max(1);
         let (stale, isolated) = (self.stale_after(), self.isolated(now));
         // A member that is itself suspected by half of its observers, or is stale, does not count as an
         // observer.
-        let witness: Vec<bool> = (0..size)
+        let counts_as_observer: Vec<bool> = (0..size)
             .map(|rank| {
                 let member = &self.members[rank];
-                let there = member.record.incarnation > 0 && !member.record.left;
+                let live = member.record.incarnation > 0 && !member.record.left;
                 let fresh = rank == usize::from(self.own) || now < member.last_updated + stale;
-                there && fresh && (usize::from(accusers[rank]) < half || rank == usize::from(self.own))
+                live && fresh
+                    && (usize::from(suspecting_observers[rank]) < half || rank == usize::from(self.own))
             })
             .collect();
         let mut states = Vec::with_capacity(size);
         for rank in 0..size {
             let member = &self.members[rank];
-            let observers = self.observers(rank as Rank).enumerate().filter(|(_, o)| witness[*o]);
-            let (mut there, mut against) = (0, 0);
+            let observers = self.observers(rank as Rank).enumerate().filter(|(_, o)| counts_as_observer[*o]);
+            let (mut live, mut suspecting) = (0, 0);
             for (place, observer) in observers {
-                there += 1;
-                against += usize::from(accused(observer, place));
+                live += 1;
+                suspecting += usize::from(suspected(observer, place));
             }
             let stale = now >= member.last_updated + stale;
-            let gone = match there {
+            let dead = match live {
                 // All of its observers are gone too.
                 0 => stale,
-                _ => against >= Self::deadly(there),
+                _ => suspecting >= Self::death_threshold(live),
             };
-            let doubted = against >= 2.min(half) || stale;
+            let suspect = suspecting >= 2.min(half) || stale;
             states.push(match member.record {
                 _ if rank == usize::from(self.own) && !member.record.left => State::Alive,
                 Record { incarnation: 0, .. } => State::Joining,
                 Record { left: true, .. } => State::Left,
                 // A member that hears nobody is itself the one that is cut off.
-                _ if gone && isolated && member.state != State::Dead => State::Suspect,
-                _ if gone => State::Dead,
-                _ if doubted => State::Suspect,
+                _ if dead && isolated && member.state != State::Dead => State::Suspect,
+                _ if dead => State::Dead,
+                _ if suspect => State::Suspect,
                 _ => State::Alive,
             });
         }
-        for (rank, (state, accusers)) in states.into_iter().zip(accusers).enumerate() {
-            self.members[rank].accusers = accusers;
-            self.hold(rank, state, now);
+        for (rank, (state, suspecting_observers)) in states.into_iter().zip(suspecting_observers).enumerate()
+        {
+            self.members[rank].suspecting_observers = suspecting_observers;
+            self.set_state(rank, state, now);
         }
     }
 
-    fn hold(&mut self, rank: usize, state: State, now: Micros) {
+    fn set_state(&mut self, rank: usize, state: State, now: Micros) {
         let member = &mut self.members[rank];
         if member.state == state {
             return;
         }
         let before = member.state;
         (member.state, member.since) = (state, now);
-        self.changed(rank, before, now);
+        self.record_change(rank, before, now);
     }
 
     /// Records a change of a member's state, or a new incarnation, in the history.
-    fn changed(&mut self, rank: usize, from: State, now: Micros) {
+    fn record_change(&mut self, rank: usize, from: State, now: Micros) {
         let Member { record, state: to, .. } = self.members[rank];
         let change = Change { at: now, member: rank as Rank, incarnation: record.incarnation, from, to };
         self.version += 1;
-        if self.history.len() == HISTORY {
+        if self.history.len() == MAX_HISTORY {
             self.history.pop_front();
         }
         self.history.push_back(change);
@@ -652,11 +656,11 @@
     pub fn leave(&mut self, now: Micros, out: &mut Outgoing) {
         self.members[usize::from(self.own)].record.left = true;
         self.dirty = true;
-        self.judge(now);
+        self.recompute_states(now);
         for place in 0..self.strides.len() {
-            self.beat();
+            self.advance_heartbeat();
             let to = (usize::from(self.own) + self.strides[place]) % self.members.len();
-            self.write(to as Rank, BEAT, None, out);
+            self.send(to as Rank, HEARTBEAT, None, out);
         }
     }
 
@@ -668,7 +672,7 @@
             own.record =
                 Record { incarnation: own.record.incarnation + 1, beat: 0, left: false, ..own.record };
             self.dirty = true;
-            self.judge(now);
+            self.recompute_states(now);
         }
     }
 
@@ -680,7 +684,7 @@
             self.counts.unreadable += 1;
             return;
         };
-        if read.version != VERSION || !matches!(read.kind, BEAT | REPLY | ASK) {
+        if read.version != VERSION || !matches!(read.kind, HEARTBEAT | REPLY | ASK) {
             self.counts.unknown += 1;
             return;
         }
@@ -690,39 +694,41 @@
             self.counts.foreign += 1;
             return;
         }
-        self.heard_any = now;
+        self.any_heard_at = now;
         self.members[usize::from(from)].last_heard = Some(now);
-        let lacked = if read.kind == REPLY { self.lacking(now) } else { 0 };
+        let missing_before = if read.kind == REPLY { self.missing_count(now) } else { 0 };
         if usize::from(read.size) == self.members.len() {
-            read.records.iter().for_each(|(member, record)| self.learn(*member, *record, now));
+            read.records.iter().for_each(|(member, record)| self.apply(*member, *record, now));
         } else {
             // While a new list is rolled out, only the writer's presence is certain. Whom it suspects depends
             // on its own list, which is not this one.
             self.counts.other_size += 1;
             let first = read.records[0].1;
-            self.learn(from, Record { silent: 0, ..first }, now);
+            self.apply(from, Record { silent: 0, ..first }, now);
         }
-        let patience = self.suspicion_timeout();
+        let timeout = self.suspicion_timeout();
         for (place, observed) in self.observed.iter_mut().enumerate().filter(|(_, o)| o.rank == from) {
-            if observed.since.is_some_and(|since| now >= since + patience) {
+            if observed.since.is_some_and(|since| now >= since + timeout) {
                 // The timeout of a member that comes and goes stays extended for as long as it does.
-                observed.patient_since = now;
+                observed.factor_changed_at = now;
             }
             if self.members[usize::from(self.own)].record.silent & 1 << place != 0 {
-                observed.patience = (observed.patience * 2).min(MAX_PATIENCE);
+                observed.timeout_factor = (observed.timeout_factor * 2).min(MAX_TIMEOUT_FACTOR);
                 self.dirty = true;
             }
             observed.since = Some(now);
         }
-        let (said, known) = (read.records[0].1, self.members[usize::from(from)].record);
-        let newborn = known.incarnation == said.incarnation
-            && known.beat > said.beat
-            && said.beat < DATAGRAMS_PER_PERIOD as u32;
+        let (sent, known) = (read.records[0].1, self.members[usize::from(from)].record);
+        let restarted = known.incarnation == sent.incarnation
+            && known.beat > sent.beat
+            && sent.beat < DATAGRAMS_PER_PERIOD as u32;
         match read.kind {
-            ASK => self.answer(from, Some(usize::from(read.wanted)), now, out),
+            ASK => self.reply(from, Some(usize::from(read.wanted)), now, out),
             // It does not know its earlier incarnations yet.
-            BEAT if known.incarnation > said.incarnation || newborn => self.answer(from, None, now, out),
-            REPLY => self.wanted.2 = self.lacking(now) < lacked,
+            HEARTBEAT if known.incarnation > sent.incarnation || restarted => {
+                self.reply(from, None, now, out)
+            }
+            REPLY => self.wanted.2 = self.missing_count(now) < missing_before,
             _ => {}
         }
         if read.kind != ASK {
@@ -730,25 +736,25 @@
         }
     }
 
-    fn answer(&mut self, to: Rank, wanted: Option<usize>, now: Micros, out: &mut Outgoing) {
+    fn reply(&mut self, to: Rank, wanted: Option<usize>, now: Micros, out: &mut Outgoing) {
         if now >= self.answered.0 + self.period {
             self.answered = (now, 0);
         }
-        if self.answered.1 < ANSWERS {
+        if self.answered.1 < MAX_REPLIES {
             self.answered.1 += 1;
-            self.write(to, REPLY, wanted, out);
+            self.send(to, REPLY, wanted, out);
         }
     }
 
     /// Whether a member's record has not advanced for so long that another member may have a later one.
-    fn lacks(&self, rank: usize, now: Micros) -> bool {
+    fn is_missing(&self, rank: usize, now: Micros) -> bool {
         let member = &self.members[rank];
         let old = member.record.incarnation == 0 || now >= member.last_updated + self.suspicion_timeout();
         old && !member.record.left && rank != usize::from(self.own)
     }
 
-    fn lacking(&self, now: Micros) -> usize {
-        (0..self.members.len()).filter(|rank| self.lacks(*rank, now)).count()
+    fn missing_count(&self, now: Micros) -> usize {
+        (0..self.members.len()).filter(|rank| self.is_missing(*rank, now)).count()
     }
 
     /// Asks a live member for missing records: once per period, or once per step while that brings something.
@@ -758,24 +764,26 @@
             return;
         }
         let size = self.members.len();
-        let next = (0..size).map(|n| (self.wanted.0 + n) % size).find(|rank| self.lacks(*rank, now));
+        let next = (0..size).map(|n| (self.wanted.0 + n) % size).find(|rank| self.is_missing(*rank, now));
         if let Some(rank) = next {
             self.wanted = (rank, now, false);
-            self.write(from, ASK, Some(rank), out);
+            self.send(from, ASK, Some(rank), out);
             // The next ask starts at a random rank.
             self.wanted.0 = (rank + 1 + self.rng.usize(0..size)) % size;
         }
     }
 
     /// Applies a record if it supersedes the known one.
-    fn learn(&mut self, member: Rank, record: Record, now: Micros) {
-        let retell = usize::BITS - self.members.len().leading_zeros();
+    fn apply(&mut self, member: Rank, record: Record, now: Micros) {
+        let resends = usize::BITS - self.members.len().leading_zeros();
         let Some(known) = self.members.get_mut(usize::from(member)) else {
             self.counts.absurd += 1;
             return;
         };
-        let ahead = known.record.incarnation > 0 && record.incarnation > known.record.incarnation + LEAP;
-        if record.incarnation == 0 || record.incarnation >= LAST_LIFE || (ahead && member != self.own) {
+        let ahead = known.record.incarnation > 0
+            && record.incarnation > known.record.incarnation + MAX_INCARNATION_JUMP;
+        if record.incarnation == 0 || record.incarnation >= INCARNATION_LIMIT || (ahead && member != self.own)
+        {
             self.counts.absurd += 1;
             return;
         }
@@ -784,7 +792,7 @@
         }
         if member == self.own {
             // From an earlier process of this member, or forged: continue with a later incarnation.
-            known.record.incarnation = (record.incarnation + 1).min(LAST_LIFE - 1);
+            known.record.incarnation = (record.incarnation + 1).min(INCARNATION_LIMIT - 1);
             known.record.beat = 0;
             known.since = now;
             self.version += 1;
@@ -797,19 +805,19 @@
         let same = Record { beat: record.beat, ..before } == record;
         if !same {
             self.dirty = true;
-            self.news.remove(&(Reverse(known.retell), member));
-            known.retell = retell;
-            self.news.insert((Reverse(retell), member));
+            self.updates.remove(&(Reverse(known.resends), member));
+            known.resends = resends;
+            self.updates.insert((Reverse(resends), member));
         }
         if before.incarnation != record.incarnation {
-            self.changed(usize::from(member), state, now);
+            self.record_change(usize::from(member), state, now);
         }
     }
 
     /// Writes a datagram: the member's own record, the reader's record, updates, and as much of the
     /// round-robin over all records as fits. A reply to an ask has the records from the wanted member on
     /// instead.
-    fn write(&mut self, to: Rank, kind: u8, wanted: Option<usize>, out: &mut Outgoing) {
+    fn send(&mut self, to: Rank, kind: u8, wanted: Option<usize>, out: &mut Outgoing) {
         let size = self.members.len();
         let asked = if kind == REPLY { wanted } else { None };
         let mut datagram =
@@ -819,23 +827,23 @@
             datagram.add(to, &self.members[usize::from(to)].record);
         }
         if asked.is_none() {
-            let mut told = Vec::new();
-            while let Some((Reverse(left), rank)) = self.news.pop_first() {
+            let mut sent = Vec::new();
+            while let Some((Reverse(left), rank)) = self.updates.pop_first() {
                 if rank != to && !datagram.add(rank, &self.members[usize::from(rank)].record) {
-                    self.news.insert((Reverse(left), rank));
+                    self.updates.insert((Reverse(left), rank));
                     break;
                 }
-                told.push(rank);
+                sent.push(rank);
             }
-            for rank in told {
+            for rank in sent {
                 let member = &mut self.members[usize::from(rank)];
-                member.retell -= 1;
-                if member.retell > 0 {
-                    self.news.insert((Reverse(member.retell), rank));
+                member.resends -= 1;
+                if member.resends > 0 {
+                    self.updates.insert((Reverse(member.resends), rank));
                 }
             }
         }
-        let from = asked.unwrap_or(self.fill);
+        let from = asked.unwrap_or(self.next_fill);
         for n in 0..size {
             let rank = (from + n) % size;
             let record = &self.members[rank].record;
@@ -844,12 +852,12 @@
             }
             if !datagram.add(rank as Rank, record) {
                 if asked.is_none() {
-                    self.fill = rank;
+                    self.next_fill = rank;
                 }
                 break;
             }
         }
-        let datagram = datagram.finished();
+        let datagram = datagram.finish();
         assert!(datagram.len() <= MAX_DATAGRAM_LEN, "a datagram's length is bounded");
         self.counts.sent += 1;
         self.counts.sent_bytes += datagram.len() as u64;
@@ -877,32 +885,32 @@
 /// An encoded record: the rank, the incarnation doubled with the last bit set if the member leaves, the
 /// heartbeat, the bitmap of members not heard, the zone; numbers in postcard's encoding, which is short for
 /// small ones.
-type Written = (Rank, u64, u32, u8, u8);
+type EncodedRecord = (Rank, u64, u32, u8, u8);
 
 impl Datagram {
     /// Decodes a datagram. The checksum detects bytes that were changed in transit.
     pub fn read(bytes: &[u8]) -> Option<Self> {
-        if bytes.len() > MAX_DATAGRAM_LEN || bytes.len() < HEAD + RECORD.0 {
+        if bytes.len() > MAX_DATAGRAM_LEN || bytes.len() < HEADER_LEN + RECORD_LEN.0 {
             return None;
         }
-        let (head, mut body) = bytes.split_at(HEAD);
-        let (said, sum) = head.split_at(HEAD - 4);
-        if checksum(said, body).to_le_bytes() != sum || said[0] != MAGIC {
+        let (head, mut body) = bytes.split_at(HEADER_LEN);
+        let (header, sum) = head.split_at(HEADER_LEN - 4);
+        if checksum(header, body).to_le_bytes() != sum || header[0] != MAGIC {
             return None;
         }
-        let two = |at: usize| u16::from_le_bytes([said[at], said[at + 1]]);
+        let two = |at: usize| u16::from_le_bytes([header[at], header[at + 1]]);
         let mut records = Vec::with_capacity(MAX_RECORDS);
-        for _ in 0..said[10] {
-            let ((rank, life, beat, silent, zone), rest): (Written, _) =
+        for _ in 0..header[10] {
+            let ((rank, life, beat, silent, zone), rest): (EncodedRecord, _) =
                 postcard::take_from_bytes(body).ok()?;
             let incarnation = u32::try_from(life >> 1).ok()?;
             records.push((rank, Record { incarnation, beat, left: life & 1 != 0, silent, zone }));
             body = rest;
         }
         Some(Self {
-            version: said[1] >> 4,
-            kind: said[1] & 0x0f,
-            tier: u32::from_le_bytes([said[2], said[3], said[4], said[5]]),
+            version: header[1] >> 4,
+            kind: header[1] & 0x0f,
+            tier: u32::from_le_bytes([header[2], header[3], header[4], header[5]]),
             size: two(6),
             wanted: two(8),
             records,
@@ -911,9 +919,9 @@
     }
 }
 
-fn checksum(said: &[u8], body: &[u8]) -> u32 {
+fn checksum(header: &[u8], body: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
-    hasher.update(said);
+    hasher.update(header);
     hasher.update(body);
     hasher.finalize()
 }
@@ -939,21 +947,21 @@
     /// Adds a record, if it fits; returns whether it did.
     pub fn add(&mut self, rank: Rank, record: &Record) -> bool {
         let life = u64::from(record.incarnation) << 1 | u64::from(record.left);
-        let written: Written = (rank, life, record.beat, record.silent, record.zone);
-        let mut room = [0; RECORD.1];
-        let Ok(bytes) = postcard::to_slice(&written, &mut room) else { return false };
+        let encoded: EncodedRecord = (rank, life, record.beat, record.silent, record.zone);
+        let mut room = [0; RECORD_LEN.1];
+        let Ok(bytes) = postcard::to_slice(&encoded, &mut room) else { return false };
         let fits = self.bytes.len() + bytes.len() <= MAX_DATAGRAM_LEN;
         if fits {
             self.bytes.extend_from_slice(bytes);
-            self.bytes[HEAD - 5] += 1;
+            self.bytes[HEADER_LEN - 5] += 1;
         }
         fits
     }
 
     /// The finished datagram, with its checksum.
-    pub fn finished(mut self) -> Vec<u8> {
-        let sum = checksum(&self.bytes[..HEAD - 4], &self.bytes[HEAD..]);
-        self.bytes[HEAD - 4..HEAD].copy_from_slice(&sum.to_le_bytes());
+    pub fn finish(mut self) -> Vec<u8> {
+        let sum = checksum(&self.bytes[..HEADER_LEN - 4], &self.bytes[HEADER_LEN..]);
+        self.bytes[HEADER_LEN - 4..HEADER_LEN].copy_from_slice(&sum.to_le_bytes());
         self.bytes
     }
 }
--- a/src/mesh.rs
+++ b/src/mesh.rs
@@ -3,13 +3,13 @@
 //! channels, has its own.
 //!
 //! Sans I/O. Messages queued for a sender that does not answer are dropped with its channel after
-//! [`GIVEN_UP`]; the user of a mesh must be able to send all of them again.
+//! [`PEER_TIMEOUT`]; the user of a mesh must be able to send all of them again.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-use crate::channel::{Came, Channel};
+use crate::channel::{Channel, ReceivedDatagram};
 use crate::coded_error;
 use crate::interface::Micros;
 use crate::membership::{Outgoing, Rank};
@@ -17,11 +17,11 @@
 /// Maximum number of channels; beyond it, the one that was heard or used the longest ago is closed.
 pub const MAX_CHANNELS: usize = 64;
 /// Maximum number of bytes queued in all channels together.
-pub const MAX_WAITING: usize = 4 << 20;
+pub const MAX_QUEUED_BYTES: usize = 4 << 20;
 /// Time without an answer after which a channel with queued messages is closed.
-pub const GIVEN_UP: Micros = 10_000_000;
+pub const PEER_TIMEOUT: Micros = 10_000_000;
 /// Time after which an unused channel is closed.
-pub const IDLE: Micros = 30_000_000;
+pub const IDLE_TIMEOUT: Micros = 30_000_000;
 
 /// Why a message was not queued. Nothing of it is sent; the caller may send it again later, or not at all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -29,7 +29,7 @@
     /// The tier has no such sender, or it is this one.
     #[error("sender {0} is not another sender of this tier")]
     UnknownPeer(Rank),
-    /// [`MAX_WAITING`] or the channel's own limit is reached.
+    /// [`MAX_QUEUED_BYTES`] or the channel's own limit is reached.
     #[error("the send queue for sender {0}, or for all senders together, is full")]
     Full(Rank),
 }
@@ -116,8 +116,8 @@
     }
 
     /// Number of bytes queued in all channels.
-    pub fn waiting(&self) -> usize {
-        self.peers.values().map(|peer| peer.channel.waiting()).sum()
+    pub fn queued_bytes(&self) -> usize {
+        self.peers.values().map(|peer| peer.channel.queued_bytes()).sum()
     }
 
     fn peer(&mut self, rank: Rank, now: Micros) -> Option<&mut Peer> {
@@ -149,7 +149,7 @@
     /// # Errors
     /// Returns why the message was not queued.
     pub fn send(&mut self, now: Micros, to: Rank, message: &[u8]) -> Result<(), SendError> {
-        if self.waiting() + message.len() > MAX_WAITING {
+        if self.queued_bytes() + message.len() > MAX_QUEUED_BYTES {
             return Err(SendError::Full(to));
         }
         let challenge = self.rng.u32(1..);
@@ -174,7 +174,8 @@
             self.counts.dropped += 1;
             return Received::default();
         };
-        let Came { messages, anew, heard, dropped } = peer.channel.receive(now, bytes, challenge);
+        let ReceivedDatagram { messages, peer_restarted, heard, dropped } =
+            peer.channel.receive(now, bytes, challenge);
         if heard {
             peer.heard = now;
         }
@@ -182,7 +183,7 @@
             peer.used = now;
         }
         self.counts.dropped += u64::from(dropped);
-        Received { messages, peer_restarted: anew }
+        Received { messages, peer_restarted }
     }
 
     /// Senders whose channels were closed with messages queued since the last call.
@@ -206,8 +207,8 @@
             });
             peer.queued = peer.channel.busy();
         }
-        let idle = |peer: &Peer| now >= peer.used.max(peer.heard) + IDLE;
-        let silent = |peer: &Peer| peer.queued && now >= peer.heard + GIVEN_UP;
+        let idle = |peer: &Peer| now >= peer.used.max(peer.heard) + IDLE_TIMEOUT;
+        let silent = |peer: &Peer| peer.queued && now >= peer.heard + PEER_TIMEOUT;
         let gone = self.peers.iter().filter(|(_, peer)| idle(peer) || silent(peer)).map(|(rank, _)| *rank);
         for rank in gone.collect::<Vec<_>>() {
             self.forget(rank);
--- a/src/takeover/groups.rs
+++ b/src/takeover/groups.rs
@@ -94,8 +94,8 @@
 }
 
 impl MessageState {
-    fn learn(&mut self, fact: Update, at: Micros) {
-        match fact {
+    fn apply(&mut self, update: Update, at: Micros) {
+        match update {
             Update::Record(record) if !self.over => self.record = Some(record),
             Update::Record(_) => {}
             Update::Intent(attempt) => {
@@ -109,12 +109,12 @@
         }
     }
 
-    fn join(&mut self, other: Self) {
+    fn merge(&mut self, other: Self) {
         if other.over {
-            self.learn(Update::Over, 0);
+            self.apply(Update::Over, 0);
         }
         if let Some(record) = other.record {
-            self.learn(Update::Record(record), 0);
+            self.apply(Update::Record(record), 0);
         }
         for (attempt, other) in other.attempts {
             let known = self.attempts.entry(attempt).or_insert(other);
@@ -138,26 +138,31 @@
     Open {
         #[serde(rename = "lot")]
         group: ReplicaGroupId,
-        covers: [Rank; 2],
+        #[serde(rename = "covers")]
+        backups: [Rank; 2],
     },
-    /// The writer now backs up the group; `memory` identifies its durable state.
+    /// The writer now backs up the group; `state_id` identifies its durable state.
     Opened {
         #[serde(rename = "lot")]
         group: ReplicaGroupId,
-        memory: u64,
+        #[serde(rename = "memory")]
+        state_id: u64,
     },
     /// The writer, the owner at this epoch, replicates an update: its `n`th, counted from 1.
-    Tell {
+    #[serde(rename = "Tell")]
+    Replicate {
         #[serde(rename = "lot")]
         group: ReplicaGroupId,
         epoch: Epoch,
         n: u32,
         item: Item,
-        fact: Update,
+        #[serde(rename = "fact")]
+        update: Update,
         at: Micros,
     },
     /// The writer, the first owner, had sent all its updates at this time of its clock.
-    Still {
+    #[serde(rename = "Still")]
+    UpToDate {
         #[serde(rename = "lot")]
         group: ReplicaGroupId,
         at: Micros,
@@ -176,7 +181,8 @@
         epoch: Epoch,
     },
     /// The writer, a backup, no longer hears the owner.
-    Poll {
+    #[serde(rename = "Poll")]
+    OwnerSilent {
         #[serde(rename = "lot")]
         group: ReplicaGroupId,
     },
@@ -192,19 +198,23 @@
         #[serde(rename = "lot")]
         group: ReplicaGroupId,
         epoch: Epoch,
-        heard: Micros,
+        #[serde(rename = "heard")]
+        last_heard: Micros,
     },
     /// The writer grants nothing below this epoch from now on, and has sent everything it knows.
     Promise {
         #[serde(rename = "lot")]
         group: ReplicaGroupId,
         epoch: Epoch,
-        memory: u64,
-        heard: Micros,
+        #[serde(rename = "memory")]
+        state_id: u64,
+        #[serde(rename = "heard")]
+        last_heard: Micros,
     },
     /// The writer owns the group at this epoch, and with it these messages. Of any other message of the
     /// group, nobody but the receiver knows or will know.
-    Taken {
+    #[serde(rename = "Taken")]
+    TakenOver {
         #[serde(rename = "lot")]
         group: ReplicaGroupId,
         epoch: Epoch,
@@ -216,7 +226,8 @@
         #[serde(rename = "lot")]
         group: ReplicaGroupId,
         epoch: Epoch,
-        memory: u64,
+        #[serde(rename = "memory")]
+        state_id: u64,
     },
     /// It may: the writer has closed the group, and nobody has owned it since or will.
     Closed {
@@ -242,9 +253,9 @@
 pub enum GroupEvent {
     /// All updates of an owned group up to this one are granted.
     Granted { group: ReplicaGroupId, upto: u32 },
-    /// This sender owns the group at this epoch, and with it these messages. `backups` are the backups whose
+    /// This sender owns the group at this epoch, and with it these messages. `backups` are those whose
     /// grant it needs, with the ids of their durable state. Attempts of the first owner that no backup knows
-    /// of began at `heard` of its clock or later.
+    /// of began at `last_heard` of its clock or later.
     Adopt {
         group: ReplicaGroupId,
         epoch: Epoch,
@@ -279,7 +290,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Role {
     /// The sender that opened the group owns it.
-    Covering,
+    Standby,
     /// It has promised an epoch of its own, and waits for the other backup.
     Candidate,
     /// It has promised the other backup's epoch, and has everything that one knew.
@@ -289,36 +300,36 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Cover {
+struct HeldGroup {
     other: Rank,
     /// Which of the two backups it is: one uses odd epochs, the other even ones.
     second: bool,
     promised: Epoch,
     role: Role,
     /// The other backup no longer hears the owner.
-    polled: bool,
+    owner_silent_at_other: bool,
     /// The owning process has ended; its successor may ask about the group.
-    forgot: bool,
+    owner_restarted: bool,
     /// The first owner's clock when it sent its latest operation that reached this backup or the other one.
-    heard: Micros,
+    last_heard: Micros,
     items: BTreeMap<Item, MessageState>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Side {
+struct Backup {
     rank: Rank,
-    memory: Option<u64>,
+    state_id: Option<u64>,
     fenced: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Owned {
+struct OwnedGroup {
     epoch: Epoch,
-    backups: Vec<Side>,
+    backups: Vec<Backup>,
     /// Number of updates replicated.
-    told: u32,
+    updates: u32,
     /// Nobody else can own the group any more.
-    alone: bool,
+    sole_owner: bool,
     /// Messages that are still owed.
     open: BTreeSet<Item>,
     /// No further message is added to the group.
@@ -329,25 +340,25 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ReplicaGroups {
     own: Rank,
-    memory: DurableState,
-    covers: BTreeMap<ReplicaGroupId, Cover>,
-    owned: BTreeMap<ReplicaGroupId, Owned>,
+    durable: DurableState,
+    held: BTreeMap<ReplicaGroupId, HeldGroup>,
+    owned: BTreeMap<ReplicaGroupId, OwnedGroup>,
     /// Peers whose lease has expired.
-    lapsed: BTreeSet<Rank>,
+    expired: BTreeSet<Rank>,
     /// The capacity for further groups and records is exhausted.
     full: bool,
 }
 
-/// The effects of a call, in order. `ops` may be sent only after [`ReplicaGroups::durable_state`], if it changed, is
-/// persisted.
+/// The effects of a call, in order. `ops` may be sent only after [`ReplicaGroups::durable_state`], if it
+/// changed, is persisted.
 #[derive(Debug, Default)]
 pub struct Out {
     /// Operations to send over the channels.
     pub ops: Vec<(Rank, Op)>,
     /// Events for the sender.
-    pub said: Vec<GroupEvent>,
+    pub events: Vec<GroupEvent>,
     /// [`ReplicaGroups::durable_state`] has changed and must be persisted.
-    pub remember: bool,
+    pub persist: bool,
 }
 
 impl Out {
@@ -365,39 +376,44 @@
 
 impl ReplicaGroups {
     /// A sender without groups, with the durable state of its earlier processes.
-    pub fn new(own: Rank, memory: DurableState) -> Self {
+    pub fn new(own: Rank, durable: DurableState) -> Self {
         Self {
             own,
-            memory,
-            covers: BTreeMap::new(),
+            durable,
+            held: BTreeMap::new(),
             owned: BTreeMap::new(),
-            lapsed: BTreeSet::new(),
+            expired: BTreeSet::new(),
             full: false,
         }
     }
 
     /// The state that must outlive the process.
     pub fn durable_state(&self) -> &DurableState {
-        &self.memory
+        &self.durable
     }
 
     /// Opens a group. Messages can be added once it is [`ReplicaGroups::ready`].
-    pub fn open(&mut self, group: ReplicaGroupId, covers: [Rank; 2], out: &mut Out) {
-        let side = |rank| Side { rank, memory: None, fenced: false };
-        let backups = covers.map(side).to_vec();
+    pub fn open(&mut self, group: ReplicaGroupId, ranks: [Rank; 2], out: &mut Out) {
+        let backup = |rank| Backup { rank, state_id: None, fenced: false };
+        let backups = ranks.map(backup).to_vec();
         let open = BTreeSet::new();
-        self.owned.insert(group, Owned { epoch: 0, backups, told: 0, alone: false, open, sealed: false });
-        for rank in covers {
-            out.op(rank, Op::Open { group, covers });
+        self.owned.insert(
+            group,
+            OwnedGroup { epoch: 0, backups, updates: 0, sole_owner: false, open, sealed: false },
+        );
+        for rank in ranks {
+            out.op(rank, Op::Open { group, backups: ranks });
         }
     }
 
     /// The backups and the ids of their durable state, once both have joined and while the group accepts
     /// messages.
     pub fn ready(&self, group: ReplicaGroupId) -> Option<Vec<(Rank, u64)>> {
-        let owned = self.owned.get(&group).filter(|owned| !owned.sealed && !owned.alone)?;
-        let backups =
-            owned.backups.iter().map(|side| Some((side.rank, side.memory.filter(|_| !side.fenced)?)));
+        let owned = self.owned.get(&group).filter(|owned| !owned.sealed && !owned.sole_owner)?;
+        let backups = owned
+            .backups
+            .iter()
+            .map(|backup| Some((backup.rank, backup.state_id.filter(|_| !backup.fenced)?)));
         backups.collect()
     }
 
@@ -411,46 +427,47 @@
         open: BTreeSet<Item>,
         out: &mut Out,
     ) {
-        let side = |(rank, memory): &(Rank, u64)| Side {
+        let backup = |(rank, state_id): &(Rank, u64)| Backup {
             rank: *rank,
-            memory: Some(*memory),
+            state_id: Some(*state_id),
             // The backup grants nothing to a process that it does not know.
             fenced: true,
         };
-        let alone = backups.is_empty();
-        let backups = backups.iter().map(side).collect();
-        self.owned.insert(group, Owned { epoch, backups, told: 0, alone, open, sealed: true });
+        let sole_owner = backups.is_empty();
+        let backups = backups.iter().map(backup).collect();
+        self.owned.insert(group, OwnedGroup { epoch, backups, updates: 0, sole_owner, open, sealed: true });
         self.ask(group, None, out);
     }
 
     /// Closes the groups opened here that lost this backup, since the other one alone could not come to own
     /// them. Once closed, their messages can be replicated again.
-    pub fn retire(&mut self, gone: Rank, out: &mut Out) {
-        let of = |owned: &Owned| {
-            owned.epoch == 0 && !owned.alone && owned.backups.iter().any(|side| side.rank == gone)
+    pub fn backup_lost(&mut self, gone: Rank, out: &mut Out) {
+        let of = |owned: &OwnedGroup| {
+            owned.epoch == 0 && !owned.sole_owner && owned.backups.iter().any(|backup| backup.rank == gone)
         };
         for group in self.owned.iter().filter(|(_, o)| of(o)).map(|(group, _)| *group).collect::<Vec<_>>() {
             if let Some(owned) = self.owned.get_mut(&group) {
                 owned.sealed = true;
             }
             self.ask(group, None, out);
-            self.end_if_over(group, out);
+            self.end_if_finished(group, out);
         }
     }
 
     /// Asks the backups again about groups that are fenced at all of them: may this sender continue alone?
-    pub fn ask_again(&mut self, out: &mut Out) {
-        let stuck = self.owned.iter().filter(|(_, o)| !o.alone && o.backups.iter().all(|side| side.fenced));
+    pub fn retry_asks(&mut self, out: &mut Out) {
+        let stuck =
+            self.owned.iter().filter(|(_, o)| !o.sole_owner && o.backups.iter().all(|backup| backup.fenced));
         for group in stuck.map(|(group, _)| *group).collect::<Vec<_>>() {
             self.ask(group, None, out);
         }
     }
 
     fn ask(&self, group: ReplicaGroupId, only: Option<Rank>, out: &mut Out) {
-        let Some(owned) = self.owned.get(&group).filter(|owned| !owned.alone) else { return };
-        for side in owned.backups.iter().filter(|side| only.is_none_or(|rank| rank == side.rank)) {
-            if let Some(memory) = side.memory {
-                out.op(side.rank, Op::Ask { group, epoch: owned.epoch, memory });
+        let Some(owned) = self.owned.get(&group).filter(|owned| !owned.sole_owner) else { return };
+        for backup in owned.backups.iter().filter(|backup| only.is_none_or(|rank| rank == backup.rank)) {
+            if let Some(state_id) = backup.state_id {
+                out.op(backup.rank, Op::Ask { group, epoch: owned.epoch, state_id });
             }
         }
     }
@@ -459,63 +476,63 @@
     pub fn seal(&mut self, group: ReplicaGroupId, out: &mut Out) {
         if let Some(owned) = self.owned.get_mut(&group) {
             owned.sealed = true;
-            self.end_if_over(group, out);
+            self.end_if_finished(group, out);
         }
     }
 
     /// Replicates an update of an owned group to its backups. Returns the update's number if it has to be
-    /// granted first, which [`GroupEvent::Granted`] reports; `None` if it needs no grant, or if the group is not
-    /// owned.
+    /// granted first, which [`GroupEvent::Granted`] reports; `None` if it needs no grant, or if the group is
+    /// not owned.
     pub fn replicate(
         &mut self,
         (group, item): (ReplicaGroupId, Item),
-        fact: Update,
+        update: Update,
         at: Micros,
         out: &mut Out,
     ) -> Option<u32> {
         let owned = self.owned.get_mut(&group)?;
-        match fact {
+        match update {
             Update::Record(_) => drop(owned.open.insert(item)),
             Update::Over => drop(owned.open.remove(&item)),
             _ => {}
         }
-        let over = fact == Update::Over;
-        owned.told += 1;
-        let (n, epoch) = (owned.told, owned.epoch);
-        if !owned.alone {
-            for side in owned.backups.iter().filter(|side| !side.fenced) {
-                out.op(side.rank, Op::Tell { group, epoch, n, item, fact: fact.clone(), at });
+        let over = update == Update::Over;
+        owned.updates += 1;
+        let (n, epoch) = (owned.updates, owned.epoch);
+        if !owned.sole_owner {
+            for backup in owned.backups.iter().filter(|backup| !backup.fenced) {
+                out.op(backup.rank, Op::Replicate { group, epoch, n, item, update: update.clone(), at });
             }
         }
         // A message that another sender took over is granted nothing, even if nobody else can own the rest.
-        let lost = matches!(fact, Update::Intent(_)) && !owned.open.contains(&item);
-        let waits = (!owned.alone || lost).then_some(n);
-        if let Some(cover) = self.covers.get_mut(&group) {
-            cover.items.entry(item).or_default().learn(fact, at);
+        let lost = matches!(update, Update::Intent(_)) && !owned.open.contains(&item);
+        let waits = (!owned.sole_owner || lost).then_some(n);
+        if let Some(held) = self.held.get_mut(&group) {
+            held.items.entry(item).or_default().apply(update, at);
         }
         if over {
-            self.end_if_over(group, out);
+            self.end_if_finished(group, out);
         }
         waits
     }
 
     /// Confirms to the backups of the groups opened here that no update is missing up to `at`.
-    pub fn still(&mut self, at: Micros, out: &mut Out) {
+    pub fn confirm_up_to_date(&mut self, at: Micros, out: &mut Out) {
         for (group, owned) in
-            self.owned.iter().filter(|(_, o)| o.epoch == 0 && !o.alone && !o.open.is_empty())
+            self.owned.iter().filter(|(_, o)| o.epoch == 0 && !o.sole_owner && !o.open.is_empty())
         {
-            for side in owned.backups.iter().filter(|side| !side.fenced) {
-                out.op(side.rank, Op::Still { group: *group, at });
+            for backup in owned.backups.iter().filter(|backup| !backup.fenced) {
+                out.op(backup.rank, Op::UpToDate { group: *group, at });
             }
         }
     }
 
-    fn end_if_over(&mut self, group: ReplicaGroupId, out: &mut Out) {
+    fn end_if_finished(&mut self, group: ReplicaGroupId, out: &mut Out) {
         let Some(owned) = self.owned.get(&group).filter(|owned| owned.sealed && owned.open.is_empty()) else {
             return;
         };
-        for side in &owned.backups {
-            out.op(side.rank, Op::Drop { group });
+        for backup in &owned.backups {
+            out.op(backup.rank, Op::Drop { group });
         }
         // The backup's state stays until it expires, so that a former owner that asks learns of the takeover.
         self.owned.remove(&group);
@@ -523,32 +540,35 @@
 
     /// Records that a peer's lease has expired, and returns whether it was valid until now. May be called at
     /// any time, and may be wrong.
-    pub fn lapse(&mut self, peer: Rank, out: &mut Out) -> bool {
-        let new = self.lapsed.insert(peer);
+    pub fn lease_expired(&mut self, peer: Rank, out: &mut Out) -> bool {
+        let new = self.expired.insert(peer);
         if new {
-            self.without(peer, |_| true, out);
+            self.peer_lost(peer, |_| true, out);
         }
         new
     }
 
     /// Takes over the groups that a peer's restart left without an owner. Called one lease after
-    /// [`ReplicaGroups::reset`]: the new process knows nothing of the groups that it has not asked about by then.
+    /// [`ReplicaGroups::reset`]: the new process knows nothing of the groups that it has not asked about by
+    /// then.
     pub fn orphaned(&mut self, peer: Rank, out: &mut Out) {
-        self.without(peer, |cover| cover.forgot, out);
+        self.peer_lost(peer, |held| held.owner_restarted, out);
     }
 
-    fn without(&mut self, peer: Rank, which: impl Fn(&Cover) -> bool, out: &mut Out) {
+    fn peer_lost(&mut self, peer: Rank, which: impl Fn(&HeldGroup) -> bool, out: &mut Out) {
         let groups: Vec<ReplicaGroupId> =
-            self.covers.iter().filter(|(_, c)| which(c)).map(|(group, _)| *group).collect();
+            self.held.iter().filter(|(_, held)| which(held)).map(|(group, _)| *group).collect();
         for group in groups {
-            let Some(cover) = self.covers.get(&group) else { continue };
-            match cover.role {
-                Role::Covering if group.owner == peer && cover.polled => self.stand(group, out),
-                Role::Covering if group.owner == peer => out.op(cover.other, Op::Poll { group }),
+            let Some(held) = self.held.get(&group) else { continue };
+            match held.role {
+                Role::Standby if group.owner == peer && held.owner_silent_at_other => {
+                    self.become_candidate(group, out)
+                }
+                Role::Standby if group.owner == peer => out.op(held.other, Op::OwnerSilent { group }),
                 // This backup has everything the other one knew, and the other one needs its grants, which
                 // end here.
-                Role::Promised if cover.other == peer => {
-                    self.promise_own(group, out);
+                Role::Promised if held.other == peer => {
+                    self.promise_own_epoch(group, out);
                     self.adopt(group, Vec::new(), out);
                 }
                 _ => {}
@@ -557,64 +577,64 @@
     }
 
     /// Records that a peer was heard again.
-    pub fn heard(&mut self, peer: Rank) {
-        self.lapsed.remove(&peer);
+    pub fn peer_heard(&mut self, peer: Rank) {
+        self.expired.remove(&peer);
     }
 
     /// Promises this backup's own next epoch, and returns it. Sends nothing.
-    fn promise_own(&mut self, group: ReplicaGroupId, out: &mut Out) -> Epoch {
-        let Some(cover) = self.covers.get_mut(&group) else { return 0 };
-        let next = cover.promised + 1;
-        cover.promised = if (next % 2 == 0) == cover.second { next } else { next + 1 };
-        let promised = cover.promised;
-        self.remember(group, promised, out);
+    fn promise_own_epoch(&mut self, group: ReplicaGroupId, out: &mut Out) -> Epoch {
+        let Some(held) = self.held.get_mut(&group) else { return 0 };
+        let next = held.promised + 1;
+        held.promised = if (next % 2 == 0) == held.second { next } else { next + 1 };
+        let promised = held.promised;
+        self.store_promise(group, promised, out);
         promised
     }
 
-    fn remember(&mut self, group: ReplicaGroupId, epoch: Epoch, out: &mut Out) {
-        self.memory.promises.insert(group, epoch);
-        if self.memory.promises.len() > MAX_PROMISES {
+    fn store_promise(&mut self, group: ReplicaGroupId, epoch: Epoch, out: &mut Out) {
+        self.durable.promises.insert(group, epoch);
+        if self.durable.promises.len() > MAX_PROMISES {
             // The new id makes questions about the evicted promise be answered with "unknown".
-            self.memory.promises.pop_first();
-            self.memory.id = self.memory.id.wrapping_add(1);
+            self.durable.promises.pop_first();
+            self.durable.id = self.durable.id.wrapping_add(1);
         }
-        out.remember = true;
+        out.persist = true;
     }
 
     /// Starts a candidacy for ownership, or repeats it at a higher epoch.
-    fn stand(&mut self, group: ReplicaGroupId, out: &mut Out) {
-        let epoch = self.promise_own(group, out);
-        let Some(cover) = self.covers.get_mut(&group) else { return };
-        cover.role = Role::Candidate;
-        let to = cover.other;
-        for (item, known) in &cover.items {
+    fn become_candidate(&mut self, group: ReplicaGroupId, out: &mut Out) {
+        let epoch = self.promise_own_epoch(group, out);
+        let Some(held) = self.held.get_mut(&group) else { return };
+        held.role = Role::Candidate;
+        let to = held.other;
+        for (item, known) in &held.items {
             out.op(to, Op::State { group, item: *item, known: known.clone() });
         }
-        let heard = cover.heard;
-        out.op(to, Op::Prepare { group, epoch, heard });
+        let last_heard = held.last_heard;
+        out.op(to, Op::Prepare { group, epoch, last_heard });
     }
 
-    /// Makes this sender the group's owner. `backups` are the backups whose grant it needs.
-    fn adopt(&mut self, group: ReplicaGroupId, backups: Vec<Side>, out: &mut Out) {
-        let Some(cover) = self.covers.get_mut(&group) else { return };
-        cover.role = Role::Owner;
-        let (epoch, alone, heard) = (cover.promised, backups.is_empty(), cover.heard);
-        let owed = cover.items.iter().filter(|(_, known)| !known.over && known.record.is_some());
+    /// Makes this sender the group's owner. `backups` are those whose grant it needs.
+    fn adopt(&mut self, group: ReplicaGroupId, backups: Vec<Backup>, out: &mut Out) {
+        let Some(held) = self.held.get_mut(&group) else { return };
+        held.role = Role::Owner;
+        let (epoch, sole_owner, last_heard) = (held.promised, backups.is_empty(), held.last_heard);
+        let owed = held.items.iter().filter(|(_, known)| !known.over && known.record.is_some());
         let items: Vec<(Item, MessageState)> = owed.map(|(item, known)| (*item, known.clone())).collect();
         let open = items.iter().map(|(item, _)| *item).collect();
-        let told = backups.iter().filter_map(|side| Some((side.rank, side.memory?))).collect();
-        let owned = Owned { epoch, backups, told: 0, alone, open, sealed: true };
+        let granting = backups.iter().filter_map(|backup| Some((backup.rank, backup.state_id?))).collect();
+        let owned = OwnedGroup { epoch, backups, updates: 0, sole_owner, open, sealed: true };
         self.owned.insert(group, owned);
-        let taken = Op::Taken { group, epoch, items: cover.items.keys().copied().collect() };
-        let other = cover.other;
-        for owner in [Some(group.owner), Some(other).filter(|_| alone)].into_iter().flatten() {
+        let taken = Op::TakenOver { group, epoch, items: held.items.keys().copied().collect() };
+        let other = held.other;
+        for owner in [Some(group.owner), Some(other).filter(|_| sole_owner)].into_iter().flatten() {
             out.op(owner, taken.clone());
         }
-        out.said.push(GroupEvent::Adopt { group, epoch, backups: told, last_heard: heard, items });
+        out.events.push(GroupEvent::Adopt { group, epoch, backups: granting, last_heard, items });
         // The other backup is asked to close the group, so that its messages can be replicated again to two
         // live backups.
         self.ask(group, None, out);
-        self.end_if_over(group, out);
+        self.end_if_finished(group, out);
     }
 
     /// Handles a peer's restart: everything in flight between the two is lost, and the peer has no groups any
@@ -623,18 +643,18 @@
         let owned: Vec<ReplicaGroupId> = self.owned.keys().copied().collect();
         for group in owned {
             let Some(owned) = self.owned.get_mut(&group) else { continue };
-            let Some(side) = owned.backups.iter_mut().find(|side| side.rank == peer) else { continue };
-            side.fenced = true;
+            let Some(backup) = owned.backups.iter_mut().find(|backup| backup.rank == peer) else { continue };
+            backup.fenced = true;
             owned.sealed = true;
             self.ask(group, Some(peer), out);
         }
         // The other backup has lost the group: nobody can come to own it any more.
-        let hopeless = |c: &Cover| c.other == peer && matches!(c.role, Role::Covering | Role::Candidate);
-        self.covers.retain(|_, cover| !hopeless(cover));
-        for (group, cover) in &mut self.covers {
-            cover.forgot |= match cover.role {
-                Role::Covering => group.owner == peer,
-                Role::Promised => cover.other == peer,
+        let hopeless = |c: &HeldGroup| c.other == peer && matches!(c.role, Role::Standby | Role::Candidate);
+        self.held.retain(|_, held| !hopeless(held));
+        for (group, held) in &mut self.held {
+            held.owner_restarted |= match held.role {
+                Role::Standby => group.owner == peer,
+                Role::Promised => held.other == peer,
                 Role::Candidate | Role::Owner => false,
             };
         }
@@ -643,7 +663,7 @@
     /// Drops a group that this sender backs up: the deadlines of its messages have long passed.
     pub fn expire(&mut self, group: ReplicaGroupId) {
         if !self.owned.contains_key(&group) {
-            self.covers.remove(&group);
+            self.held.remove(&group);
         }
     }
 
@@ -655,29 +675,29 @@
 
     /// Total size of the stored records, in bytes.
     pub fn bytes(&self) -> usize {
-        let known = self.covers.values().flat_map(|cover| cover.items.values());
+        let known = self.held.values().flat_map(|held| held.items.values());
         known.map(|known| known.record.as_ref().map_or(0, Vec::len)).sum()
     }
 
     /// The groups that are backed up here, each with its number of owed messages.
-    pub fn covering(&self) -> impl Iterator<Item = (ReplicaGroupId, usize)> + '_ {
-        let owed = |cover: &Cover| cover.items.values().filter(|known| !known.over).count();
-        let others = self.covers.iter().filter(|(group, _)| !self.owned.contains_key(group));
-        others.map(move |(group, cover)| (*group, if cover.role == Role::Owner { 0 } else { owed(cover) }))
+    pub fn held_groups(&self) -> impl Iterator<Item = (ReplicaGroupId, usize)> + '_ {
+        let owed = |held: &HeldGroup| held.items.values().filter(|known| !known.over).count();
+        let others = self.held.iter().filter(|(group, _)| !self.owned.contains_key(group));
+        others.map(move |(group, held)| (*group, if held.role == Role::Owner { 0 } else { owed(held) }))
     }
 
     /// Peers whose leases matter here: backups of owned groups, and owners and other backups of backed-up
     /// groups.
-    pub fn concerns(&self) -> BTreeSet<Rank> {
-        let owned = self.owned.values().flat_map(|owned| owned.backups.iter().map(|side| side.rank));
-        let covers = self.covers.iter().filter(|(_, cover)| cover.role != Role::Owner);
-        let covered = covers.flat_map(|(group, cover)| [group.owner, cover.other]);
-        owned.chain(covered).filter(|rank| *rank != self.own).collect()
+    pub fn relevant_peers(&self) -> BTreeSet<Rank> {
+        let owned = self.owned.values().flat_map(|owned| owned.backups.iter().map(|backup| backup.rank));
+        let held = self.held.iter().filter(|(_, held)| held.role != Role::Owner);
+        let others = held.flat_map(|(group, held)| [group.owner, held.other]);
+        owned.chain(others).filter(|rank| *rank != self.own).collect()
     }
 
     /// Whether this sender owns the group and nobody else can come to own it.
     pub fn is_sole_owner(&self, group: ReplicaGroupId) -> bool {
-        self.owned.get(&group).is_some_and(|owned| owned.alone)
+        self.owned.get(&group).is_some_and(|owned| owned.sole_owner)
     }
 
     /// Whether this sender owns the group, as far as it knows.
@@ -688,202 +708,218 @@
     /// Handles an operation of another sender.
     pub fn receive(&mut self, from: Rank, op: Op, out: &mut Out) {
         match op {
-            Op::Open { group, covers } => self.opened(from, group, covers, out),
-            Op::Opened { group, memory } => {
+            Op::Open { group, backups } => self.on_open(from, group, backups, out),
+            Op::Opened { group, state_id } => {
                 let owned = self.owned.get_mut(&group).filter(|owned| owned.epoch == 0);
-                if let Some(side) = owned.and_then(|o| o.backups.iter_mut().find(|side| side.rank == from)) {
-                    side.memory = Some(memory);
+                if let Some(backup) =
+                    owned.and_then(|o| o.backups.iter_mut().find(|backup| backup.rank == from))
+                {
+                    backup.state_id = Some(state_id);
                 }
             }
-            Op::Tell { group, epoch, n, item, fact, at } => {
-                self.told(from, (group, epoch, n), item, (fact, at), out);
+            Op::Replicate { group, epoch, n, item, update, at } => {
+                self.on_replicate(from, (group, epoch, n), item, (update, at), out);
             }
-            Op::Still { group, at } => {
-                let covering = |cover: &&mut Cover| cover.role == Role::Covering && group.owner == from;
-                if let Some(cover) = self.covers.get_mut(&group).filter(covering) {
-                    cover.heard = cover.heard.max(at);
+            Op::UpToDate { group, at } => {
+                let standby = |held: &&mut HeldGroup| held.role == Role::Standby && group.owner == from;
+                if let Some(held) = self.held.get_mut(&group).filter(standby) {
+                    held.last_heard = held.last_heard.max(at);
                 }
             }
             Op::Granted { group, epoch, upto } => {
                 let Some(owned) = self.owned.get_mut(&group).filter(|owned| owned.epoch == epoch) else {
                     return;
                 };
-                if owned.backups.iter().any(|side| side.rank == from && !side.fenced) {
-                    out.said.push(GroupEvent::Granted { group, upto });
+                if owned.backups.iter().any(|backup| backup.rank == from && !backup.fenced) {
+                    out.events.push(GroupEvent::Granted { group, upto });
                 }
             }
             Op::Fenced { group, epoch } => {
                 let Some(owned) = self.owned.get_mut(&group).filter(|owned| owned.epoch == epoch) else {
                     return;
                 };
-                if let Some(side) = owned.backups.iter_mut().find(|side| side.rank == from) {
-                    side.fenced = true;
+                if let Some(backup) = owned.backups.iter_mut().find(|backup| backup.rank == from) {
+                    backup.fenced = true;
                 }
                 owned.sealed = true;
             }
-            Op::Poll { group } => {
-                let Some(cover) = self.covers.get_mut(&group).filter(|cover| cover.other == from) else {
+            Op::OwnerSilent { group } => {
+                let Some(held) = self.held.get_mut(&group).filter(|held| held.other == from) else {
                     return;
                 };
-                cover.polled = true;
-                let lapsed = self.lapsed.contains(&group.owner) || cover.forgot;
-                if cover.role == Role::Candidate || cover.role == Role::Covering && lapsed {
-                    self.stand(group, out);
+                held.owner_silent_at_other = true;
+                let expired = self.expired.contains(&group.owner) || held.owner_restarted;
+                if held.role == Role::Candidate || held.role == Role::Standby && expired {
+                    self.become_candidate(group, out);
                 }
             }
             Op::State { group, item, known } => {
-                if let Some(cover) = self.covers.get_mut(&group).filter(|cover| cover.other == from) {
-                    cover.items.entry(item).or_default().join(known);
+                if let Some(held) = self.held.get_mut(&group).filter(|held| held.other == from) {
+                    held.items.entry(item).or_default().merge(known);
                 }
             }
-            Op::Prepare { group, epoch, heard } => self.prepared(from, group, epoch, heard, out),
-            Op::Promise { group, epoch, memory, heard } => {
-                let won = |cover: &&mut Cover| {
-                    cover.other == from && cover.role == Role::Candidate && cover.promised == epoch
+            Op::Prepare { group, epoch, last_heard } => self.on_prepare(from, group, epoch, last_heard, out),
+            Op::Promise { group, epoch, state_id, last_heard } => {
+                let won = |held: &&mut HeldGroup| {
+                    held.other == from && held.role == Role::Candidate && held.promised == epoch
                 };
-                if let Some(cover) = self.covers.get_mut(&group).filter(won) {
-                    cover.heard = cover.heard.max(heard);
-                    let side = Side { rank: from, memory: Some(memory), fenced: false };
-                    self.adopt(group, vec![side], out);
+                if let Some(held) = self.held.get_mut(&group).filter(won) {
+                    held.last_heard = held.last_heard.max(last_heard);
+                    let backup = Backup { rank: from, state_id: Some(state_id), fenced: false };
+                    self.adopt(group, vec![backup], out);
                 }
             }
-            Op::Taken { group, epoch, items } => {
-                let Some(owned) = self.owned.get_mut(&group).filter(|o| o.epoch < epoch && !o.alone) else {
+            Op::TakenOver { group, epoch, items } => {
+                let Some(owned) = self.owned.get_mut(&group).filter(|o| o.epoch < epoch && !o.sole_owner)
+                else {
                     return;
                 };
-                (owned.alone, owned.sealed) = (true, true);
+                (owned.sole_owner, owned.sealed) = (true, true);
                 let items: BTreeSet<Item> =
                     items.into_iter().filter(|item| owned.open.remove(item)).collect();
-                let upto = owned.told;
-                out.said.push(GroupEvent::Lost { group, items });
-                out.said.push(GroupEvent::Granted { group, upto });
-                out.said.push(GroupEvent::SoleOwner(group));
-                self.end_if_over(group, out);
+                let upto = owned.updates;
+                out.events.push(GroupEvent::Lost { group, items });
+                out.events.push(GroupEvent::Granted { group, upto });
+                out.events.push(GroupEvent::SoleOwner(group));
+                self.end_if_finished(group, out);
             }
-            Op::Ask { group, epoch, memory } => self.asked(from, group, epoch, memory, out),
+            Op::Ask { group, epoch, state_id } => self.on_ask(from, group, epoch, state_id, out),
             Op::Closed { group, epoch } => {
                 let Some(owned) = self.owned.get_mut(&group).filter(|owned| owned.epoch == epoch) else {
                     return;
                 };
-                owned.alone = true;
-                out.said.push(GroupEvent::Granted { group, upto: owned.told });
-                out.said.push(GroupEvent::SoleOwner(group));
+                owned.sole_owner = true;
+                out.events.push(GroupEvent::Granted { group, upto: owned.updates });
+                out.events.push(GroupEvent::SoleOwner(group));
             }
             Op::Unknown { .. } => {}
             Op::Drop { group } => {
-                let owner = |cover: &Cover| match cover.role {
-                    Role::Covering => from == group.owner,
-                    Role::Promised => from == cover.other,
+                let owner = |held: &HeldGroup| match held.role {
+                    Role::Standby => from == group.owner,
+                    Role::Promised => from == held.other,
                     _ => false,
                 };
-                if self.covers.get(&group).is_some_and(owner) {
-                    self.covers.remove(&group);
+                if self.held.get(&group).is_some_and(owner) {
+                    self.held.remove(&group);
                 }
             }
         }
     }
 
-    fn opened(&mut self, from: Rank, group: ReplicaGroupId, covers: [Rank; 2], out: &mut Out) {
-        let second = covers[1] == self.own;
-        let other = covers[usize::from(!second)];
-        let sound = group.owner == from && covers.contains(&self.own) && other != self.own && other != from;
+    fn on_open(&mut self, from: Rank, group: ReplicaGroupId, backups: [Rank; 2], out: &mut Out) {
+        let second = backups[1] == self.own;
+        let other = backups[usize::from(!second)];
+        let sound = group.owner == from && backups.contains(&self.own) && other != self.own && other != from;
         // A stored promise shows that this backup has been in the group before.
-        if !sound
-            || self.full
-            || self.covers.contains_key(&group)
-            || self.memory.promises.contains_key(&group)
+        if !sound || self.full || self.held.contains_key(&group) || self.durable.promises.contains_key(&group)
         {
             return;
         }
-        let (role, items) = (Role::Covering, BTreeMap::new());
-        self.covers.insert(
+        let (role, items) = (Role::Standby, BTreeMap::new());
+        self.held.insert(
             group,
-            Cover { other, second, promised: 0, role, polled: false, forgot: false, heard: 0, items },
+            HeldGroup {
+                other,
+                second,
+                promised: 0,
+                role,
+                owner_silent_at_other: false,
+                owner_restarted: false,
+                last_heard: 0,
+                items,
+            },
         );
-        out.op(from, Op::Opened { group, memory: self.memory.id });
+        out.op(from, Op::Opened { group, state_id: self.durable.id });
     }
 
-    fn told(
+    fn on_replicate(
         &mut self,
         from: Rank,
         (group, epoch, n): (ReplicaGroupId, Epoch, u32),
         item: Item,
-        (fact, at): (Update, Micros),
+        (update, at): (Update, Micros),
         out: &mut Out,
     ) {
-        let Some(cover) = self.covers.get_mut(&group) else {
+        let Some(held) = self.held.get_mut(&group) else {
             out.op(from, Op::Fenced { group, epoch });
             return;
         };
-        let owner = match cover.role {
-            Role::Covering => from == group.owner && epoch == 0,
-            Role::Promised => from == cover.other && epoch == cover.promised,
+        let owner = match held.role {
+            Role::Standby => from == group.owner && epoch == 0,
+            Role::Promised => from == held.other && epoch == held.promised,
             _ => false,
         };
-        let more = !self.full && (cover.items.len() as u32) < MAX_ITEMS;
-        if owner && (cover.items.contains_key(&item) || more) {
-            cover.items.entry(item).or_default().learn(fact, at);
-            if cover.role == Role::Covering {
-                cover.heard = cover.heard.max(at);
+        let more = !self.full && (held.items.len() as u32) < MAX_ITEMS;
+        if owner && (held.items.contains_key(&item) || more) {
+            held.items.entry(item).or_default().apply(update, at);
+            if held.role == Role::Standby {
+                held.last_heard = held.last_heard.max(at);
             }
             out.op(from, Op::Granted { group, epoch, upto: n });
             return;
         }
         out.op(from, Op::Fenced { group, epoch });
         // These two updates hold no matter who owns the group.
-        let knows = from == group.owner || from == cover.other;
-        if knows && matches!(fact, Update::NeverRan(_) | Update::Over) && cover.items.contains_key(&item) {
-            let over = fact == Update::Over;
-            cover.items.entry(item).or_default().learn(fact, at);
-            if over && cover.role == Role::Owner {
-                out.said.push(GroupEvent::Finished(group, item));
+        let knows = from == group.owner || from == held.other;
+        if knows && matches!(update, Update::NeverRan(_) | Update::Over) && held.items.contains_key(&item) {
+            let over = update == Update::Over;
+            held.items.entry(item).or_default().apply(update, at);
+            if over && held.role == Role::Owner {
+                out.events.push(GroupEvent::Finished(group, item));
             }
         }
     }
 
-    fn prepared(&mut self, from: Rank, group: ReplicaGroupId, epoch: Epoch, heard: Micros, out: &mut Out) {
-        let lapsed = self.lapsed.contains(&group.owner);
-        let Some(cover) = self.covers.get_mut(&group).filter(|cover| cover.other == from) else { return };
-        let hears_owner = cover.role == Role::Covering && !lapsed && !cover.forgot;
-        if epoch <= cover.promised || hears_owner || cover.role == Role::Owner {
+    fn on_prepare(
+        &mut self,
+        from: Rank,
+        group: ReplicaGroupId,
+        epoch: Epoch,
+        last_heard: Micros,
+        out: &mut Out,
+    ) {
+        let expired = self.expired.contains(&group.owner);
+        let Some(held) = self.held.get_mut(&group).filter(|held| held.other == from) else { return };
+        let hears_owner = held.role == Role::Standby && !expired && !held.owner_restarted;
+        if epoch <= held.promised || hears_owner || held.role == Role::Owner {
             return;
         }
-        cover.promised = epoch;
-        cover.role = Role::Promised;
-        cover.heard = cover.heard.max(heard);
-        let heard = cover.heard;
-        for (item, known) in &cover.items {
+        held.promised = epoch;
+        held.role = Role::Promised;
+        held.last_heard = held.last_heard.max(last_heard);
+        let last_heard = held.last_heard;
+        for (item, known) in &held.items {
             out.op(from, Op::State { group, item: *item, known: known.clone() });
         }
-        out.op(from, Op::Promise { group, epoch, memory: self.memory.id, heard });
-        self.remember(group, epoch, out);
+        out.op(from, Op::Promise { group, epoch, state_id: self.durable.id, last_heard });
+        self.store_promise(group, epoch, out);
     }
 
-    fn asked(&mut self, from: Rank, group: ReplicaGroupId, epoch: Epoch, memory: u64, out: &mut Out) {
-        if memory != self.memory.id {
+    fn on_ask(&mut self, from: Rank, group: ReplicaGroupId, epoch: Epoch, state_id: u64, out: &mut Out) {
+        if state_id != self.durable.id {
             out.op(from, Op::Unknown { group });
             return;
         }
-        let Some(cover) = self.covers.get(&group) else {
+        let Some(held) = self.held.get(&group) else {
             // Only promises are left of the group: without a higher one, nobody can have come to own it
             // through this backup.
-            let promised = self.memory.promises.get(&group).copied().unwrap_or(0);
+            let promised = self.durable.promises.get(&group).copied().unwrap_or(0);
             let op = if promised == epoch { Op::Closed { group, epoch } } else { Op::Unknown { group } };
             out.op(from, op);
             return;
         };
-        let owner = match cover.role {
-            Role::Covering => from == group.owner,
-            Role::Promised => from == cover.other,
+        let owner = match held.role {
+            Role::Standby => from == group.owner,
+            Role::Promised => from == held.other,
             Role::Candidate => false,
             Role::Owner => {
-                let items = cover.items.keys().copied().collect();
-                out.op(from, Op::Taken { group, epoch: cover.promised, items });
+                let items = held.items.keys().copied().collect();
+                out.op(from, Op::TakenOver { group, epoch: held.promised, items });
                 return;
             }
         };
-        if owner && cover.promised == epoch {
-            self.covers.remove(&group);
+        if owner && held.promised == epoch {
+            self.held.remove(&group);
             out.op(from, Op::Closed { group, epoch });
         }
     }
--- a/src/takeover/mod.rs
+++ b/src/takeover/mod.rs
@@ -20,23 +20,23 @@
 };
 
 /// Range of the lease, in milliseconds.
-pub const LEASES_MS: (u32, u32) = (200, 30_000);
+pub const LEASE_MS_RANGE: (u32, u32) = (200, 30_000);
 /// Range of the maximum body size of a replicated message, in bytes.
-pub const BODIES: (u32, u32) = (0, 65_536);
+pub const BODY_BYTES_RANGE: (u32, u32) = (0, 65_536);
 /// Range of the memory for other senders' messages, in MB.
-pub const ROOM_MB: (u32, u32) = (1, 64);
-/// A message with more time left is not replicated: backups keep nothing for longer than [`KEPT`].
+pub const ROOM_MB_RANGE: (u32, u32) = (1, 64);
+/// A message with more time left is not replicated: backups keep nothing for longer than [`RETENTION`].
 pub const MAX_MESSAGE_TIME: Micros = 60_000_000;
 /// Time after which a backup drops a group that nobody came to own.
-const KEPT: Micros = 2 * MAX_MESSAGE_TIME;
+const RETENTION: Micros = 2 * MAX_MESSAGE_TIME;
 /// Time for which a group accepts new messages.
-const TAKES_FOR: Micros = 5_000_000;
-/// How long before the end of [`TAKES_FOR`] the next group is opened.
-const OPENED_BEFORE: Micros = 1_000_000;
+const GROUP_OPEN_TIME: Micros = 5_000_000;
+/// How long before the end of [`GROUP_OPEN_TIME`] the next group is opened.
+const OPEN_AHEAD: Micros = 1_000_000;
 /// Maximum number of groups backed up here.
-const MAX_COVERED: usize = 2_048;
+const MAX_HELD_GROUPS: usize = 2_048;
 /// Time for which a sender that failed to join a group as backup is not chosen again.
-const LEFT_OUT: Micros = 5_000_000;
+const EXCLUSION_TIME: Micros = 5_000_000;
 
 /// The `takeover` section of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
@@ -134,17 +134,17 @@
 #[derive(Debug)]
 struct Peer {
     channel: Channel,
-    heard: Micros,
+    last_heard: Micros,
     /// When the groups that the peer's previous process left behind count as orphaned.
     orphans_at: Option<Micros>,
     /// The peer failed to join a group as backup, and is not chosen again until then.
-    left_out: Micros,
+    excluded_until: Micros,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Current {
     group: ReplicaGroupId,
-    covers: [Rank; 2],
+    backups: [Rank; 2],
     since: Micros,
     next: Item,
 }
@@ -159,19 +159,19 @@
     rng: fastrand::Rng,
     groups: ReplicaGroups,
     peers: BTreeMap<Rank, Peer>,
-    fits: Vec<BackupFitness>,
+    fitness: Vec<BackupFitness>,
     /// The group that accepts new messages.
     current: Option<Current>,
     /// The group that will accept them next: its backups are still joining.
     next: Option<Current>,
     /// When each group that is backed up here was first seen.
-    seen: BTreeMap<ReplicaGroupId, Micros>,
+    first_seen: BTreeMap<ReplicaGroupId, Micros>,
     leaving: bool,
-    ticked: Micros,
-    asked: Micros,
-    stilled: Micros,
-    said: Vec<GroupEvent>,
-    remember: bool,
+    ticked_at: Micros,
+    asked_at: Micros,
+    confirmed_at: Micros,
+    events: Vec<GroupEvent>,
+    unsaved: bool,
     /// Counters for operators.
     pub counts: Counts,
 }
@@ -179,32 +179,25 @@
 impl Takeover {
     /// The component of the sender with rank `own` among `size`, with the durable state of its earlier
     /// processes.
-    pub fn new(
-        config: &Config,
-        own: Rank,
-        size: usize,
-        seed: u64,
-        memory: DurableState,
-        now: Micros,
-    ) -> Self {
+    pub fn new(config: &Config, own: Rank, size: usize, seed: u64, state: DurableState, now: Micros) -> Self {
         Self {
             own,
             size,
             tier: crc32fast::hash(config.tier.as_bytes()) ^ size as u32,
             config: config.clone(),
             rng: fastrand::Rng::with_seed(seed),
-            groups: ReplicaGroups::new(own, memory),
+            groups: ReplicaGroups::new(own, state),
             peers: BTreeMap::new(),
-            fits: vec![BackupFitness::Far; size],
+            fitness: vec![BackupFitness::Far; size],
             current: None,
             next: None,
-            seen: BTreeMap::new(),
+            first_seen: BTreeMap::new(),
             leaving: false,
-            ticked: now,
-            asked: now,
-            stilled: now,
-            said: Vec::new(),
-            remember: false,
+            ticked_at: now,
+            asked_at: now,
+            confirmed_at: now,
+            events: Vec::new(),
+            unsaved: false,
             counts: Counts::default(),
         }
     }
@@ -217,7 +210,7 @@
     /// The durable state, if it has changed since the last call; it must be persisted before anything is
     /// sent.
     pub fn take_unsaved_state(&mut self) -> Option<&DurableState> {
-        std::mem::take(&mut self.remember).then(|| self.groups.durable_state())
+        std::mem::take(&mut self.unsaved).then(|| self.groups.durable_state())
     }
 
     /// The state that must outlive the process.
@@ -227,12 +220,12 @@
 
     /// Takes the pending events, for the sender to handle.
     pub fn take_events(&mut self) -> Vec<GroupEvent> {
-        std::mem::take(&mut self.said)
+        std::mem::take(&mut self.events)
     }
 
     /// Sets how suitable the other senders are as backups, by rank.
-    pub fn set_backup_fitness(&mut self, fits: Vec<BackupFitness>) {
-        self.fits = fits;
+    pub fn set_backup_fitness(&mut self, fitness: Vec<BackupFitness>) {
+        self.fitness = fitness;
     }
 
     /// Stops replicating new messages while the sender leaves, or starts again.
@@ -249,9 +242,9 @@
         let (tier, number) = (self.tier, self.rng.u64(1..));
         self.peers.entry(rank).or_insert_with(|| Peer {
             channel: Channel::new(channel::TAKEOVER, number, tier),
-            heard: now,
+            last_heard: now,
             orphans_at: None,
-            left_out: 0,
+            excluded_until: 0,
         })
     }
 
@@ -260,7 +253,7 @@
         let mut out = Out::default();
         let done = act(&mut self.groups, &mut out);
         loop {
-            let broken = self.pass_on(now, out);
+            let broken = self.queue(now, out);
             if broken.is_empty() {
                 return done;
             }
@@ -277,10 +270,10 @@
     }
 
     /// Queues operations and events; returns the peers whose channel is full.
-    fn pass_on(&mut self, now: Micros, out: Out) -> BTreeSet<Rank> {
-        self.remember |= out.remember;
-        for said in out.said {
-            match &said {
+    fn queue(&mut self, now: Micros, out: Out) -> BTreeSet<Rank> {
+        self.unsaved |= out.persist;
+        for event in out.events {
+            match &event {
                 GroupEvent::Adopt { items, .. } => {
                     self.counts.lots_taken += 1;
                     self.counts.adopted += items.len() as u64;
@@ -288,7 +281,7 @@
                 GroupEvent::Lost { items, .. } => self.counts.lost += items.len() as u64,
                 GroupEvent::Granted { .. } | GroupEvent::Finished(..) | GroupEvent::SoleOwner(_) => {}
             }
-            self.said.push(said);
+            self.events.push(event);
         }
         let mut broken = BTreeSet::new();
         for (to, op) in out.ops {
@@ -308,7 +301,7 @@
     /// # Errors
     /// Returns why the message cannot be replicated.
     pub fn place(&mut self, body: usize, left: Micros) -> Result<ReplicaTag, NotReplicated> {
-        let placed = self.placed(body, left);
+        let placed = self.try_place(body, left);
         match &placed {
             Ok(_) => self.counts.covered += 1,
             Err(why) => *self.counts.uncovered.entry(*why).or_default() += 1,
@@ -318,10 +311,10 @@
 
     /// Like [`Takeover::place`], for a message that was replicated before and is already counted.
     pub fn place_rereplicated(&mut self, body: usize, left: Micros) -> Option<ReplicaTag> {
-        self.placed(body, left).ok()
+        self.try_place(body, left).ok()
     }
 
-    fn placed(&mut self, body: usize, left: Micros) -> Result<ReplicaTag, NotReplicated> {
+    fn try_place(&mut self, body: usize, left: Micros) -> Result<ReplicaTag, NotReplicated> {
         if body > self.config.max_body as usize {
             return Err(NotReplicated::Body);
         }
@@ -340,20 +333,27 @@
     pub fn replicate_all(&mut self, now: Micros, group: ReplicaGroupId, item: Item, known: &MessageState) {
         for (attempt, intended) in &known.attempts {
             let never = intended.never_ran.then_some(Update::NeverRan(*attempt));
-            for fact in std::iter::once(Update::Intent(*attempt)).chain(never) {
-                self.with(now, |groups, out| groups.replicate((group, item), fact, intended.at, out));
+            for update in std::iter::once(Update::Intent(*attempt)).chain(never) {
+                self.with(now, |groups, out| groups.replicate((group, item), update, intended.at, out));
             }
         }
         let last =
             known.given_up.map(Update::GivenUp).into_iter().chain(known.record.clone().map(Update::Record));
-        for fact in last {
-            self.replicate(now, group, item, fact);
+        for update in last {
+            self.replicate(now, group, item, update);
         }
     }
 
-    /// Replicates an update of an owned message. Returns its number if a grant is needed; see [`ReplicaGroups::replicate`].
-    pub fn replicate(&mut self, now: Micros, group: ReplicaGroupId, item: Item, fact: Update) -> Option<u32> {
-        self.with(now, |groups, out| groups.replicate((group, item), fact, now, out))
+    /// Replicates an update of an owned message. Returns its number if a grant is needed; see
+    /// [`ReplicaGroups::replicate`].
+    pub fn replicate(
+        &mut self,
+        now: Micros,
+        group: ReplicaGroupId,
+        item: Item,
+        update: Update,
+    ) -> Option<u32> {
+        self.with(now, |groups, out| groups.replicate((group, item), update, now, out))
     }
 
     /// Whether this sender owns the group, as far as it knows.
@@ -387,21 +387,21 @@
         let challenge = self.rng.u32(1..);
         let lease = self.lease();
         let peer = self.peer(from, now);
-        let came = peer.channel.receive(now, bytes, challenge);
-        if came.heard {
-            peer.heard = now;
+        let received = peer.channel.receive(now, bytes, challenge);
+        if received.heard {
+            peer.last_heard = now;
         }
-        if came.anew {
+        if received.peer_restarted {
             peer.orphans_at = Some(now + lease);
         }
-        self.counts.dropped += u64::from(came.dropped);
-        if came.heard {
-            self.groups.heard(from);
+        self.counts.dropped += u64::from(received.dropped);
+        if received.heard {
+            self.groups.peer_heard(from);
         }
-        if came.anew {
+        if received.peer_restarted {
             self.with(now, |groups, out| groups.reset(from, out));
         }
-        for message in came.messages {
+        for message in received.messages {
             match postcard::from_bytes::<Op>(&message) {
                 Ok(op) => self.with(now, |groups, out| groups.receive(from, op, out)),
                 Err(_) => self.counts.dropped += 1,
@@ -417,7 +417,7 @@
 
     /// When leases and backups are checked next.
     pub fn next_tick_at(&self) -> Micros {
-        self.ticked + self.lease() / 10
+        self.ticked_at + self.lease() / 10
     }
 
     /// Checks leases and backups, if that is due.
@@ -425,70 +425,71 @@
         if now < self.next_tick_at() {
             return;
         }
-        if now > self.ticked + self.lease() / 2 {
+        if now > self.ticked_at + self.lease() / 2 {
             // This process itself was paused: the silence of others means nothing.
-            self.peers.values_mut().for_each(|peer| peer.heard = now);
+            self.peers.values_mut().for_each(|peer| peer.last_heard = now);
         }
-        self.ticked = now;
-        self.leases(now);
-        if now >= self.asked + self.lease() {
-            self.asked = now;
-            self.with(now, |groups, out| groups.ask_again(out));
+        self.ticked_at = now;
+        self.check_leases(now);
+        if now >= self.asked_at + self.lease() {
+            self.asked_at = now;
+            self.with(now, |groups, out| groups.retry_asks(out));
         }
-        if now >= self.stilled + self.lease() / 2 {
-            self.stilled = now;
-            self.with(now, |groups, out| groups.still(now, out));
+        if now >= self.confirmed_at + self.lease() / 2 {
+            self.confirmed_at = now;
+            self.with(now, |groups, out| groups.confirm_up_to_date(now, out));
         }
         self.expire(now);
-        self.choose(now);
+        self.rotate_groups(now);
     }
 
-    fn leases(&mut self, now: Micros) {
+    fn check_leases(&mut self, now: Micros) {
         let lease = self.lease();
-        for rank in self.groups.concerns() {
+        for rank in self.groups.relevant_peers() {
             let challenge = self.rng.u32(1..);
             let peer = self.peer(rank, now);
             peer.channel.greet(challenge);
             if now >= peer.channel.last_sent() + lease / 5 {
                 peer.channel.ping();
             }
-            let silent = now >= peer.heard + lease;
+            let silent = now >= peer.last_heard + lease;
             if peer.orphans_at.is_some_and(|at| now >= at) {
                 peer.orphans_at = None;
                 self.with(now, |groups, out| groups.orphaned(rank, out));
             }
             if silent {
-                let new = self.with(now, |groups, out| groups.lapse(rank, out));
+                let new = self.with(now, |groups, out| groups.lease_expired(rank, out));
                 if new {
                     self.counts.lapsed += 1;
-                    self.with(now, |groups, out| groups.retire(rank, out));
+                    self.with(now, |groups, out| groups.backup_lost(rank, out));
                 }
             }
         }
     }
 
     fn expire(&mut self, now: Micros) {
-        let covering: BTreeSet<ReplicaGroupId> = self.groups.covering().map(|(group, _)| group).collect();
-        self.seen.retain(|group, _| covering.contains(group));
-        for group in covering.iter().copied() {
-            let seen = *self.seen.entry(group).or_insert(now);
-            if now > seen + KEPT {
+        let held: BTreeSet<ReplicaGroupId> = self.groups.held_groups().map(|(group, _)| group).collect();
+        self.first_seen.retain(|group, _| held.contains(group));
+        for group in held.iter().copied() {
+            let first_seen = *self.first_seen.entry(group).or_insert(now);
+            if now > first_seen + RETENTION {
                 self.groups.expire(group);
             }
         }
         let full = self.groups.bytes() > self.config.room_mb as usize * 1_000_000;
-        self.groups.set_full(full || covering.len() > MAX_COVERED);
+        self.groups.set_full(full || held.len() > MAX_HELD_GROUPS);
     }
 
     /// Keeps a group open whose backups are reachable, and opens the next one in time.
-    fn choose(&mut self, now: Micros) {
+    fn rotate_groups(&mut self, now: Micros) {
         let lease = self.lease();
-        let well = |peers: &BTreeMap<Rank, Peer>, groups: &ReplicaGroups, current: &Current| {
-            let heard = |rank: &Rank| peers.get(rank).is_some_and(|peer| now < peer.heard + lease / 2);
-            current.covers.iter().all(heard) && groups.ready(current.group).is_some()
+        let usable = |peers: &BTreeMap<Rank, Peer>, groups: &ReplicaGroups, current: &Current| {
+            let heard_recently =
+                |rank: &Rank| peers.get(rank).is_some_and(|peer| now < peer.last_heard + lease / 2);
+            current.backups.iter().all(heard_recently) && groups.ready(current.group).is_some()
         };
         if let Some(current) = self.current
-            && (!well(&self.peers, &self.groups, &current) || now > current.since + TAKES_FOR)
+            && (!usable(&self.peers, &self.groups, &current) || now > current.since + GROUP_OPEN_TIME)
         {
             self.current = None;
             self.with(now, |groups, out| groups.seal(current.group, out));
@@ -496,17 +497,17 @@
         if let Some(next) = self.next {
             let fresh = self
                 .current
-                .is_some_and(|c| now < c.since + TAKES_FOR - OPENED_BEFORE && c.next < MAX_ITEMS / 4 * 3);
+                .is_some_and(|c| now < c.since + GROUP_OPEN_TIME - OPEN_AHEAD && c.next < MAX_ITEMS / 4 * 3);
             if self.groups.ready(next.group).is_some() && !fresh {
                 if let Some(before) = self.current.replace(Current { since: now, ..next }) {
                     self.with(now, |groups, out| groups.seal(before.group, out));
                 }
                 self.next = None;
             } else if now > next.since + lease && self.groups.ready(next.group).is_none() {
-                for rank in next.covers {
+                for rank in next.backups {
                     let peer = self.peer(rank, now);
-                    if !peer.channel.is_up() || now >= peer.heard + lease / 2 {
-                        peer.left_out = now + LEFT_OUT;
+                    if !peer.channel.is_up() || now >= peer.last_heard + lease / 2 {
+                        peer.excluded_until = now + EXCLUSION_TIME;
                     }
                 }
                 self.next = None;
@@ -528,19 +529,21 @@
         };
         let mut all: Vec<(bool, u32, Rank)> = (0..self.size as Rank)
             .filter(|rank| {
-                *rank != self.own && self.fits.get(usize::from(*rank)) != Some(&BackupFitness::Unfit)
+                *rank != self.own && self.fitness.get(usize::from(*rank)) != Some(&BackupFitness::Unfit)
+            })
+            .filter(|rank| self.peers.get(rank).is_none_or(|peer| now >= peer.excluded_until))
+            .map(|rank| {
+                (self.fitness.get(usize::from(rank)) != Some(&BackupFitness::Near), score(rank), rank)
             })
-            .filter(|rank| self.peers.get(rank).is_none_or(|peer| now >= peer.left_out))
-            .map(|rank| (self.fits.get(usize::from(rank)) != Some(&BackupFitness::Near), score(rank), rank))
             .collect();
         all.sort_unstable();
         let Some(first) = all.first().copied() else { return };
         // The second backup is far if possible, so that the loss of a zone takes only one of them.
         let far = all.iter().skip(1).find(|other| other.0).or(all.get(1)).copied();
         let Some(second) = far else { return };
-        let covers = [first.2, second.2];
-        self.next = Some(Current { group, covers, since: now, next: 0 });
-        self.with(now, |groups, out| groups.open(group, covers, out));
+        let backups = [first.2, second.2];
+        self.next = Some(Current { group, backups, since: now, next: 0 });
+        self.with(now, |groups, out| groups.open(group, backups, out));
     }
 
     /// Collects the datagrams to send now. [`Takeover::take_unsaved_state`] must be called, and its result
@@ -557,13 +560,15 @@
 
     /// What is held here for other senders: groups, messages, bytes.
     pub fn held_for_others(&self) -> (usize, usize, usize) {
-        let groups: Vec<_> = self.groups.covering().collect();
+        let groups: Vec<_> = self.groups.held_groups().collect();
         (groups.len(), groups.iter().map(|(_, owed)| owed).sum(), self.groups.bytes())
     }
 
     /// The current backups, and how long ago each was heard.
     pub fn current_backups(&self, now: Micros) -> Vec<(Rank, Micros)> {
-        let current = self.current.iter().flat_map(|current| current.covers);
-        current.map(|rank| (rank, self.peers.get(&rank).map_or(0, |p| now.saturating_sub(p.heard)))).collect()
+        let current = self.current.iter().flat_map(|current| current.backups);
+        current
+            .map(|rank| (rank, self.peers.get(&rank).map_or(0, |p| now.saturating_sub(p.last_heard))))
+            .collect()
     }
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -224,7 +224,7 @@
     let mut datagram = Writer::new(1, tier, size, u16::MAX);
     datagram.add(from, &Record { incarnation: 1, beat: 1, ..Record::NONE });
     records.iter().for_each(|(rank, record)| assert!(datagram.add(*rank, record)));
-    datagram.finished()
+    datagram.finish()
 }
 
 /// Guards against invalid, misdirected and hostile datagrams: they neither crash a member, nor make its
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -18,43 +18,43 @@
     epoch: Epoch,
     backups: Vec<(Rank, u64)>,
     /// An attempt may have run: no other may begin.
-    begun: bool,
+    may_have_run: bool,
     /// The number of the intent that is not granted yet.
-    waits: Option<u32>,
+    waits_for_grant: Option<u32>,
     /// The call may begin; only the sender's own scheduling delays it.
-    free: bool,
+    may_call: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Sender {
     /// `None` while the process is down.
     groups: Option<ReplicaGroups>,
-    memory: DurableState,
+    durable: DurableState,
     held: BTreeMap<Item, Held>,
     /// It has never lost its state.
-    whole: bool,
+    intact: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum Passed {
+enum LinkItem {
     Op(Op),
     /// The writer restarted: everything after this is from its new process.
-    Anew,
+    PeerRestarted,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct World {
     senders: Vec<Sender>,
-    links: BTreeMap<(Rank, Rank), VecDeque<Passed>>,
+    links: BTreeMap<(Rank, Rank), VecDeque<LinkItem>>,
     /// Pairs of which the first does not know yet that the second restarted: what it sends there is lost.
     unaware: BTreeSet<(Rank, Rank)>,
     calls: BTreeMap<Item, u8>,
     over: BTreeSet<Item>,
     /// Messages that a backup has acknowledged to the first owner.
-    covered: BTreeSet<Item>,
+    replicated: BTreeSet<Item>,
     /// The first owner has asked its backups to close the group.
     closing: bool,
-    lapses: usize,
+    expiries: usize,
     crashes: usize,
 }
 
@@ -67,7 +67,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Act {
     Deliver(Rank, Rank),
-    Lapse(Rank, Rank),
+    LeaseExpired(Rank, Rank),
     Orphaned(Rank, Rank),
     /// The first owner closes its group, since this backup is gone.
     Retire(Rank),
@@ -98,15 +98,15 @@
 
 struct Checked {
     items: u32,
-    lapses: usize,
+    expiries: usize,
     crashes: usize,
     fault: Fault,
 }
 
 impl World {
-    fn put(&mut self, from: Rank, to: Rank, passed: Passed) {
+    fn send(&mut self, from: Rank, to: Rank, link_item: LinkItem) {
         if !self.unaware.contains(&(from, to)) {
-            self.links.entry((from, to)).or_default().push_back(passed);
+            self.links.entry((from, to)).or_default().push_back(link_item);
         }
     }
 
@@ -117,27 +117,32 @@
         let Some(groups) = &mut sender.groups else { return };
         act(groups, &mut out);
         if fault != Fault::NoMemory {
-            sender.memory = groups.durable_state().clone();
+            sender.durable = groups.durable_state().clone();
         }
-        for said in out.said {
+        for event in out.events {
             let sender = &mut self.senders[usize::from(rank)];
-            match said {
+            match event {
                 GroupEvent::Granted { upto, .. } => {
                     // The records are the first updates that the first owner replicates.
                     if rank == 0
                         && !self.closing
                         && sender.groups.as_ref().is_some_and(|groups| !groups.is_sole_owner(GROUP))
                     {
-                        self.covered.extend(0..upto.min(2));
+                        self.replicated.extend(0..upto.min(2));
                     }
-                    for held in sender.held.values_mut().filter(|h| h.waits.is_some_and(|n| n <= upto)) {
-                        (held.waits, held.free) = (None, true);
+                    for held in
+                        sender.held.values_mut().filter(|h| h.waits_for_grant.is_some_and(|n| n <= upto))
+                    {
+                        (held.waits_for_grant, held.may_call) = (None, true);
                     }
                 }
                 GroupEvent::Adopt { epoch, backups, items, .. } => {
                     for (item, known) in items {
-                        let (backups, begun) = (backups.clone(), known.may_have_run());
-                        sender.held.insert(item, Held { epoch, backups, begun, waits: None, free: false });
+                        let (backups, may_have_run) = (backups.clone(), known.may_have_run());
+                        sender.held.insert(
+                            item,
+                            Held { epoch, backups, may_have_run, waits_for_grant: None, may_call: false },
+                        );
                     }
                 }
                 GroupEvent::Lost { items, .. } => sender.held.retain(|item, _| !items.contains(item)),
@@ -151,21 +156,23 @@
                 _ => false,
             };
             if !dropped {
-                self.put(rank, to, Passed::Op(op));
+                self.send(rank, to, LinkItem::Op(op));
             }
         }
     }
 
-    fn pass(&mut self, from: Rank, to: Rank, fault: Fault) {
-        let Some(passed) = self.links.get_mut(&(from, to)).and_then(VecDeque::pop_front) else { return };
-        match passed {
-            Passed::Anew => {
+    fn deliver(&mut self, from: Rank, to: Rank, fault: Fault) {
+        let Some(link_item) = self.links.get_mut(&(from, to)).and_then(VecDeque::pop_front) else { return };
+        match link_item {
+            LinkItem::PeerRestarted => {
                 self.unaware.remove(&(to, from));
                 self.act(to, fault, |groups, out| groups.reset(from, out));
             }
-            Passed::Op(op) => {
+            LinkItem::Op(op) => {
                 let intent = match &op {
-                    Op::Tell { group, epoch, n, fact: Update::Intent(_), .. } => Some((*group, *epoch, *n)),
+                    Op::Replicate { group, epoch, n, update: Update::Intent(_), .. } => {
+                        Some((*group, *epoch, *n))
+                    }
                     _ => None,
                 };
                 self.act(to, fault, |groups, out| {
@@ -180,31 +187,31 @@
 
     /// Runs without further failures: everything in flight arrives, leases on processes that are down expire,
     /// and every sender that may call does.
-    fn calm(&mut self, fault: Fault) {
+    fn settle(&mut self, fault: Fault) {
         for _ in 0..12 {
             while let Some((from, to)) = self.links.iter().find(|l| !l.1.is_empty()).map(|l| *l.0) {
-                self.pass(from, to, fault);
+                self.deliver(from, to, fault);
             }
             for a in 0..SENDERS as Rank {
                 for b in 0..SENDERS as Rank {
                     if a != b && self.senders[usize::from(b)].groups.is_none() {
                         self.act(a, fault, |groups, out| {
-                            groups.heard(b);
-                            groups.lapse(b, out);
+                            groups.peer_heard(b);
+                            groups.lease_expired(b, out);
                         });
                     } else if a != b {
                         self.act(a, fault, |groups, out| {
-                            groups.heard(b);
+                            groups.peer_heard(b);
                             groups.orphaned(b, out);
                         });
                     }
                 }
-                self.act(a, fault, |groups, out| groups.ask_again(out));
+                self.act(a, fault, |groups, out| groups.retry_asks(out));
                 let items: Vec<Item> = self.senders[usize::from(a)].held.keys().copied().collect();
                 for item in items {
                     for act in [Act::Intend(a, item), Act::Call(a, item), Act::End(a, item)] {
-                        if self.may(&act) {
-                            self.done(&act, fault);
+                        if self.allowed(&act) {
+                            self.apply(&act, fault);
                         }
                     }
                 }
@@ -212,57 +219,63 @@
         }
     }
 
-    fn may(&self, act: &Act) -> bool {
+    fn allowed(&self, act: &Act) -> bool {
         let up = |rank: &Rank| self.senders[usize::from(*rank)].groups.is_some();
         let held = |rank: &Rank, item: &Item| self.senders[usize::from(*rank)].held.get(item);
         match act {
             Act::Intend(rank, item) => {
-                up(rank) && held(rank, item).is_some_and(|h| !h.begun && !h.free && h.waits.is_none())
+                up(rank)
+                    && held(rank, item)
+                        .is_some_and(|h| !h.may_have_run && !h.may_call && h.waits_for_grant.is_none())
+            }
+            Act::Call(rank, item) => {
+                up(rank) && held(rank, item).is_some_and(|h| h.may_call && !h.may_have_run)
             }
-            Act::Call(rank, item) => up(rank) && held(rank, item).is_some_and(|h| h.free && !h.begun),
             Act::End(rank, item) => {
-                up(rank) && held(rank, item).is_some_and(|h| h.free && h.begun && h.waits.is_none())
+                up(rank)
+                    && held(rank, item)
+                        .is_some_and(|h| h.may_call && h.may_have_run && h.waits_for_grant.is_none())
             }
             _ => true,
         }
     }
 
-    fn done(&mut self, act: &Act, fault: Fault) {
+    fn apply(&mut self, act: &Act, fault: Fault) {
         match act.clone() {
-            Act::Deliver(from, to) => self.pass(from, to, fault),
-            Act::Lapse(rank, on) => {
-                self.lapses += 1;
+            Act::Deliver(from, to) => self.deliver(from, to, fault),
+            Act::LeaseExpired(rank, on) => {
+                self.expiries += 1;
                 self.act(rank, fault, |groups, out| {
-                    groups.lapse(on, out);
+                    groups.lease_expired(on, out);
                 });
             }
             Act::Orphaned(rank, on) => {
-                self.lapses += 1;
+                self.expiries += 1;
                 self.act(rank, fault, |groups, out| groups.orphaned(on, out));
             }
             Act::Retire(on) => {
-                self.lapses += 1;
+                self.expiries += 1;
                 // Messages of a closed group are replicated again in another group.
-                self.covered.clear();
+                self.replicated.clear();
                 self.closing = true;
-                self.act(0, fault, |groups, out| groups.retire(on, out));
+                self.act(0, fault, |groups, out| groups.backup_lost(on, out));
             }
             Act::Intend(rank, item) => {
-                let mut waits = None;
+                let mut waits_for_grant = None;
                 self.act(rank, fault, |groups, out| {
-                    waits = groups.replicate((GROUP, item), Update::Intent(0), 0, out)
+                    waits_for_grant = groups.replicate((GROUP, item), Update::Intent(0), 0, out)
                 });
                 let owns =
                     self.senders[usize::from(rank)].groups.as_ref().is_some_and(|groups| groups.owns(GROUP));
                 if let Some(held) = self.senders[usize::from(rank)].held.get_mut(&item) {
-                    held.free = waits.is_none() && owns || fault == Fault::NoWait;
-                    held.waits = waits.filter(|_| !held.free);
+                    held.may_call = waits_for_grant.is_none() && owns || fault == Fault::NoWait;
+                    held.waits_for_grant = waits_for_grant.filter(|_| !held.may_call);
                 }
             }
             Act::Call(rank, item) => {
                 *self.calls.entry(item).or_default() += 1;
                 if let Some(held) = self.senders[usize::from(rank)].held.get_mut(&item) {
-                    held.begun = true;
+                    held.may_have_run = true;
                 }
             }
             Act::End(rank, item) => {
@@ -272,17 +285,17 @@
                     groups.replicate((GROUP, item), Update::Over, 0, out);
                 });
             }
-            Act::Crash(rank, kept) => {
+            Act::Crash(rank, folder_kept) => {
                 self.crashes += 1;
                 let sender = &mut self.senders[usize::from(rank)];
                 sender.groups = None;
-                sender.whole = false;
-                if !kept {
+                sender.intact = false;
+                if !folder_kept {
                     sender.held.clear();
-                    sender.memory = DurableState { id: sender.memory.id + 100, promises: BTreeMap::new() };
+                    sender.durable = DurableState { id: sender.durable.id + 100, promises: BTreeMap::new() };
                 }
                 for held in sender.held.values_mut() {
-                    (held.waits, held.free) = (None, false);
+                    (held.waits_for_grant, held.may_call) = (None, false);
                 }
                 for other in 0..SENDERS as Rank {
                     self.links.remove(&(other, rank));
@@ -290,19 +303,19 @@
             }
             Act::Start(rank) => {
                 let sender = &mut self.senders[usize::from(rank)];
-                sender.groups = Some(ReplicaGroups::new(rank, sender.memory.clone()));
+                sender.groups = Some(ReplicaGroups::new(rank, sender.durable.clone()));
                 let held = sender.held.clone();
                 for other in (0..SENDERS as Rank).filter(|other| *other != rank) {
                     self.links.remove(&(other, rank));
                     self.unaware.insert((other, rank));
                     // It learns of the others' processes before it sends anything.
                     self.unaware.remove(&(rank, other));
-                    self.links.entry((rank, other)).or_default().push_back(Passed::Anew);
+                    self.links.entry((rank, other)).or_default().push_back(LinkItem::PeerRestarted);
                 }
                 if rank == 0 {
                     // It asks to continue alone, which ends the replication until the messages are replicated
                     // again.
-                    self.covered.clear();
+                    self.replicated.clear();
                 }
                 if let Some(first) = held.values().next() {
                     let (epoch, backups) = (first.epoch, first.backups.clone());
@@ -319,12 +332,12 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<World> {
-        let memory = |rank: u64| DurableState { id: rank, promises: BTreeMap::new() };
+        let durable = |rank: u64| DurableState { id: rank, promises: BTreeMap::new() };
         let sender = |rank: Rank| Sender {
-            groups: Some(ReplicaGroups::new(rank, memory(rank.into()))),
-            memory: memory(rank.into()),
+            groups: Some(ReplicaGroups::new(rank, durable(rank.into()))),
+            durable: durable(rank.into()),
             held: BTreeMap::new(),
-            whole: true,
+            intact: true,
         };
         let mut world = World {
             senders: (0..SENDERS as Rank).map(sender).collect(),
@@ -332,30 +345,31 @@
             unaware: BTreeSet::new(),
             calls: BTreeMap::new(),
             over: BTreeSet::new(),
-            covered: BTreeSet::new(),
+            replicated: BTreeSet::new(),
             closing: false,
-            lapses: 0,
+            expiries: 0,
             crashes: 0,
         };
         world.act(0, Fault::None, |groups, out| groups.open(GROUP, [1, 2], out));
         for (from, to) in [(0, 1), (0, 2), (1, 0), (2, 0)] {
-            world.pass(from, to, Fault::None);
+            world.deliver(from, to, Fault::None);
         }
         for item in 0..self.items {
             world.act(0, Fault::None, |groups, out| {
                 groups.replicate((GROUP, item), Update::Record(vec![item as u8]), 0, out);
             });
             let backups = vec![(1, 1), (2, 2)];
-            let held = Held { epoch: 0, backups, begun: false, waits: None, free: false };
+            let held =
+                Held { epoch: 0, backups, may_have_run: false, waits_for_grant: None, may_call: false };
             world.senders[0].held.insert(item, held);
         }
         vec![world]
     }
 
     fn actions(&self, world: &World, acts: &mut Vec<Act>) {
-        for (link, passed) in &world.links {
+        for (link, queue) in &world.links {
             let down = world.senders[usize::from(link.1)].groups.is_none();
-            if !passed.is_empty() && !down {
+            if !queue.is_empty() && !down {
                 acts.push(Act::Deliver(link.0, link.1));
             }
         }
@@ -365,12 +379,12 @@
                 acts.push(Act::Start(rank));
                 continue;
             };
-            for on in (1..SENDERS as Rank).filter(|_| rank == 0 && world.lapses < self.lapses) {
+            for on in (1..SENDERS as Rank).filter(|_| rank == 0 && world.expiries < self.expiries) {
                 acts.push(Act::Retire(on));
             }
             for on in (0..SENDERS as Rank).filter(|on| *on != rank && rank != 0) {
-                if world.lapses < self.lapses {
-                    acts.push(Act::Lapse(rank, on));
+                if world.expiries < self.expiries {
+                    acts.push(Act::LeaseExpired(rank, on));
                     acts.push(Act::Orphaned(rank, on));
                 }
             }
@@ -380,14 +394,14 @@
             }
             for item in sender.held.keys() {
                 let each = [Act::Intend(rank, *item), Act::Call(rank, *item), Act::End(rank, *item)];
-                acts.extend(each.into_iter().filter(|act| world.may(act)));
+                acts.extend(each.into_iter().filter(|act| world.allowed(act)));
             }
         }
     }
 
     fn next_state(&self, world: &World, act: Act) -> Option<World> {
         let mut next = world.clone();
-        next.done(&act, self.fault);
+        next.apply(&act, self.fault);
         (next != *world).then_some(next)
     }
 
@@ -397,15 +411,15 @@
                 world.calls.values().all(|calls| *calls <= 1)
             }),
             Property::always("no message loses its owner", |model: &Checked, world: &World| {
-                let mut calm = world.clone();
-                calm.calm(model.fault);
+                let mut settled = world.clone();
+                settled.settle(model.fault);
                 (0..model.items).all(|item| {
                     let held = |sender: &Sender| sender.groups.is_some() && sender.held.contains_key(&item);
                     // Neither backup ever lost its state, or a sender that has it in its journal is up.
-                    let covered = world.covered.contains(&item);
-                    let covers = covered && calm.senders[1].whole && calm.senders[2].whole;
-                    let lives = covers || calm.senders.iter().any(held);
-                    !lives || calm.over.contains(&item) || calm.senders.iter().any(held)
+                    let replicated = world.replicated.contains(&item);
+                    let backups_intact = replicated && settled.senders[1].intact && settled.senders[2].intact;
+                    let lives = backups_intact || settled.senders.iter().any(held);
+                    !lives || settled.over.contains(&item) || settled.senders.iter().any(held)
                 })
             }),
         ]
@@ -425,10 +439,10 @@
 }
 
 /// Checks the model for each bound on items, lease expiries and crashes.
-fn sound(bounds: &[(u32, usize, usize)]) {
-    for (items, lapses, crashes) in bounds.iter().copied() {
-        let (states, found) = explore(Checked { items, lapses, crashes, fault: Fault::None });
-        println!("{items} items, {lapses} lapses, {crashes} crashes: {states} states");
+fn check_bounds(bounds: &[(u32, usize, usize)]) {
+    for (items, expiries, crashes) in bounds.iter().copied() {
+        let (states, found) = explore(Checked { items, expiries, crashes, fault: Fault::None });
+        println!("{items} items, {expiries} lease expiries, {crashes} crashes: {states} states");
         assert!(found.is_empty() && states > 500, "{found:?} in {states} states");
     }
 }
@@ -436,34 +450,35 @@
 /// Checks that no message is called for twice and that none loses its owner, over everything within the
 /// bounds.
 #[test]
-fn no_message_has_two_owners_that_call_and_none_is_without() {
-    sound(&[(1, 2, 0), (1, 1, 1), (2, 1, 0)]);
+fn no_message_is_called_twice_or_orphaned_within_bounds() {
+    check_bounds(&[(1, 2, 0), (1, 1, 1), (2, 1, 0)]);
 }
 
 /// The same within wider bounds, about a minute: `cargo test --release --test takeover -- --ignored`.
 #[test]
 #[ignore = "takes minutes in a debug build"]
-fn nor_within_wider_bounds() {
-    sound(&[(1, 3, 0), (1, 2, 1), (1, 1, 2), (2, 2, 0)]);
+fn no_message_is_called_twice_or_orphaned_within_wider_bounds() {
+    check_bounds(&[(1, 3, 0), (1, 2, 1), (1, 1, 2), (2, 2, 0)]);
 }
 
 /// Guards against a checker that finds nothing: it must find each of these deliberate faults.
 #[test]
-fn planted_faults_are_found() {
-    for (fault, lapses, crashes) in [(Fault::NoWait, 2, 0), (Fault::NoState, 2, 0), (Fault::NoFence, 2, 0)] {
-        found(fault, lapses, crashes);
+fn checker_finds_planted_protocol_faults() {
+    for (fault, expiries, crashes) in [(Fault::NoWait, 2, 0), (Fault::NoState, 2, 0), (Fault::NoFence, 2, 0)]
+    {
+        expect_found(fault, expiries, crashes);
     }
 }
 
 /// The fault shows only after two crashes.
 #[test]
 #[ignore = "takes minutes in a debug build"]
-fn a_forgotten_promise_is_found() {
-    found(Fault::NoMemory, 2, 2);
+fn checker_finds_a_lost_promise() {
+    expect_found(Fault::NoMemory, 2, 2);
 }
 
-fn found(fault: Fault, lapses: usize, crashes: usize) {
-    let (states, found) = explore(Checked { items: 1, lapses, crashes, fault });
+fn expect_found(fault: Fault, expiries: usize, crashes: usize) {
+    let (states, found) = explore(Checked { items: 1, expiries, crashes, fault });
     println!("{fault:?}: {found:?} in {states} states");
     assert!(found.contains(&"no message is called for twice"), "{fault:?}: {found:?} in {states} states");
 }
--- a/tests/takeover_tier.rs
+++ b/tests/takeover_tier.rs
@@ -19,22 +19,22 @@
     id: u32,
     tag: ReplicaTag,
     /// The number of the owner's update with its record.
-    told: u32,
+    record_update: u32,
     /// When it may be called for: until then it waits for its destination.
     at: Micros,
-    waits: Option<u32>,
-    free: bool,
+    waits_for_grant: Option<u32>,
+    may_call: bool,
     /// When its call ends.
     out: Option<Micros>,
 }
 
 struct Sender {
     part: Option<Takeover>,
-    memory: DurableState,
+    durable: DurableState,
     journal: BTreeMap<(ReplicaGroupId, Item), Held>,
-    stopped: Micros,
+    paused_until: Micros,
     /// Groups whose messages may be replicated again.
-    bare: Vec<ReplicaGroupId>,
+    unreplicated: Vec<ReplicaGroupId>,
     down: Option<Micros>,
 }
 
@@ -44,14 +44,14 @@
     senders: Vec<Sender>,
     under_way: Vec<(Micros, Rank, Rank, Vec<u8>)>,
     loss: f64,
-    cuts: BTreeMap<(Rank, Rank), Micros>,
+    cut_until: BTreeMap<(Rank, Rank), Micros>,
     next: u32,
     calls: BTreeMap<u32, u32>,
     ended: BTreeMap<u32, Micros>,
     /// Messages that a backup has acknowledged, with their owner.
-    covered: BTreeMap<u32, Rank>,
+    replicated: BTreeMap<u32, Rank>,
     adopted: u64,
-    anew: u64,
+    rereplicated: u64,
     datagrams: u64,
 }
 
@@ -63,19 +63,26 @@
             senders: vec![],
             under_way: vec![],
             loss,
-            cuts: BTreeMap::new(),
+            cut_until: BTreeMap::new(),
             next: 0,
             calls: BTreeMap::new(),
             ended: BTreeMap::new(),
-            covered: BTreeMap::new(),
+            replicated: BTreeMap::new(),
             adopted: 0,
-            anew: 0,
+            rereplicated: 0,
             datagrams: 0,
         };
         for rank in 0..SIZE {
-            let memory = DurableState { id: tier.rng.u64(..), promises: BTreeMap::new() };
+            let durable = DurableState { id: tier.rng.u64(..), promises: BTreeMap::new() };
             let journal = BTreeMap::new();
-            tier.senders.push(Sender { part: None, memory, journal, stopped: 0, bare: vec![], down: None });
+            tier.senders.push(Sender {
+                part: None,
+                durable,
+                journal,
+                paused_until: 0,
+                unreplicated: vec![],
+                down: None,
+            });
             tier.start(rank);
         }
         tier
@@ -85,7 +92,7 @@
         let config: Config = serde_json::from_str("{}").unwrap();
         let (seed, now) = (self.rng.u64(..), self.now);
         let sender = &mut self.senders[rank];
-        let mut part = Takeover::new(&config, rank as Rank, SIZE, seed, sender.memory.clone(), now);
+        let mut part = Takeover::new(&config, rank as Rank, SIZE, seed, sender.durable.clone(), now);
         part.resume(now, sender.journal.values().map(|held| held.tag.clone()));
         (sender.part, sender.down) = (Some(part), None);
     }
@@ -94,18 +101,18 @@
         let fresh = DurableState { id: self.rng.u64(..), promises: BTreeMap::new() };
         let sender = &mut self.senders[rank];
         (sender.part, sender.down) = (None, Some(back));
-        sender.bare.clear();
+        sender.unreplicated.clear();
         if !folder_kept {
             sender.journal.clear();
-            sender.memory = fresh;
+            sender.durable = fresh;
         }
         for held in sender.journal.values_mut() {
-            (held.waits, held.free) = (None, false);
+            (held.waits_for_grant, held.may_call) = (None, false);
         }
     }
 
     /// Accepts a message, and replicates it; without backups, none is accepted.
-    fn take(&mut self, rank: usize) {
+    fn accept(&mut self, rank: usize) {
         let now = self.now;
         let at = now + self.rng.u64(0..3 * SECOND);
         let Some(part) = &mut self.senders[rank].part else { return };
@@ -114,27 +121,27 @@
         self.next += 1;
         let mut record = id.to_le_bytes().to_vec();
         record.resize(self.rng.usize(4..900), 0);
-        let told = part.replicate(now, tag.group, tag.item, Update::Record(record)).unwrap_or(0);
+        let record_update = part.replicate(now, tag.group, tag.item, Update::Record(record)).unwrap_or(0);
         let place = (tag.group, tag.item);
-        let held = Held { id, tag, told, at, waits: None, free: false, out: None };
+        let held = Held { id, tag, record_update, at, waits_for_grant: None, may_call: false, out: None };
         self.senders[rank].journal.insert(place, held);
     }
 
     /// A sender's own work: handles events, replicates messages again, calls for due messages, finishes
     /// called ones.
-    fn work(&mut self, rank: usize) {
+    fn run_sender(&mut self, rank: usize) {
         let now = self.now;
         let Some(mut part) = self.senders[rank].part.take() else { return };
         let mut journal = std::mem::take(&mut self.senders[rank].journal);
-        for said in part.take_events() {
-            match said {
+        for event in part.take_events() {
+            match event {
                 GroupEvent::Granted { group, upto } => {
                     for (place, held) in journal.iter_mut().filter(|(place, _)| place.0 == group) {
-                        if held.waits.is_some_and(|n| n <= upto) {
-                            (held.waits, held.free) = (None, true);
+                        if held.waits_for_grant.is_some_and(|n| n <= upto) {
+                            (held.waits_for_grant, held.may_call) = (None, true);
                         }
-                        if place.0.owner == rank as Rank && held.told <= upto {
-                            self.covered.insert(held.id, rank as Rank);
+                        if place.0.owner == rank as Rank && held.record_update <= upto {
+                            self.replicated.insert(held.id, rank as Rank);
                         }
                     }
                 }
@@ -150,7 +157,15 @@
                         }
                         let tag = ReplicaTag { group, epoch, item, backups: backups.clone() };
                         let at = now + self.rng.u64(0..SECOND);
-                        let held = Held { id, tag, told: 0, at, waits: None, free: false, out: None };
+                        let held = Held {
+                            id,
+                            tag,
+                            record_update: 0,
+                            at,
+                            waits_for_grant: None,
+                            may_call: false,
+                            out: None,
+                        };
                         journal.insert((group, item), held);
                     }
                 }
@@ -158,18 +173,19 @@
                     journal.retain(|place, _| place.0 != group || !items.contains(&place.1));
                 }
                 GroupEvent::Finished(group, item) => drop(journal.remove(&(group, item))),
-                GroupEvent::SoleOwner(group) => self.senders[rank].bare.push(group),
+                GroupEvent::SoleOwner(group) => self.senders[rank].unreplicated.push(group),
             }
         }
-        let bare = std::mem::take(&mut self.senders[rank].bare);
-        let places: Vec<_> = journal.keys().filter(|place| bare.contains(&place.0)).copied().collect();
+        let unreplicated = std::mem::take(&mut self.senders[rank].unreplicated);
+        let places: Vec<_> =
+            journal.keys().filter(|place| unreplicated.contains(&place.0)).copied().collect();
         for place in places {
             let Some(tag) = part.place_rereplicated(200, 20 * SECOND) else {
-                self.senders[rank].bare.push(place.0);
+                self.senders[rank].unreplicated.push(place.0);
                 continue;
             };
             let Some(mut held) = journal.remove(&place) else { continue };
-            let begun = held.waits.is_some() || held.free || held.out.is_some();
+            let begun = held.waits_for_grant.is_some() || held.may_call || held.out.is_some();
             let attempts = begun.then_some((0, Attempt { at: now, never_ran: false })).into_iter().collect();
             let record = Some(held.id.to_le_bytes().to_vec());
             part.replicate_all(
@@ -179,9 +195,9 @@
                 &MessageState { record, attempts, given_up: None, over: false },
             );
             part.replicate(now, place.0, place.1, Update::Over);
-            (held.told, held.waits) = (u32::MAX, None);
-            held.free |= begun;
-            self.anew += 1;
+            (held.record_update, held.waits_for_grant) = (u32::MAX, None);
+            held.may_call |= begun;
+            self.rereplicated += 1;
             journal.insert((tag.group, tag.item), Held { tag, ..held });
         }
         let mut over = vec![];
@@ -191,12 +207,12 @@
                     self.ended.entry(held.id).or_insert(now);
                     over.push(*place);
                 }
-            } else if held.free {
+            } else if held.may_call {
                 *self.calls.entry(held.id).or_default() += 1;
                 held.out = Some(now + 50_000);
-            } else if now >= held.at && held.waits.is_none() && part.owns(place.0) {
-                held.waits = part.replicate(now, place.0, place.1, Update::Intent(0));
-                held.free = held.waits.is_none();
+            } else if now >= held.at && held.waits_for_grant.is_none() && part.owns(place.0) {
+                held.waits_for_grant = part.replicate(now, place.0, place.1, Update::Intent(0));
+                held.may_call = held.waits_for_grant.is_none();
             }
         }
         for place in over {
@@ -214,28 +230,28 @@
             if self.senders[rank].down.is_some_and(|back| now >= back) {
                 self.start(rank);
             }
-            if now < self.senders[rank].stopped {
+            if now < self.senders[rank].paused_until {
                 continue;
             }
             if self.rng.f64() < take {
-                self.take(rank);
+                self.accept(rank);
             }
-            self.work(rank);
+            self.run_sender(rank);
             let mut out = vec![];
             let sender = &mut self.senders[rank];
             if let Some(part) = &mut sender.part {
                 if part.due() <= now {
                     part.tick(now);
                 }
-                if let Some(memory) = part.take_unsaved_state() {
-                    sender.memory = memory.clone();
+                if let Some(durable) = part.take_unsaved_state() {
+                    sender.durable = durable.clone();
                 }
                 part.flush(now, &mut out);
             }
             for (to, bytes) in out {
                 assert!(bytes.len() <= 256);
                 self.datagrams += 1;
-                let cut = self.cuts.get(&(rank as Rank, to)).is_some_and(|until| now < *until);
+                let cut = self.cut_until.get(&(rank as Rank, to)).is_some_and(|until| now < *until);
                 for _ in 0..if self.rng.f64() < 0.05 { 2 } else { 1 } {
                     let at = now + self.rng.u64(2_000..30_000);
                     if !cut && self.rng.f64() >= self.loss {
@@ -246,7 +262,7 @@
         }
         let (come, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.under_way)
             .into_iter()
-            .partition(|(at, _, to, _)| *at <= now && now >= self.senders[usize::from(*to)].stopped);
+            .partition(|(at, _, to, _)| *at <= now && now >= self.senders[usize::from(*to)].paused_until);
         self.under_way = later;
         for (_, from, to, bytes) in come {
             if let Some(part) = &mut self.senders[usize::from(to)].part {
@@ -261,7 +277,7 @@
         }
     }
 
-    fn twice(&self) -> Vec<u32> {
+    fn called_twice(&self) -> Vec<u32> {
         self.calls.iter().filter(|(_, calls)| **calls > 1).map(|(id, _)| *id).collect()
     }
 }
@@ -269,8 +285,8 @@
 /// Checks that no message is called for twice under random crashes with and without loss of the folder,
 /// pauses, one-way and two-way cuts, and datagram loss.
 #[test]
-fn nothing_is_called_for_twice() {
-    let (mut adopted, mut calls, mut anew) = (0, 0, 0);
+fn no_message_is_called_twice_under_random_faults() {
+    let (mut adopted, mut calls, mut rereplicated) = (0, 0, 0);
     for seed in 0..30 {
         let mut tier = Tier::new(seed, [0.0, 0.1, 0.3][seed as usize % 3]);
         tier.run(2 * SECOND, 0.0);
@@ -281,14 +297,14 @@
             match tier.rng.u8(..4) {
                 0 => tier.crash(rank, true, until),
                 1 => tier.crash(rank, false, until),
-                2 => tier.senders[rank].stopped = until,
+                2 => tier.senders[rank].paused_until = until,
                 _ => {
                     let both = tier.rng.bool();
                     for other in (0..SIZE).filter(|other| *other != rank) {
                         let (a, b) = (rank as Rank, other as Rank);
-                        tier.cuts.insert((a, b), until);
+                        tier.cut_until.insert((a, b), until);
                         if both {
-                            tier.cuts.insert((b, a), until);
+                            tier.cut_until.insert((b, a), until);
                         }
                     }
                 }
@@ -296,19 +312,19 @@
             tier.run(tier.rng.clone().u64(300_000..2 * SECOND), 0.03);
         }
         tier.run(10 * SECOND, 0.0);
-        assert_eq!(tier.twice(), Vec::<u32>::new(), "seed {seed}");
+        assert_eq!(tier.called_twice(), Vec::<u32>::new(), "seed {seed}");
         adopted += tier.adopted;
-        anew += tier.anew;
+        rereplicated += tier.rereplicated;
         calls += tier.calls.len();
     }
-    println!("{calls} messages called for, {adopted} taken over, {anew} replicated again");
-    assert!(adopted > 300 && anew > 300 && calls > 3_000, "{calls} called for, {adopted} taken over");
+    println!("{calls} messages called for, {adopted} taken over, {rereplicated} replicated again");
+    assert!(adopted > 300 && rereplicated > 300 && calls > 3_000, "{calls} called for, {adopted} taken over");
 }
 
 /// Guards against orphaned messages: every message that backups had acknowledged to a sender that is lost for
 /// good ends within a few seconds, with and without datagram loss.
 #[test]
-fn what_was_covered_is_taken_over() {
+fn replicated_messages_of_a_lost_sender_are_taken_over() {
     for seed in 100..112 {
         let mut tier = Tier::new(seed, [0.0, 0.2][seed as usize % 2]);
         tier.run(4 * SECOND, 0.02);
@@ -316,19 +332,19 @@
         let lost = tier.now;
         tier.crash(rank, true, Micros::MAX);
         tier.run(12 * SECOND, 0.0);
-        let owed = tier.covered.iter().filter(|(_, owner)| **owner == rank as Rank);
+        let owed = tier.replicated.iter().filter(|(_, owner)| **owner == rank as Rank);
         let without: Vec<_> = owed.clone().filter(|(id, _)| !tier.ended.contains_key(id)).collect();
         assert!(owed.count() > 30 && tier.adopted > 5, "seed {seed}: {} taken over", tier.adopted);
         assert!(without.is_empty(), "seed {seed}: {without:?}");
         let last = tier.ended.values().max().unwrap() - lost;
         assert!(last < 6 * SECOND, "seed {seed}: the last one ended after {last} µs");
-        assert_eq!(tier.twice(), Vec::<u32>::new(), "seed {seed}");
+        assert_eq!(tier.called_twice(), Vec::<u32>::new(), "seed {seed}");
     }
 }
 
 /// Guards the idle cost: the number of datagrams each sender sends per second.
 #[test]
-fn an_idle_tier_says_little() {
+fn idle_sender_sends_few_datagrams() {
     let mut tier = Tier::new(5, 0.0);
     tier.run(5 * SECOND, 0.0);
     let before = tier.datagrams;
