--- a/src/drain.rs
+++ b/src/drain.rs
@@ -44,10 +44,10 @@
     #[error("no endpoint is named")]
     Nothing,
     /// Names that are not in the list.
-    #[error("not in the list of endpoints: {}", joined(.0))]
+    #[error("not in the list of endpoints: {}", join_list(.0))]
     Unknown(Vec<String>),
     /// Destinations that would be left without an active endpoint.
-    #[error("no active endpoint would be left for destination {}", joined(.0))]
+    #[error("no active endpoint would be left for destination {}", join_list(.0))]
     Last(Vec<u32>),
     /// There would be more marks than allowed.
     #[error("more than {0} endpoints would be marked")]
@@ -78,36 +78,36 @@
     }
 }
 
-fn joined<T: ToString>(items: &[T]) -> String {
+fn join_list<T: ToString>(items: &[T]) -> String {
     items.iter().map(T::to_string).collect::<Vec<_>>().join(", ")
 }
 
 /// The marks of one sender.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Marks {
-    most: usize,
+    max: usize,
     marks: BTreeMap<String, Mark>,
 }
 
 impl Marks {
-    /// An empty set of at most `most` marks.
-    pub fn new(most: usize) -> Self {
-        Self { most: most.min(MAX_MARKS), marks: BTreeMap::new() }
+    /// An empty set of at most `max` marks.
+    pub fn new(max: usize) -> Self {
+        Self { max: max.min(MAX_MARKS), marks: BTreeMap::new() }
     }
 
     /// Maximum disk usage in bytes: the old and the new file coexist while the marks are written.
-    pub fn max_bytes(most: usize) -> u64 {
-        2 * (most.min(MAX_MARKS) as u64 * MARK_BYTES + 1024)
+    pub fn max_bytes(max: usize) -> u64 {
+        2 * (max.min(MAX_MARKS) as u64 * MARK_BYTES + 1024)
     }
 
-    /// Decodes stored marks; those beyond `most` are dropped.
+    /// Decodes stored marks; those beyond `max` are dropped.
     ///
     /// # Errors
     /// Fails when the text is not valid.
-    pub fn read(most: usize, text: &[u8]) -> Result<Self, MarksUnreadable> {
+    pub fn read(max: usize, text: &[u8]) -> Result<Self, MarksUnreadable> {
         let marks: BTreeMap<String, Mark> = serde_json::from_slice(text)?;
-        let mut read = Self::new(most);
-        read.marks = marks.into_iter().take(read.most).collect();
+        let mut read = Self::new(max);
+        read.marks = marks.into_iter().take(read.max).collect();
         Ok(read)
     }
 
@@ -149,9 +149,9 @@
         if names.is_empty() {
             return Err(Refusal::Nothing);
         }
-        let there: BTreeSet<&str> = list.iter().map(|listed| listed.name).collect();
+        let listed_names: BTreeSet<&str> = list.iter().map(|listed| listed.name).collect();
         let long = |name: &str| serde_json::to_vec(name).is_ok_and(|text| text.len() > MAX_NAME_LEN);
-        let unknown = names.iter().filter(|name| !there.contains(name.as_str()) || long(name));
+        let unknown = names.iter().filter(|name| !listed_names.contains(name.as_str()) || long(name));
         let unknown: Vec<String> = unknown.map(|name| name.chars().take(MAX_NAME_LEN).collect()).collect();
         if !unknown.is_empty() {
             return Err(Refusal::Unknown(unknown));
@@ -161,8 +161,8 @@
             let mark = with.marks.entry(name.clone()).or_insert(Mark { since: now, forced: force });
             mark.forced |= force;
         }
-        if with.marks.len() > self.most {
-            return Err(Refusal::TooMany(self.most));
+        if with.marks.len() > self.max {
+            return Err(Refusal::TooMany(self.max));
         }
         let last: Vec<u32> = with
             .destinations_without_active(list)
@@ -183,9 +183,9 @@
     }
 
     /// The marks on endpoints that are still listed.
-    pub fn retain_listed(&self, there: impl Fn(&str) -> bool) -> Self {
+    pub fn retain_listed(&self, is_listed: impl Fn(&str) -> bool) -> Self {
         let mut kept = self.clone();
-        kept.marks.retain(|name, _| there(name));
+        kept.marks.retain(|name, _| is_listed(name));
         kept
     }
 
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -14,9 +14,9 @@
 use tier::{PERIOD, START, config, place};
 
 /// Periods in a fault interval: enough for observers to suspect a silent member.
-const SPELL: u64 = 7;
+const FAULT_PERIODS: u64 = 7;
 /// Periods without faults after which every view must be correct.
-const CALM: u64 = 12;
+const CALM_PERIODS: u64 = 12;
 
 #[derive(Clone)]
 struct Process {
@@ -29,14 +29,14 @@
 struct Tier {
     now: Micros,
     processes: Vec<Option<Process>>,
-    spells: usize,
+    intervals: usize,
     calm: bool,
 }
 
 impl Tier {
     fn text(&self) -> String {
         let each = self.processes.iter().map(|p| p.as_ref().map(|p| (p.stopped, format!("{:?}", p.member))));
-        format!("{:?} {} {}", each.collect::<Vec<_>>(), self.spells, self.calm)
+        format!("{:?} {} {}", each.collect::<Vec<_>>(), self.intervals, self.calm)
     }
 }
 
@@ -76,23 +76,23 @@
 }
 
 /// The running members.
-fn there(tier: &Tier) -> Vec<(usize, Membership)> {
-    let there = tier.processes.iter().enumerate();
-    there.filter_map(|(rank, p)| Some((rank, p.as_ref()?.member.clone()))).collect()
+fn running(tier: &Tier) -> Vec<(usize, Membership)> {
+    let running = tier.processes.iter().enumerate();
+    running.filter_map(|(rank, p)| Some((rank, p.as_ref()?.member.clone()))).collect()
 }
 
 struct Checked {
     size: usize,
-    spells: usize,
+    intervals: usize,
     /// A deliberate fault: nothing is sent to members considered dead.
-    mute_to_dead: bool,
+    silent_to_dead: bool,
     /// Maximum number of links cut at a time.
-    most_links: u32,
+    max_links: u32,
 }
 
 impl Checked {
-    fn new(size: usize, spells: usize) -> Self {
-        Self { size, spells, mute_to_dead: false, most_links: 32 }
+    fn new(size: usize, intervals: usize) -> Self {
+        Self { size, intervals, silent_to_dead: false, max_links: 32 }
     }
 
     fn process(&self, rank: usize, now: Micros) -> Option<Process> {
@@ -116,8 +116,8 @@
                 while let Some((from, to, bytes)) = under_way.pop() {
                     let to = usize::from(to);
                     let dead = tier.processes[from].as_ref().map(|p| p.member.state(to as Rank));
-                    let mute = self.mute_to_dead && dead == Some(Some(State::Dead));
-                    if mute || cut & 1 << link(from, to) != 0 {
+                    let silent = self.silent_to_dead && dead == Some(Some(State::Dead));
+                    if silent || cut & 1 << link(from, to) != 0 {
                         continue;
                     }
                     let mut out = vec![];
@@ -137,8 +137,8 @@
 
     fn init_states(&self) -> Vec<Tier> {
         let processes = (0..self.size).map(|rank| self.process(rank, START)).collect();
-        let mut tier = Tier { now: START, processes, spells: 0, calm: false };
-        self.pass(&mut tier, CALM, 0);
+        let mut tier = Tier { now: START, processes, intervals: 0, calm: false };
+        self.pass(&mut tier, CALM_PERIODS, 0);
         vec![tier]
     }
 
@@ -147,11 +147,11 @@
             return;
         }
         acts.push(Act::Calm);
-        if tier.spells == self.spells {
+        if tier.intervals == self.intervals {
             return;
         }
         let links = self.size * (self.size - 1);
-        acts.extend((1..1u32 << links).filter(|cut| cut.count_ones() <= self.most_links).map(Act::Cut));
+        acts.extend((1..1u32 << links).filter(|cut| cut.count_ones() <= self.max_links).map(Act::Cut));
         for (rank, process) in tier.processes.iter().enumerate() {
             match process {
                 Some(_) => acts.extend([Act::Crash(rank), Act::Stop(rank)]),
@@ -162,12 +162,12 @@
 
     fn next_state(&self, before: &Tier, act: Act) -> Option<Tier> {
         let mut tier = before.clone();
-        tier.spells += 1;
+        tier.intervals += 1;
         match act {
-            Act::Cut(cut) => self.pass(&mut tier, SPELL, cut),
+            Act::Cut(cut) => self.pass(&mut tier, FAULT_PERIODS, cut),
             Act::Crash(rank) => {
                 tier.processes[rank] = None;
-                self.pass(&mut tier, SPELL, 0);
+                self.pass(&mut tier, FAULT_PERIODS, 0);
             }
             Act::Start(rank) => {
                 tier.processes[rank] = self.process(rank, tier.now);
@@ -178,14 +178,14 @@
                 if let Some(process) = &mut tier.processes[rank] {
                     process.stopped = true;
                 }
-                self.pass(&mut tier, SPELL, 0);
+                self.pass(&mut tier, FAULT_PERIODS, 0);
                 if let Some(process) = &mut tier.processes[rank] {
                     process.stopped = false;
                 }
             }
             Act::Calm => {
-                (tier.calm, tier.spells) = (true, before.spells);
-                self.pass(&mut tier, CALM, 0);
+                (tier.calm, tier.intervals) = (true, before.intervals);
+                self.pass(&mut tier, CALM_PERIODS, 0);
             }
         }
         Some(tier)
@@ -194,13 +194,13 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("running members are eventually alive in all views", |_, tier: &Tier| {
-                let there = there(tier);
+                let running = running(tier);
                 let alive =
                     |member: &Membership, rank: usize| member.state(rank as Rank) == Some(State::Alive);
-                !tier.calm || there.iter().all(|(_, m)| there.iter().all(|(rank, _)| alive(m, *rank)))
+                !tier.calm || running.iter().all(|(_, m)| running.iter().all(|(rank, _)| alive(m, *rank)))
             }),
             Property::always("views are eventually equal", |_, tier: &Tier| {
-                let digests: Vec<u32> = there(tier).iter().map(|(_, member)| member.digest()).collect();
+                let digests: Vec<u32> = running(tier).iter().map(|(_, member)| member.digest()).collect();
                 // A member that is alone hears nobody, and declares nobody dead.
                 !tier.calm || digests.len() < 2 || digests.windows(2).all(|two| two[0] == two[1])
             }),
@@ -212,31 +212,31 @@
     }
 }
 
-fn checked(model: Checked) -> usize {
-    let (size, spells) = (model.size, model.spells);
+fn explore(model: Checked) -> usize {
+    let (size, intervals) = (model.size, model.intervals);
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let checker = model.checker().threads(threads).spawn_bfs().join();
     let states = checker.unique_state_count();
-    println!("{size} members, {spells} fault intervals: {states} states");
+    println!("{size} members, {intervals} fault intervals: {states} states");
     checker.assert_properties();
     states
 }
 
 #[test]
 fn three_members_agree_after_any_two_fault_intervals() {
-    assert!(checked(Checked::new(3, 2)) > 5_000);
+    assert!(explore(Checked::new(3, 2)) > 5_000);
 }
 
 #[test]
 fn four_members_agree_after_any_interval_of_cut_links() {
-    assert!(checked(Checked::new(4, 1)) > 4_000);
-    assert!(checked(Checked { most_links: 1, ..Checked::new(4, 2) }) > 400);
+    assert!(explore(Checked::new(4, 1)) > 4_000);
+    assert!(explore(Checked { max_links: 1, ..Checked::new(4, 2) }) > 400);
 }
 
 /// Guards against a checker that finds nothing.
 #[test]
 fn checker_finds_a_planted_fault() {
-    let model = Checked { mute_to_dead: true, ..Checked::new(4, 1) };
+    let model = Checked { silent_to_dead: true, ..Checked::new(4, 1) };
     let checker = model.checker().spawn_bfs().join();
     assert!(checker.discovery("running members are eventually alive in all views").is_some());
 }
