--- a/src/channel.rs
+++ b/src/channel.rs
@@ -172,7 +172,7 @@
                 ReceivedDatagram::default()
             }
             Kind::Welcome => {
-                let meant = self.challenge.is_some_and(|(_, asked, sent)| asked == seq && sent > 0);
+                let meant = self.challenge.is_some_and(|(_, expected, sent)| expected == seq && sent > 0);
                 if !meant || to != self.own {
                     return dropped;
                 }
@@ -218,7 +218,7 @@
     /// Challenges the user of an unknown number to prove that it is running now.
     fn challenge_number(&mut self, number: u64, challenge: u32) {
         let known = self.peer == Some(number);
-        if !known && self.challenge.is_none_or(|(asked, ..)| asked != number) {
+        if !known && self.challenge.is_none_or(|(expected, ..)| expected != number) {
             self.challenge = Some((number, challenge, 0));
         }
     }
--- a/src/check.rs
+++ b/src/check.rs
@@ -207,8 +207,8 @@
             Self::Time => "a number of microseconds, at least 1".into(),
             Self::Over0 => "a number greater than 0".into(),
             Self::Whole(0, u64::MAX) => "a whole number from 0".into(),
-            Self::Whole(least, u64::MAX) => format!("a whole number from {least}"),
-            Self::Whole(least, most) => format!("a whole number from {least} to {most}"),
+            Self::Whole(min, u64::MAX) => format!("a whole number from {min}"),
+            Self::Whole(min, max) => format!("a whole number from {min} to {max}"),
             Self::Flag => "true or false".into(),
             Self::Texts => "a list of strings".into(),
             Self::Flags => "a list of true and false".into(),
@@ -230,7 +230,7 @@
             Self::Number => value.is_number(),
             Self::Time => value.as_f64().is_some_and(|number| number >= 1.0),
             Self::Over0 => value.as_f64().is_some_and(|number| number > 0.0),
-            Self::Whole(least, most) => value.as_u64().is_some_and(|n| (least..=most).contains(&n)),
+            Self::Whole(min, max) => value.as_u64().is_some_and(|n| (min..=max).contains(&n)),
             Self::Flag => value.is_boolean(),
             Self::Texts => all(Self::Text),
             Self::Flags => all(Self::Flag),
@@ -520,12 +520,12 @@
 /// Keys that the document in force has and this one lacks. List entries may come and go; a class is compared
 /// with the one of the same name, unless its effect changed, and with it the keys that it needs.
 pub fn missing_keys(document: &Value, in_force: &Value) -> Vec<Fault> {
-    fn walk(path: &str, here: &Value, there: &Value, faults: &mut Vec<Fault>) {
-        match (here, there) {
-            (Value::Object(here), Value::Object(there)) => {
-                for (key, value) in there {
+    fn walk(path: &str, new: &Value, old: &Value, faults: &mut Vec<Fault>) {
+        match (new, old) {
+            (Value::Object(new), Value::Object(old)) => {
+                for (key, value) in old {
                     let at = join(path, key);
-                    match here.get(key) {
+                    match new.get(key) {
                         None if path.is_empty() && OPTIONAL_SECTIONS.contains(&key.as_str()) => {}
                         None => {
                             faults.push(Fault::new(at, "missing", "a key that the document in force has"));
@@ -534,11 +534,11 @@
                     }
                 }
             }
-            (Value::Array(here), Value::Array(there)) => {
-                for (at, entry) in here.iter().enumerate() {
+            (Value::Array(new), Value::Array(old)) => {
+                for (at, entry) in new.iter().enumerate() {
                     let alike =
                         |other: &&Value| ["name", "effect"].iter().all(|k| other.get(k) == entry.get(k));
-                    if let Some(other) = there.iter().find(alike) {
+                    if let Some(other) = old.iter().find(alike) {
                         walk(&format!("{path}[{at}]"), entry, other, faults);
                     }
                 }
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -385,7 +385,7 @@
     /// The view for other components.
     pub fn view(&self, now: Micros) -> MembershipView {
         let zone = self.members[usize::from(self.own)].record.zone;
-        let fact = |member: &Member| MemberView {
+        let to_view = |member: &Member| MemberView {
             state: member.state,
             since: member.since,
             incarnation: member.record.incarnation,
@@ -393,7 +393,7 @@
         };
         MembershipView {
             own: self.own,
-            members: self.members.iter().map(fact).collect(),
+            members: self.members.iter().map(to_view).collect(),
             isolated: self.isolated(now),
             minority: self.minority(),
         }
@@ -819,14 +819,14 @@
     /// instead.
     fn send(&mut self, to: Rank, kind: u8, wanted: Option<usize>, out: &mut Outgoing) {
         let size = self.members.len();
-        let asked = if kind == REPLY { wanted } else { None };
+        let first_wanted = if kind == REPLY { wanted } else { None };
         let mut datagram =
             Writer::new(kind, self.tier, size as u16, wanted.map_or(u16::MAX, |rank| rank as u16));
         datagram.add(self.own, &self.members[usize::from(self.own)].record);
         if self.members[usize::from(to)].record.incarnation > 0 {
             datagram.add(to, &self.members[usize::from(to)].record);
         }
-        if asked.is_none() {
+        if first_wanted.is_none() {
             let mut sent = Vec::new();
             while let Some((Reverse(left), rank)) = self.updates.pop_first() {
                 if rank != to && !datagram.add(rank, &self.members[usize::from(rank)].record) {
@@ -843,7 +843,7 @@
                 }
             }
         }
-        let from = asked.unwrap_or(self.next_fill);
+        let from = first_wanted.unwrap_or(self.next_fill);
         for n in 0..size {
             let rank = (from + n) % size;
             let record = &self.members[rank].record;
@@ -851,7 +851,7 @@
                 continue;
             }
             if !datagram.add(rank as Rank, record) {
-                if asked.is_none() {
+                if first_wanted.is_none() {
                     self.next_fill = rank;
                 }
                 break;
--- a/src/mesh.rs
+++ b/src/mesh.rs
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 struct Peer {
     channel: Channel,
-    heard: Micros,
+    last_heard: Micros,
     used: Micros,
     queued: bool,
 }
@@ -112,7 +112,7 @@
 
     /// When that sender was last heard on its channel, if one is established.
     pub fn heard(&self, from: Rank) -> Option<Micros> {
-        self.peers.get(&from).filter(|peer| peer.channel.is_up()).map(|peer| peer.heard)
+        self.peers.get(&from).filter(|peer| peer.channel.is_up()).map(|peer| peer.last_heard)
     }
 
     /// Number of bytes queued in all channels.
@@ -125,13 +125,14 @@
             return None;
         }
         if !self.peers.contains_key(&rank) && self.peers.len() >= MAX_CHANNELS {
-            let oldest = self.peers.iter().min_by_key(|(_, peer)| peer.heard.max(peer.used)).map(|p| *p.0);
+            let oldest =
+                self.peers.iter().min_by_key(|(_, peer)| peer.last_heard.max(peer.used)).map(|p| *p.0);
             oldest.into_iter().for_each(|oldest| self.forget(oldest));
         }
         let (magic, tier, number) = (self.magic, self.tier, self.rng.u64(1..));
         Some(self.peers.entry(rank).or_insert_with(|| Peer {
             channel: Channel::new(magic, number, tier),
-            heard: now,
+            last_heard: now,
             used: now,
             queued: false,
         }))
@@ -156,7 +157,7 @@
         let peer = self.peer(to, now).ok_or(SendError::UnknownPeer(to))?;
         if !peer.queued {
             // The time-out starts when there is something to answer.
-            peer.heard = peer.heard.max(now);
+            peer.last_heard = peer.last_heard.max(now);
         }
         peer.channel.greet(challenge);
         if !peer.channel.send(message) {
@@ -177,7 +178,7 @@
         let ReceivedDatagram { messages, peer_restarted, heard, dropped } =
             peer.channel.receive(now, bytes, challenge);
         if heard {
-            peer.heard = now;
+            peer.last_heard = now;
         }
         if !messages.is_empty() {
             peer.used = now;
@@ -207,8 +208,8 @@
             });
             peer.queued = peer.channel.busy();
         }
-        let idle = |peer: &Peer| now >= peer.used.max(peer.heard) + IDLE_TIMEOUT;
-        let silent = |peer: &Peer| peer.queued && now >= peer.heard + PEER_TIMEOUT;
+        let idle = |peer: &Peer| now >= peer.used.max(peer.last_heard) + IDLE_TIMEOUT;
+        let silent = |peer: &Peer| peer.queued && now >= peer.last_heard + PEER_TIMEOUT;
         let gone = self.peers.iter().filter(|(_, peer)| idle(peer) || silent(peer)).map(|(rank, _)| *rank);
         for rank in gone.collect::<Vec<_>>() {
             self.forget(rank);
--- a/src/mesh/tests.rs
+++ b/src/mesh/tests.rs
@@ -51,10 +51,10 @@
     assert_eq!(mesh.send(0, 0, b"own"), Err(SendError::UnknownPeer(0)));
     assert_eq!(mesh.send(0, 300, b"none"), Err(SendError::UnknownPeer(300)));
     let message = vec![0; 70_000];
-    let told: Vec<_> = (1..300).map(|rank| mesh.send(0, rank, &message)).collect();
-    let queued = told.iter().filter(|told| told.is_ok()).count();
+    let results: Vec<_> = (1..300).map(|rank| mesh.send(0, rank, &message)).collect();
+    let queued = results.iter().filter(|result| result.is_ok()).count();
     assert!(queued > 0 && queued * message.len() <= MAX_QUEUED_BYTES, "{queued}");
-    assert_eq!(told.last(), Some(&Err(SendError::Full(299))));
+    assert_eq!(results.last(), Some(&Err(SendError::Full(299))));
     // Short messages: the number of channels is the limit.
     (1..300).for_each(|rank| {
         let _ = mesh.send(1, rank, b"short");
--- a/tests/common/tier.rs
+++ b/tests/common/tier.rs
@@ -144,10 +144,10 @@
         digests.len() <= 1
     }
 
-    /// Number of periods until the condition holds, at most `most`.
-    pub fn until(&mut self, most: u32, so: impl Fn(&Self) -> bool) -> Option<u32> {
-        (0..=most).find(|_| {
-            let is = so(self);
+    /// Number of periods until the condition holds, at most `max_periods`.
+    pub fn until(&mut self, max_periods: u32, holds: impl Fn(&Self) -> bool) -> Option<u32> {
+        (0..=max_periods).find(|_| {
+            let is = holds(self);
             if !is {
                 self.pass(PERIOD);
             }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -65,21 +65,24 @@
         "draining.marks",
     ];
     assert_eq!(keys(&faults), expected);
-    let told: Vec<String> = faults.iter().map(Fault::to_string).collect();
+    let shown: Vec<String> = faults.iter().map(Fault::to_string).collect();
     assert_eq!(
-        told[2],
+        shown[2],
         "settings.classes[1].effect: \"twice\" where one of repeatable, once, by_key is expected"
     );
-    assert_eq!(told[4], "settings.limits.try_limit: 0 where a whole number from 1 to 4294967295 is expected");
-    assert_eq!(told[5], "settings.obligations.cold_share: missing where a number is expected");
+    assert_eq!(
+        shown[4],
+        "settings.limits.try_limit: 0 where a whole number from 1 to 4294967295 is expected"
+    );
+    assert_eq!(shown[5], "settings.obligations.cold_share: missing where a number is expected");
 }
 
 #[test]
 fn invalid_document_is_reported_as_one_fault() {
     let text = document().to_string();
-    let twice = text.replacen("\"seed\"", "\"seed\":\"1\",\"seed\"", 1);
+    let duplicated = text.replacen("\"seed\"", "\"seed\":\"1\",\"seed\"", 1);
     let deep = text.replacen("\"index\":1", "\"index\":1,\"index\":2", 1);
-    assert_eq!(keys(&check::read(twice.as_bytes()).unwrap_err()), ["seed"]);
+    assert_eq!(keys(&check::read(duplicated.as_bytes()).unwrap_err()), ["seed"]);
     assert_eq!(keys(&check::read(deep.as_bytes()).unwrap_err()), ["known.index"]);
     let large = format!("{}{text}", " ".repeat(check::MAX_DOCUMENT_BYTES));
     let nested = "[".repeat(100_000);
@@ -104,7 +107,7 @@
     after["limits"]["sockets"] = json!(512);
     after.as_object_mut().unwrap().remove("draining");
     let changes = check::changes(&document(), &after);
-    let told: Vec<_> = changes.iter().map(|c| (c.key.as_str(), c.takes)).collect();
+    let shown: Vec<_> = changes.iter().map(|c| (c.key.as_str(), c.takes)).collect();
     let expected = [
         ("draining", Takes::NewProcess),
         ("limits.sockets", Takes::NewProcess),
@@ -112,7 +115,7 @@
         ("settings.classes[order]", Takes::AtOnce),
         ("settings.limits.try_limit", Takes::AtOnce),
     ];
-    assert_eq!(told, expected);
+    assert_eq!(shown, expected);
     assert_eq!((changes[4].before.as_str(), changes[4].after.as_str()), ("6", "3"));
     assert!(changes[2].under_way.contains("the class they were accepted with"));
     assert_eq!(check::changes(&after, &after), []);
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -243,16 +243,16 @@
         }
     }
     assert!(member.counts.absurd > 1000);
-    let whole = forged(9, TIER, 10, &[(5, gone(1, 1))]);
-    (0..whole.len()).for_each(|end| member.receive(now, 9, &whole[..end], &mut out));
+    let valid = forged(9, TIER, 10, &[(5, gone(1, 1))]);
+    (0..valid.len()).for_each(|end| member.receive(now, 9, &valid[..end], &mut out));
     for _ in 0..20_000 {
         let noise: Vec<u8> = (0..rng.usize(0..300)).map(|_| rng.u8(..)).collect();
         member.receive(now, rng.u16(0..20), &noise, &mut out);
-        let mut bent = whole.clone();
-        bent[rng.usize(0..whole.len())] ^= 1 << rng.u8(0..8);
+        let mut bent = valid.clone();
+        bent[rng.usize(0..valid.len())] ^= 1 << rng.u8(0..8);
         member.receive(now, 9, &bent, &mut out);
     }
-    member.receive(now, 8, &whole, &mut out);
+    member.receive(now, 8, &valid, &mut out);
     member.receive(now, 9, &forged(9, TIER + 1, 10, &[]), &mut out);
     let mut later = forged(9, TIER, 10, &[]);
     later[1] = 2 << 4 | 1;
@@ -315,12 +315,12 @@
     /// Merging records is a join: neither the order nor the repetition of datagrams matters.
     #[test]
     fn records_merge_independently_of_order_and_repetition(
-        said in prop::collection::vec((1u16..4, 1u32..4, 0u32..5), 1..24),
+        records in prop::collection::vec((1u16..4, 1u32..4, 0u32..5), 1..24),
         seed in any::<u64>(),
     ) {
-        let heard = |said: &[(u16, u32, u32)]| {
+        let merged = |records: &[(u16, u32, u32)]| {
             let mut member = Membership::new(&config(), place(0, 5), 1, START);
-            for (rank, incarnation, beat) in said {
+            for (rank, incarnation, beat) in records {
                 // A member creates only one record per heartbeat.
                 let silent = (incarnation * 31 + beat * 7 + u32::from(*rank)) as u8;
                 let (incarnation, beat) = (*incarnation, *beat);
@@ -330,10 +330,10 @@
             member.tick(START + PERIOD / 2, &mut vec![]);
             member.members().iter().map(|m| (m.record, m.state)).collect::<Vec<_>>()
         };
-        let mut shuffled = said.clone();
-        shuffled.extend(said.iter().take(5));
+        let mut shuffled = records.clone();
+        shuffled.extend(records.iter().take(5));
         fastrand::Rng::with_seed(seed).shuffle(&mut shuffled);
-        prop_assert_eq!(heard(&said), heard(&shuffled));
+        prop_assert_eq!(merged(&records), merged(&shuffled));
     }
 
     /// Decoding any bytes terminates, and the result is within its bounds.
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -153,10 +153,10 @@
 /// At a handover, an older version's settings lack the fields that were added since.
 #[test]
 fn settings_of_an_older_version_are_read() {
-    let mut told = serde_json::to_value(shared(vec![tenant("a", 1.0)])).unwrap();
-    let settings = told.as_object_mut().unwrap();
+    let mut older = serde_json::to_value(shared(vec![tenant("a", 1.0)])).unwrap();
+    let settings = older.as_object_mut().unwrap();
     assert!(settings.remove("retired").is_some());
     assert!(settings["tenants"][0].as_object_mut().unwrap().remove("name").is_some());
-    let read: Settings = serde_json::from_value(told).unwrap();
+    let read: Settings = serde_json::from_value(older).unwrap();
     assert_eq!(read, shared(vec![tenant("", 1.0)]));
 }
