--- a/src/error_code.rs
+++ b/src/error_code.rs
@@ -15,8 +15,8 @@
     fn remedy(&self) -> &'static str;
 }
 
-/// Implements [`CodedError`] for an error type from one table: a line for each variant, and `..Variant;` for one
-/// that forwards to the error it wraps. A variant without a line does not compile.
+/// Implements [`CodedError`] for an error type from one table: a line for each variant, and `..Variant;` for
+/// one that forwards to the error it wraps. A variant without a line does not compile.
 #[macro_export]
 macro_rules! coded_error {
     ($type:ty { $($variant:ident => $code:literal, $remedy:literal;)+ $(..$inner:ident;)* }) => {
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -439,8 +439,8 @@
         self.strides.iter().map(move |stride| (usize::from(rank) + stride) % self.members.len())
     }
 
-    /// Number of suspecting observers, out of `live` ones that are alive, at which a member is dead: all but one in
-    /// eight.
+    /// Number of suspecting observers, out of `live` running ones, at which a member is dead: all but
+    /// one in eight.
     fn death_threshold(live: usize) -> usize {
         live - live / OBSERVERS
     }
--- a/src/mesh.rs
+++ b/src/mesh.rs
@@ -78,7 +78,8 @@
     tier: u32,
     rng: fastrand::Rng,
     peers: BTreeMap<Rank, Peer>,
-    /// Senders whose channels were closed with messages queued; reported once by [`Mesh::take_dropped_peers`].
+    /// Senders whose channels were closed with messages queued; reported once by
+    /// [`Mesh::take_dropped_peers`].
     lost: Vec<Rank>,
     /// Counters for operators.
     pub counts: Counts,
