--- a/src/mesh.rs
+++ b/src/mesh.rs
@@ -3,13 +3,13 @@
 //! channels, has its own.
 //!
 //! Sans I/O. Messages queued for a sender that does not answer are dropped with its channel after
-//! [`GIVEN_UP`]; the user of a mesh must be able to send all of them again.
+//! [`PEER_TIMEOUT`]; the user of a mesh must be able to send all of them again.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-use crate::channel::{Came, Channel};
+use crate::channel::{Channel, ReceivedDatagram};
 use crate::coded_error;
 use crate::interface::Micros;
 use crate::membership::{Outgoing, Rank};
@@ -17,11 +17,11 @@
 /// Maximum number of channels; beyond it, the one that was heard or used the longest ago is closed.
 pub const MAX_CHANNELS: usize = 64;
 /// Maximum number of bytes queued in all channels together.
-pub const MAX_WAITING: usize = 4 << 20;
+pub const MAX_QUEUED_BYTES: usize = 4 << 20;
 /// Time without an answer after which a channel with queued messages is closed.
-pub const GIVEN_UP: Micros = 10_000_000;
+pub const PEER_TIMEOUT: Micros = 10_000_000;
 /// Time after which an unused channel is closed.
-pub const IDLE: Micros = 30_000_000;
+pub const IDLE_TIMEOUT: Micros = 30_000_000;
 
 /// Why a message was not queued. Nothing of it is sent; the caller may send it again later, or not at all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -29,7 +29,7 @@
     /// The tier has no such sender, or it is this one.
     #[error("sender {0} is not another sender of this tier")]
     UnknownPeer(Rank),
-    /// [`MAX_WAITING`] or the channel's own limit is reached.
+    /// [`MAX_QUEUED_BYTES`] or the channel's own limit is reached.
     #[error("the send queue for sender {0}, or for all senders together, is full")]
     Full(Rank),
 }
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 struct Peer {
     channel: Channel,
-    heard: Micros,
+    last_heard: Micros,
     used: Micros,
     queued: bool,
 }
@@ -78,7 +78,8 @@
     tier: u32,
     rng: fastrand::Rng,
     peers: BTreeMap<Rank, Peer>,
-    /// Senders whose channels were closed with messages queued; reported once by [`Mesh::take_dropped_peers`].
+    /// Senders whose channels were closed with messages queued; reported once by
+    /// [`Mesh::take_dropped_peers`].
     lost: Vec<Rank>,
     /// Counters for operators.
     pub counts: Counts,
@@ -112,12 +113,12 @@
 
     /// When that sender was last heard on its channel, if one is established.
     pub fn heard(&self, from: Rank) -> Option<Micros> {
-        self.peers.get(&from).filter(|peer| peer.channel.is_up()).map(|peer| peer.heard)
+        self.peers.get(&from).filter(|peer| peer.channel.is_up()).map(|peer| peer.last_heard)
     }
 
     /// Number of bytes queued in all channels.
-    pub fn waiting(&self) -> usize {
-        self.peers.values().map(|peer| peer.channel.waiting()).sum()
+    pub fn queued_bytes(&self) -> usize {
+        self.peers.values().map(|peer| peer.channel.queued_bytes()).sum()
     }
 
     fn peer(&mut self, rank: Rank, now: Micros) -> Option<&mut Peer> {
@@ -125,13 +126,14 @@
             return None;
         }
         if !self.peers.contains_key(&rank) && self.peers.len() >= MAX_CHANNELS {
-            let oldest = self.peers.iter().min_by_key(|(_, peer)| peer.heard.max(peer.used)).map(|p| *p.0);
+            let oldest =
+                self.peers.iter().min_by_key(|(_, peer)| peer.last_heard.max(peer.used)).map(|p| *p.0);
             oldest.into_iter().for_each(|oldest| self.forget(oldest));
         }
         let (magic, tier, number) = (self.magic, self.tier, self.rng.u64(1..));
         Some(self.peers.entry(rank).or_insert_with(|| Peer {
             channel: Channel::new(magic, number, tier),
-            heard: now,
+            last_heard: now,
             used: now,
             queued: false,
         }))
@@ -149,14 +151,14 @@
     /// # Errors
     /// Returns why the message was not queued.
     pub fn send(&mut self, now: Micros, to: Rank, message: &[u8]) -> Result<(), SendError> {
-        if self.waiting() + message.len() > MAX_WAITING {
+        if self.queued_bytes() + message.len() > MAX_QUEUED_BYTES {
             return Err(SendError::Full(to));
         }
         let challenge = self.rng.u32(1..);
         let peer = self.peer(to, now).ok_or(SendError::UnknownPeer(to))?;
         if !peer.queued {
             // The time-out starts when there is something to answer.
-            peer.heard = peer.heard.max(now);
+            peer.last_heard = peer.last_heard.max(now);
         }
         peer.channel.greet(challenge);
         if !peer.channel.send(message) {
@@ -174,15 +176,16 @@
             self.counts.dropped += 1;
             return Received::default();
         };
-        let Came { messages, anew, heard, dropped } = peer.channel.receive(now, bytes, challenge);
+        let ReceivedDatagram { messages, peer_restarted, heard, dropped } =
+            peer.channel.receive(now, bytes, challenge);
         if heard {
-            peer.heard = now;
+            peer.last_heard = now;
         }
         if !messages.is_empty() {
             peer.used = now;
         }
         self.counts.dropped += u64::from(dropped);
-        Received { messages, peer_restarted: anew }
+        Received { messages, peer_restarted }
     }
 
     /// Senders whose channels were closed with messages queued since the last call.
@@ -206,8 +209,8 @@
             });
             peer.queued = peer.channel.busy();
         }
-        let idle = |peer: &Peer| now >= peer.used.max(peer.heard) + IDLE;
-        let silent = |peer: &Peer| peer.queued && now >= peer.heard + GIVEN_UP;
+        let idle = |peer: &Peer| now >= peer.used.max(peer.last_heard) + IDLE_TIMEOUT;
+        let silent = |peer: &Peer| peer.queued && now >= peer.last_heard + PEER_TIMEOUT;
         let gone = self.peers.iter().filter(|(_, peer)| idle(peer) || silent(peer)).map(|(rank, _)| *rank);
         for rank in gone.collect::<Vec<_>>() {
             self.forget(rank);
