--- a/src/status/folder.rs
+++ b/src/status/folder.rs
@@ -1,35 +1,36 @@
-//! Where a log is kept in the folder that lasts: segments that are only appended to. The oldest one goes once what it
-//! still holds is written again at the end, a few changes at a time, so that no write is long.
+//! Storage of a log in the state folder: append-only segments. The oldest segment is removed once its current
+//! entries have been written again at the end, a few changes at a time, so that no single write is long.
 //!
-//! Sans I/O: it says what is to be written, and whoever writes carries the steps out in order.
+//! Sans I/O: this module returns steps, which the caller carries out in order.
 
 use std::collections::VecDeque;
 
 use super::log::Log;
 use crate::interface::Micros;
 
-/// Segments that the room is divided into.
+/// Number of segments into which the capacity is divided.
 const PARTS: u64 = 16;
-/// Numbers of the oldest segment that are looked at in one write.
+/// Maximum number of changes of the oldest segment that are examined in one write.
 const MOVED_AT_ONCE: usize = 64;
-/// A smaller room is not used, bytes.
+/// Minimum capacity, bytes; a smaller one is not used.
 pub const MIN_ROOM: u64 = 64 * 1024;
 
-/// Of the room, what segments come to; the rest is for all of the log written anew beside them.
+/// The part of the capacity that segments may use; the rest is reserved for rewriting the whole log beside
+/// them.
 fn in_use(room: u64) -> u64 {
     room / 3 * 2
 }
 
-/// Something to be done in the folder.
+/// An operation in the folder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// A new segment with that number holds this.
+    /// Create the segment with this number and this content.
     Begin(u64, Vec<u8>),
-    /// This is appended to that segment.
+    /// Append this content to the segment.
     Append(u64, Vec<u8>),
-    /// That segment holds nothing any more.
+    /// Truncate the segment to zero bytes.
     Empty(u64),
-    /// That segment goes.
+    /// Remove the segment.
     Remove(u64),
 }
 
@@ -37,7 +38,7 @@
 struct Segment {
     at: u64,
     bytes: u64,
-    /// Changes in it; those whose message changed again hold nothing any more.
+    /// Numbers of its changes; those whose message changed again are garbage.
     numbers: Vec<u64>,
 }
 
@@ -48,35 +49,37 @@
     boot: u64,
     list: VecDeque<Segment>,
     next: u64,
-    /// Numbers of the oldest that were looked at.
+    /// How many changes of the oldest segment have been examined.
     moved: usize,
-    /// The horizon that the newest one begins with.
+    /// The horizon in the header of the newest segment.
     horizon: Micros,
 }
 
 impl Segments {
-    /// None yet. `room` bytes at most are used, `next` is the first segment's number, beyond all that are there.
+    /// Starts without segments. At most `room` bytes are used; `next` is the number of the first segment,
+    /// greater than all existing ones.
     pub fn new(room: u64, boot: u64, next: u64) -> Self {
         Self { room: in_use(room), boot, list: VecDeque::new(), next, moved: 0, horizon: 0 }
     }
 
-    /// Memory that a log may use whose changes stay here: a change takes less than half as much in the folder, and what
-    /// is held must be under half of the room.
+    /// Memory limit for a log that is stored here: a change takes less than half as much space in the folder
+    /// as in memory, and the current entries must take less than half of the capacity.
     pub fn memory(room: u64) -> usize {
         usize::try_from(in_use(room) / 5 * 4).unwrap_or(usize::MAX)
     }
 
-    /// Bytes in the folder.
+    /// Bytes used in the folder.
     pub fn bytes(&self) -> u64 {
         self.list.iter().map(|segment| segment.bytes).sum()
     }
 
-    /// Numbers of the segments that are there.
+    /// Numbers of the existing segments.
     pub fn numbers(&self) -> impl Iterator<Item = u64> {
         self.list.iter().map(|segment| segment.at)
     }
 
-    /// Begins a new segment with all that the log holds; those before, which `old` names, go then.
+    /// Begins a new segment with the whole content of the log; removes the earlier segments and those that
+    /// `old` names.
     pub fn begin(&mut self, log: &mut Log, old: impl IntoIterator<Item = u64>) -> Vec<Step> {
         log.unwritten();
         let mut steps = Vec::new();
@@ -106,7 +109,7 @@
         steps.push(if anew { Step::Begin(last.at, bytes) } else { Step::Append(last.at, bytes) });
     }
 
-    /// Has the unwritten changes written, and makes room.
+    /// Writes the unwritten changes, and frees space.
     pub fn write(&mut self, log: &mut Log) -> Vec<Step> {
         let mut steps = Vec::new();
         let fresh = log.unwritten();
@@ -122,7 +125,7 @@
     }
 
     fn clean(&mut self, log: &Log, steps: &mut Vec<Step>) {
-        // Each segment at most once a call.
+        // Each segment at most once per call.
         for _ in 0..self.list.len() {
             let total = self.bytes();
             let pressed = total > self.room / PARTS * (PARTS - 2);
@@ -150,7 +153,8 @@
             }
             self.moved = 0;
             if log.table().known_since() > self.horizon {
-                // What was left out goes with the segment: the horizon has to be there before.
+                // The entries that the log dropped go with the segment: the new horizon has to be written
+                // before.
                 self.anew(log, steps);
             }
             steps.extend(self.list.pop_front().map(|oldest| Step::Remove(oldest.at)));
--- a/src/status/index.rs
+++ b/src/status/index.rs
@@ -1,5 +1,6 @@
-//! The index of one sender, all of it: its own log, copies of others, replication and queries, over one mesh of
-//! channels. Sans I/O: what [`Index::write`] says has to be in the folder before anything else goes out.
+//! The complete index of one sender: its own log, replicas of other logs, replication and queries, over one
+//! mesh of channels. Sans I/O: the steps returned by [`Index::write`] must be carried out in the folder
+//! before anything else is sent.
 
 use std::collections::BTreeMap;
 
@@ -17,14 +18,14 @@
 use crate::membership::{self, MembershipView, Outgoing};
 use crate::mesh::Mesh;
 
-/// While queries are under way they go on this often.
+/// Interval between two slices of the running queries.
 const SLICE: Micros = 5_000;
-/// What no client waits for is written that often.
+/// Maximum delay of a write that no client waits for.
 const WRITES: Micros = 20_000;
-/// How often the view is looked at for replicas, and ages are.
+/// Interval at which the membership view is checked for replicas and old entries are expired.
 const LOOK: Micros = 1_000_000;
 
-/// What senders tell each other.
+/// Messages between the indexes of two senders.
 #[derive(Debug, Serialize, Deserialize)]
 enum Message {
     Batch(Batch),
@@ -32,37 +33,37 @@
     Say(QueryMessage),
 }
 
-/// Counts since the process began.
+/// Counters since the process started.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Counts {
     /// Changes written.
     pub changes: u64,
-    /// Messages whose id is too long to be indexed.
+    /// Messages that were not indexed because their id is too long.
     pub too_long: u64,
-    /// Messages of other senders that could not be read, or were not theirs to send.
+    /// Messages of other senders that could not be decoded, or concern a log that they do not own.
     pub foreign: u64,
-    /// Messages that were not sent, since too much waited.
+    /// Messages that were not sent because too many were queued.
     pub held_back: u64,
-    /// New lives since the process began.
+    /// New generations since the process started.
     pub renewed: u64,
-    /// Queries asked here, and of those the partial ones.
+    /// Queries accepted here.
     pub queries: u64,
-    /// Of them, partial.
+    /// Of these, the queries with a partial answer.
     pub partial: u64,
 }
 
-/// Where a sender stands: its place, and who shares a host.
+/// The identity of a sender in its tier, and the hosts of the tier.
 #[derive(Debug, Clone)]
 pub struct Place {
-    /// Its own rank.
+    /// The sender's rank.
     pub own: Rank,
-    /// Tells tiers apart that are wrongly given the same addresses.
+    /// Identifies the tier: detects tiers that were given the same addresses by mistake.
     pub tier: u32,
-    /// By rank; equal for those on one host.
+    /// The host of each rank; equal numbers mean the same host.
     pub hosts: Vec<u32>,
 }
 
-/// The index at one sender.
+/// The status index of a sender.
 #[derive(Debug)]
 pub struct Index {
     own: Rank,
@@ -80,19 +81,19 @@
     looked: Micros,
     sliced: Micros,
     ticked: Micros,
-    /// All of the own log has to be written.
+    /// The whole own log has to be rewritten to the folder.
     anew: bool,
-    /// The folder could not be written: nothing of this life is in it.
+    /// Writing to the folder failed: the folder holds nothing of this generation.
     unkept: bool,
-    /// Segments that go once that is done.
+    /// Segments to remove once the log has been rewritten.
     old: Vec<u64>,
-    /// What happened, for operators.
+    /// Counters for operators.
     pub counts: Counts,
 }
 
 impl Index {
-    /// An index that goes on with what its folder had: segments that are there are `old`, and go once all of it is
-    /// written anew. `room` is for the folder, bytes.
+    /// Resumes from the contents of the folder. `old` names the existing segments, which are removed once the
+    /// whole log has been rewritten. `room` is the capacity of the folder, bytes.
     pub fn new(
         config: &Config,
         place: Place,
@@ -140,56 +141,57 @@
         self.log.id()
     }
 
-    /// The number of its last change.
+    /// The number of the last change in the own log.
     pub fn last(&self) -> u64 {
         self.log.last()
     }
 
-    /// The log.
+    /// The own log.
     pub fn log(&self) -> &Log {
         &self.log
     }
 
-    /// Copies of others.
+    /// Replicas of other senders' logs.
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// Its own entries by shard, in the order in which they were taken on.
+    /// The entries of the own log with their shards, in the order in which they were accepted.
     pub fn own_entries(&self) -> impl Iterator<Item = (ShardId, &Entry)> {
         let (own, span) = (self.own, self.span);
         self.log.table().rows().map(move |held| (shard_of(own, &held.entry, span), &held.entry))
     }
 
-    /// How far each log is here.
+    /// The watermark of each log held here.
     pub fn positions(&self, now: Micros) -> Positions {
         let mut positions = self.store.positions();
         positions.insert(self.log.id(), self.log.reached(now));
         positions
     }
 
-    /// What others said that they have.
+    /// The watermarks that other senders reported.
     pub fn hints(&self) -> &BTreeMap<Rank, Positions> {
         self.replication.hints()
     }
 
-    /// Those who keep an owner's log, as far as the view tells.
+    /// The replicas of an owner's log according to the membership view.
     pub fn replicas_of(&self, owner: Rank) -> Vec<Rank> {
         self.facts.as_ref().map_or(Vec::new(), |facts| replicas(owner, self.replicas, &self.hosts, facts))
     }
 
-    /// The best `count` of those that may have been chosen to keep an owner's log, whoever is there now.
+    /// The `count` best candidates for replicas of an owner's log, whether or not they are alive now.
     pub fn candidates_of(&self, owner: Rank, count: usize) -> Vec<Rank> {
         candidates(owner, count, &self.hosts)
     }
 
-    /// Whether a message is in its own log.
+    /// Whether the own log contains a message.
     pub fn contains(&self, tenant: &str, id: &str) -> bool {
         self.log.table().get(&key_of(tenant, id)).is_some()
     }
 
-    /// Writes a message that was taken on, here or by the sender that it was adopted from. Gives the change's number;
-    /// none for an id that is too long. It may be told once [`Index::write`] was carried out.
+    /// Records a message that was accepted here, or adopted from another sender. Returns the number of the
+    /// change, or none if the id is too long. The number may be sent to others only after the steps of
+    /// [`Index::write`] have been carried out.
     pub fn accepted(&mut self, entry: Entry) -> Option<u64> {
         let Some((before, number)) = self.log.put(entry) else {
             self.counts.too_long += 1;
@@ -199,7 +201,7 @@
         Some(number)
     }
 
-    /// Writes what happened to a message that is in the log; one that is not there changes nothing.
+    /// Records a change of a message in the own log; no effect if the log does not contain the message.
     pub fn change(
         &mut self,
         now: Micros,
@@ -217,8 +219,8 @@
         self.replication.moved(self.log.id(), before, number);
     }
 
-    /// After a start: of the messages in the log that have no end, those that are not owed any more have one that was
-    /// not kept.
+    /// After a start: marks messages without an end that are no longer pending as unknown, since their end
+    /// was not stored.
     pub fn settle(&mut self, now: Micros, owed: impl Fn(&Entry) -> bool) {
         let lost = self.log.table().rows().map(|held| &held.entry);
         let lost =
@@ -230,8 +232,8 @@
         }
     }
 
-    /// What has to be written to the folder, in order, before anything else is told. If a step fails,
-    /// [`Index::write_failed`] must be told.
+    /// The steps to carry out in the folder, in order, before anything else is sent. If a step fails, call
+    /// [`Index::write_failed`].
     pub fn write(&mut self) -> Vec<Step> {
         if self.unkept {
             self.log.unwritten();
@@ -244,10 +246,11 @@
         if self.log.is_unwritten() { self.segments.write(&mut self.log) } else { Vec::new() }
     }
 
-    /// The folder could not be written. The log goes on in memory, in a new life that no later process goes on with;
-    /// what is there of the one before must go too, as far as that can be: these segments. A process that ends between
-    /// two of the steps leaves what no life goes on with: the oldest is empty before any other goes. After a step that
-    /// fails the others are to be left.
+    /// Handles a failed write to the folder. The log continues in memory under a new generation that no later
+    /// process resumes. Returns the steps that delete, as far as possible, the segments of the previous
+    /// generation. They are ordered so that no process can resume that generation if this one ends between
+    /// two steps: the oldest segment is emptied before any other is removed. If a step fails, leave out the
+    /// following ones.
     pub fn write_failed(&mut self, now: Micros) -> Vec<Step> {
         let mut there: Vec<u64> = self.segments.numbers().chain(std::mem::take(&mut self.old)).collect();
         there.sort_unstable();
@@ -259,12 +262,12 @@
         empty.chain(there.iter().rev().copied().map(Step::Remove)).collect()
     }
 
-    /// Whether the folder has nothing of this life.
+    /// Whether the folder holds nothing of this generation.
     pub fn is_not_persisted(&self) -> bool {
         self.unkept
     }
 
-    /// Has all of it written by the next [`Index::write`], after [`Index::write_failed`].
+    /// After [`Index::write_failed`]: has the whole log written by the next [`Index::write`].
     pub fn resume_writing(&mut self) {
         (self.anew, self.unkept) = (true, false);
     }
@@ -276,7 +279,7 @@
         self.counts.renewed += 1;
     }
 
-    /// How the view stands now.
+    /// Updates the membership view.
     pub fn set_view(&mut self, facts: Option<MembershipView>) {
         self.facts = facts.or(self.facts.take());
         let chosen = self.replicas_of(self.own);
@@ -285,13 +288,14 @@
         }
     }
 
-    /// Whether the next tick wants the view looked at before.
+    /// Whether the membership view should be updated before the next tick.
     pub fn view_due(&self, now: Micros) -> bool {
         now >= self.looked + LOOK
     }
 
-    /// For each owner of the tier: itself, then those who keep its log; one that is held for dead or has left, the
-    /// other way round; this sender, where it has a copy, at the end.
+    /// The servers to ask for each owner of the tier: the owner, then its replicas. If the owner is held to
+    /// be dead or has left, the replicas come first. If this sender holds a replica, it comes right after an
+    /// owner that is alive, and first otherwise.
     pub fn routes(&self) -> Routes {
         use membership::State::{Dead, Left};
         let mut routes = BTreeMap::new();
@@ -299,7 +303,7 @@
             let fact = self.facts.as_ref().and_then(|facts| facts.members.get(usize::from(owner)));
             let gone = fact.is_some_and(|fact| matches!(fact.state, Dead | Left));
             let mut servers = self.replicas_of(owner);
-            // A copy here costs nothing, but is not asked twice.
+            // Reading the local replica is cheap, but this sender must not be listed twice.
             let here = owner != self.own && self.store.of(owner).next().is_some();
             servers.retain(|server| *server != self.own);
             match gone {
@@ -314,10 +318,11 @@
         Routes(routes)
     }
 
-    /// Takes a query; its answer comes by [`Index::take_answers`] within that time, [`super::query::MAX_QUERY_TIME`] at most.
+    /// Starts a query. [`Index::take_answers`] returns the answer within `within`, at most
+    /// [`super::query::MAX_QUERY_TIME`].
     ///
     /// # Errors
-    /// Says why it is not taken.
+    /// The reason why the query is rejected.
     pub fn ask(
         &mut self,
         now: Micros,
@@ -331,14 +336,14 @@
         Ok(number)
     }
 
-    /// Answers that are there.
+    /// Takes the finished answers.
     pub fn take_answers(&mut self) -> Vec<(u64, Answer)> {
         let answers = self.queries.take_answers();
         self.counts.partial += answers.iter().filter(|(_, answer)| answer.partial).count() as u64;
         answers
     }
 
-    /// When it wants to be called next.
+    /// When [`Index::tick`] has to be called next.
     pub fn due(&self) -> Micros {
         let queries = self.queries.busy().then_some(self.sliced + SLICE);
         let pushes = self.replication.due(self.log.last());
@@ -347,7 +352,7 @@
         due.map_or(self.looked + LOOK, |due| due.min(self.looked + LOOK))
     }
 
-    /// A datagram that is this part's, by [`Index::accepts`].
+    /// Handles a datagram of the index, as told by [`Index::accepts`].
     pub fn receive(&mut self, now: Micros, from: Rank, bytes: &[u8]) {
         let arrived = self.mesh.receive(now, from, bytes);
         if arrived.peer_restarted {
@@ -362,7 +367,7 @@
         }
     }
 
-    /// Whether a datagram is this part's.
+    /// Whether a datagram belongs to the index.
     pub fn accepts(&self, bytes: &[u8]) -> bool {
         self.mesh.accepts(bytes)
     }
@@ -384,7 +389,8 @@
             }
             Message::Have(have) => {
                 if !self.replication.answered(from, &have, &self.log, now) {
-                    // Somebody has what is not here: numbers of this life were lost, and would be used twice.
+                    // Another sender holds changes that are missing here: numbers of this generation were
+                    // lost and would be used twice.
                     self.renew(now);
                     self.anew = !self.unkept;
                 }
@@ -407,7 +413,8 @@
         sent
     }
 
-    /// Does what is due, and sends it. [`Index::write`] must have been carried out just before.
+    /// Does the work that is due and sends its messages. The steps of [`Index::write`] must have been carried
+    /// out just before.
     pub fn tick(&mut self, now: Micros, out: &mut Outgoing) {
         self.ticked = now;
         if now >= self.looked + LOOK {
@@ -422,7 +429,7 @@
         for (to, say) in self.queries.take_messages() {
             self.send(now, to, &Message::Say(say));
         }
-        // What a write is still due for is told later.
+        // Changes that are not written yet must not be sent.
         if !self.anew && !self.log.is_unwritten() {
             for (to, batch) in self.replication.batches(now, &self.log, &self.store) {
                 if !self.send(now, to, &Message::Batch(batch)) {
@@ -436,7 +443,7 @@
         }
     }
 
-    /// For operators: what is here, how far, and what was sent.
+    /// A report for operators: logs, watermarks and counters.
     pub fn report(&self, now: Micros) -> Report {
         let receivers = self.replication.receivers().map(|(to, log, cursor)| Receiver { to, log, cursor });
         Report {
@@ -471,55 +478,55 @@
 /// A receiver of a log.
 #[derive(Debug, Clone, Serialize)]
 pub struct Receiver {
-    /// Who.
+    /// The receiving sender.
     pub to: Rank,
-    /// Of which log.
+    /// The log that is sent.
     pub log: LogId,
-    /// What was sent last, if it answers.
+    /// The last number sent, if the receiver answers.
     pub cursor: Option<u64>,
 }
 
-/// A copy that is held here.
+/// A replica held here.
 #[derive(Debug, Clone, Serialize)]
 pub struct ReplicaReport {
-    /// Of which log.
+    /// The replicated log.
     pub log: LogId,
-    /// Messages.
+    /// Number of messages.
     pub entries: usize,
-    /// Their memory.
+    /// Memory used by them, bytes.
     pub bytes: usize,
-    /// All is there up to this number,
+    /// All changes up to this number are held.
     pub upto: u64,
-    /// as of so long ago, by the owner's clock then and this one's now, milliseconds.
+    /// Age of this watermark, milliseconds: this sender's clock now minus the owner's clock then.
     pub age_ms: u64,
-    /// Its horizon.
+    /// Messages accepted before this time may have been dropped.
     pub known_since: Micros,
 }
 
-/// How the index stands.
+/// The state of the index.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// The log that is written.
+    /// The own log.
     pub log: LogId,
-    /// Its last number.
+    /// The number of its last change.
     pub last: u64,
-    /// Messages in it.
+    /// Number of messages in it.
     pub entries: usize,
-    /// Their memory.
+    /// Memory used by them, bytes.
     pub bytes: usize,
-    /// What they take in the folder.
+    /// Bytes used in the folder.
     pub folder_bytes: u64,
-    /// What was taken on before may have been left out.
+    /// Messages accepted before this time may have been dropped.
     pub known_since: Micros,
-    /// Those that keep it.
+    /// The replicas of the own log.
     pub replicas: Vec<Rank>,
-    /// How far they and others are told.
+    /// The replicas and other receivers, and how far each log was sent to them.
     pub receivers: Vec<Receiver>,
-    /// A replica that has all hears so that often.
+    /// Heartbeat interval for a replica that is up to date.
     pub beat_ms: u64,
-    /// Copies of others' logs.
+    /// Replicas of other senders' logs.
     pub copies: Vec<ReplicaReport>,
-    /// Counts.
+    /// Counters.
     pub counts: Counts,
     /// Datagrams of all channels of the index.
     pub datagrams: crate::mesh::Counts,
--- a/src/status/log.rs
+++ b/src/status/log.rs
@@ -1,10 +1,10 @@
-//! The log that a sender writes: each change gets the next number of its life. Only present states are kept, so that
-//! memory is bounded by messages, not by changes.
+//! The log that a sender writes: each change gets the next number of the log's generation. Only the current
+//! state of each message is stored, so that memory is bounded by the number of messages, not of changes.
 //!
-//! A number may be told to nobody before the change is in the folder: [`Log::unwritten`] is what has to be written
-//! first. So no number is ever used twice in a life: what a killed process had not written, nobody had heard of.
-//! Whoever can't be sure of that (a write that failed, a folder that is spoilt, a machine that was started anew, a
-//! clock that went back) draws a new life, [`Log::renew`].
+//! A number must not be sent to others before its change is in the folder: [`Log::unwritten`] returns what
+//! has to be written first. So no number is used twice in a generation: numbers that a killed process had not
+//! written were known to no other sender. If this is not certain (a write failed, the folder is corrupt, the
+//! machine was restarted, the clock went back), the log starts a new generation, [`Log::renew`].
 
 use serde::{Deserialize, Serialize};
 
@@ -12,47 +12,47 @@
 use super::{Change, Entry, Generation, LogId, MAX_ID_LEN, Rank, Watermark};
 use crate::interface::Micros;
 
-/// Ended entries that go for their age in one call at most.
+/// Maximum number of ended entries that are expired in one call.
 const AGED_AT_ONCE: usize = 64;
-/// A frame's length and checksum.
+/// Size of a frame's length and checksum, bytes.
 const FRAME: usize = 8;
-/// Wire and folder form.
+/// Version of the format in the folder.
 const VERSION: u8 = 1;
 
-/// What a segment of the folder begins with.
+/// The header of a segment in the folder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     version: u8,
-    /// The life that its changes are of.
+    /// The generation of its changes.
     pub life: Generation,
-    /// Tells whether the machine was started since.
+    /// Identifies the boot of the machine: shows whether it was restarted since.
     pub boot: u64,
-    /// The last number given out when it was begun.
+    /// The last number assigned when the segment was begun.
     pub last: u64,
-    /// The horizon then.
+    /// The horizon at that time.
     pub known_since: Micros,
 }
 
-/// How a segment ended.
+/// How a segment ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// With a whole change.
+    /// After a complete change.
     Complete,
-    /// Within a change, as a process leaves it that is killed while it writes.
+    /// Within a change, as a process leaves it that is killed during a write.
     Truncated,
-    /// Something in it is not what was written.
+    /// Its content is not what was written.
     Corrupt,
 }
 
 fn frame(content: &impl Serialize, into: &mut Vec<u8>) {
-    // These types can be written into memory always; if not, the reader finds the frame missing.
+    // Encoding these types into memory cannot fail; if it did, the reader would find the frame missing.
     let Ok(bytes) = postcard::to_allocvec(content) else { return };
     into.extend((bytes.len() as u32).to_le_bytes());
     into.extend(crc32fast::hash(&bytes).to_le_bytes());
     into.extend(bytes);
 }
 
-/// The next frame, and what is left; the error tells how it ended.
+/// The next frame and the remaining bytes; the error states how the segment ended.
 fn unframe(bytes: &[u8]) -> Result<(&[u8], &[u8]), End> {
     if bytes.is_empty() {
         return Err(End::Complete);
@@ -63,7 +63,7 @@
     if crc32fast::hash(body) == word(4) { Ok((body, rest)) } else { Err(End::Corrupt) }
 }
 
-/// Reads a segment: its head, if that is sound, its changes, and how it ends.
+/// Reads a segment: its header if valid, its changes, and how it ends.
 pub fn read_segment(bytes: &[u8]) -> (Option<Head>, Vec<Change>, End) {
     let mut changes = Vec::new();
     let (first, mut rest) = match unframe(bytes) {
@@ -88,21 +88,22 @@
     }
 }
 
-/// What was read from the folder.
+/// What was restored from the folder.
 #[derive(Debug, Default)]
 pub struct Restored {
-    /// The life, where it may go on.
+    /// The generation, if it may be continued.
     pub life: Option<Generation>,
-    /// Changes, in no order.
+    /// Changes, in no particular order.
     pub changes: Vec<Change>,
-    /// The last number given out.
+    /// The last number assigned.
     pub last: u64,
-    /// The horizon.
+    /// Messages accepted before this time may have been dropped.
     pub known_since: Micros,
 }
 
-/// Makes of segments, oldest first, what can be made of them. `at` numbers them as their files do. A life goes on only
-/// if it is sure that no number of it was told that is not there.
+/// Restores a log from its segments, oldest first; each comes with its number, which is that of its file. The
+/// generation is continued only if it is certain that no number of it was sent to others whose change is
+/// missing here.
 pub fn restore(segments: &[(u64, Vec<u8>)], boot: u64, now: Micros) -> Restored {
     let mut restored = Restored::default();
     let (mut life, mut sure) = (None, true);
@@ -110,10 +111,11 @@
         let newest = n + 1 == segments.len();
         sure &= n == 0 || segments[n - 1].0 + 1 == *at;
         let (head, changes, end) = read_segment(bytes);
-        // Only the newest may end within a change: what came after it was told to nobody.
+        // Only the newest segment may end within a change: nothing after it was sent to others.
         sure &= end == End::Complete || newest && end == End::Truncated;
         let Some(head) = head else {
-            // The newest may have been begun and no more; nothing was told that is in no other one then.
+            // The newest segment may have been begun without a complete header; then nothing was sent to
+            // others that is in no other segment.
             sure &= newest && end == End::Truncated;
             continue;
         };
@@ -125,7 +127,7 @@
     }
     let changes = &restored.changes;
     restored.last = changes.iter().map(|change| change.number).fold(restored.last, u64::max);
-    // A clock that went back would have answers look younger than they are.
+    // After the clock went back, answers would look more recent than they are.
     sure &= changes.iter().all(|change| change.entry.changed_at <= now);
     restored.life = life.filter(|_| sure);
     if restored.life.is_none() {
@@ -148,14 +150,15 @@
 /// Changes that are not in the folder yet.
 #[derive(Debug, Default)]
 pub struct Unwritten {
-    /// As they are to be written.
+    /// Their encoding for the folder.
     pub bytes: Vec<u8>,
     /// Their numbers.
     pub numbers: Vec<u64>,
 }
 
 impl Log {
-    /// A log of a new life. `most` bounds its memory, bytes; `keep` how long ended entries stay, microseconds.
+    /// A log of a new generation. `most` bounds its memory, bytes; `keep` is the retention time of ended
+    /// entries, microseconds.
     pub fn new(owner: Rank, life: Generation, most: usize, keep: Micros, known_since: Micros) -> Self {
         let mut table = Table::default();
         table.forget_before(known_since);
@@ -169,14 +172,14 @@
         }
     }
 
-    /// Goes on with what the folder had. Where the life can't go on, `fresh` is the new one, in which all of it counts
-    /// as changed; then all of it has to be written.
+    /// Resumes from what was restored. If the generation cannot be continued, `fresh` becomes the new one, in
+    /// which all entries count as changed and have to be written.
     pub fn resume(owner: Rank, restored: Restored, fresh: Generation, most: usize, keep: Micros) -> Self {
         let Restored { life, mut changes, last, known_since } = restored;
         let mut log = Self::new(owner, life.unwrap_or(fresh), most, keep, known_since);
         changes.sort_by_key(|change| change.number);
         for (at, Change { number, entry }) in (1..).zip(changes) {
-            // Where lives are mixed, so are their numbers: states join in whatever order.
+            // If generations are mixed, so are their numbers; states can be joined in any order.
             log.table.put(if life.is_some() { number } else { at }, entry);
         }
         log.last = last;
@@ -186,8 +189,8 @@
         log
     }
 
-    /// Begins a new life with all that is there. Numbers of the one before are given out no more. What was taken on
-    /// before now may have been lost with it.
+    /// Starts a new generation with all current entries. Numbers of the previous one are not assigned any
+    /// more. Messages accepted before now may have been lost with it.
     pub fn renew(&mut self, life: Generation, now: Micros) {
         let before = std::mem::take(&mut self.table);
         self.table.forget_before(before.known_since().max(now));
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Which log it is.
+    /// The identity of the log.
     pub fn id(&self) -> LogId {
         self.id
     }
@@ -213,13 +216,13 @@
         &self.table
     }
 
-    /// How far the owner itself has it.
+    /// The owner's own watermark.
     pub fn reached(&self, now: Micros) -> Watermark {
         Watermark { upto: self.last, as_of: now }
     }
 
-    /// Writes a change: the message's entry from now on. Gives the number that the message had, and the new one; none
-    /// for an id that is too long.
+    /// Appends a change: the message's entry from now on. Returns the previous number of the message and the
+    /// new one, or none if the id is too long.
     pub fn put(&mut self, entry: Entry) -> Option<(u64, u64)> {
         let fits = entry.id.len() <= MAX_ID_LEN;
         let written = fits.then(|| self.write(entry));
@@ -240,7 +243,8 @@
         (before, self.last)
     }
 
-    /// Writes a change of a message that is there, if it is one.
+    /// Changes a message of the log and appends the change; returns none if the log does not contain the
+    /// message or nothing changed.
     pub fn change(&mut self, key: &Key, now: Micros, act: impl FnOnce(&mut Entry)) -> Option<(u64, u64)> {
         let held = self.table.get(key)?;
         let mut entry = held.entry.clone();
@@ -252,12 +256,12 @@
         self.put(entry)
     }
 
-    /// Leaves out what has been ended for long enough, a few at a time.
+    /// Expires entries whose retention time is over, a few at a time.
     pub fn age(&mut self, now: Micros) {
         self.table.bound(self.most, now.saturating_sub(self.keep), AGED_AT_ONCE);
     }
 
-    /// What a segment that is begun now begins with.
+    /// The encoded header of a segment that begins now.
     pub fn head(&self, boot: u64) -> Vec<u8> {
         let known_since = self.table.known_since();
         let mut bytes = Vec::new();
@@ -268,17 +272,17 @@
         bytes
     }
 
-    /// What is to be written down before any number of it is told, and is no more then.
+    /// Takes the changes that have to be written before their numbers are sent to others.
     pub fn unwritten(&mut self) -> Unwritten {
         std::mem::take(&mut self.unwritten)
     }
 
-    /// Whether something is to be written down.
+    /// Whether changes have to be written.
     pub fn is_unwritten(&self) -> bool {
         !self.unwritten.numbers.is_empty()
     }
 
-    /// The change with that number as it is written, if no later one of its message took its place.
+    /// The encoded change with this number, unless a later change of its message replaced it.
     pub fn frame_of(&self, number: u64) -> Option<Vec<u8>> {
         let TableRow { number, entry } = self.table.at(number)?;
         let mut bytes = Vec::new();
@@ -286,7 +290,7 @@
         Some(bytes)
     }
 
-    /// Numbers of all that is there.
+    /// The numbers of all current entries.
     pub fn numbers(&self) -> impl Iterator<Item = u64> {
         self.table.after(0).map(|held| held.number)
     }
--- a/src/status/mod.rs
+++ b/src/status/mod.rs
@@ -1,12 +1,15 @@
-//! The status index: what became of each message, kept by the sender that took it on and, behind it, by replicas, so
-//! that any sender of the tier can be asked. Here are the words that its rooms, [`crate::estimate`] and
-//! [`crate::plans`] share.
+//! The status index: the state of each message, recorded by the sender that accepted it and replicated to
+//! other senders, so that any sender of the tier can be asked. This module holds the types that its
+//! submodules, [`crate::estimate`] and [`crate::plans`] share.
 //!
-//! - A *change* is a hand-in that got its 202, and each change of that message's state after it. The sender at which it
-//!   happens writes it into its own log; nobody else ever writes there.
-//! - A *log* belongs to an owner and one [`Generation`] of its folder; within it changes have numbers from 1, without gaps.
-//! - A *shard* is one owner's part of the index for one span of time, by when a message was taken on.
-//! - A message that another sender adopted has changes in two logs. What is known of it is the join of all of them.
+//! - A *change* is the acceptance of a message (a submission answered with 202) or a later change of its
+//!   state. The sender at which it happens appends it to its own log; no other sender writes to that log.
+//! - A *log* belongs to an owner and one [`Generation`] of its state folder. Within a log, changes are
+//!   numbered from 1 without gaps.
+//! - A *shard* is the part of one owner's index that covers one span of time, by the time at which messages
+//!   were accepted.
+//! - A message that another sender adopted has changes in two logs. Its known state is the join of all of
+//!   them.
 
 pub mod folder;
 pub mod index;
@@ -26,33 +29,33 @@
 
 /// Bounds of the memory for the index, MB.
 pub const ROOM_MB: (u32, u32) = (1, 64);
-/// Bounds of how long an ended entry is kept, seconds.
+/// Bounds of the retention time of an ended entry, seconds.
 pub const KEEP_S: (u32, u32) = (10, 86_400);
 /// Bounds of the number of replicas.
 pub const REPLICAS: (u32, u32) = (0, 4);
 /// Bounds of a shard's span, seconds.
 pub const SPAN_S: (u32, u32) = (1, 3_600);
-/// A longer id is not indexed, bytes.
+/// Maximum length of an id that is indexed, bytes.
 pub const MAX_ID_LEN: usize = 64;
-/// Ids that a query may name at most.
+/// Maximum number of ids in a query.
 pub const MAX_IDS: usize = 256;
-/// Rows that an answer holds at most.
+/// Maximum number of rows in an answer.
 pub const MAX_ROWS: usize = 1_000;
 
-/// The section `status`. It needs `membership`.
+/// The section `status` of the settings. It requires `membership`.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// For own entries and those of others, MB.
+    /// Memory for own and replicated entries together, MB.
     #[serde(default = "room")]
     pub room_mb: u32,
-    /// How long an entry is kept after its end, seconds; less where `room_mb` does not suffice.
+    /// Retention time of an entry after its end, seconds; shorter where `room_mb` does not suffice.
     #[serde(default = "keep")]
     pub keep_s: u32,
-    /// Other senders that keep this one's log.
+    /// Number of other senders that replicate this sender's log.
     #[serde(default = "replicas")]
     pub replicas: u32,
-    /// A shard's span, seconds.
+    /// The span of a shard, seconds.
     #[serde(default = "span")]
     pub span_s: u32,
 }
@@ -73,44 +76,47 @@
     60
 }
 
-/// Which life of an owner's folder: drawn by chance when a folder is found empty, and kept in it. Two lives of one
-/// owner are not in any order: what was written in a lost one is either with a replica or lost.
+/// The generation of an owner's state folder: drawn at random when a folder is found empty, and stored in it.
+/// Generations of one owner are not ordered: what was written in a lost one is either held by a replica or
+/// lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Generation(pub u64);
 
-/// A log: its owner, and the life.
+/// A log, identified by its owner and the generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LogId {
     /// The sender that writes it.
     pub owner: Rank,
-    /// In which life.
+    /// The generation of that sender's folder.
     #[serde(rename = "life")]
     pub generation: Generation,
 }
 
-/// A shard: one owner's entries whose messages were taken on in one span of Unix time, counted in spans.
+/// A shard: one owner's entries whose messages were accepted in one span of Unix time. Spans are numbered
+/// from the epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ShardId {
-    /// The sender in whose log they are.
+    /// The sender whose log holds them.
     pub owner: Rank,
-    /// Unix time over the span's length, rounded down.
+    /// Unix time divided by the span's length, rounded down.
     pub span: u32,
 }
 
-/// How far somebody has a log. It never goes back, and is never said before it holds.
+/// How much of a log a sender holds. A watermark never goes back, and is reported only once it holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Watermark {
-    /// All changes up to this number are there; 0 is none.
+    /// All changes up to this number are held; 0 for none.
     pub upto: u64,
-    /// The owner's clock when nothing beyond `upto` had happened, as the owner said it; Unix microseconds.
+    /// The owner's clock, as reported by the owner, at a time when no change beyond `upto` had happened; Unix
+    /// microseconds.
     pub as_of: Micros,
 }
 
-/// How far a sender has each log that it keeps.
+/// The watermark of each log that a sender holds.
 pub type Positions = BTreeMap<LogId, Watermark>;
 
-/// What has happened to a message, as a set: states join by union, so that order, repetition and two owners after a
-/// takeover do not matter, and an end is never undone.
+/// The set of states that a message has been in. States join by union, so that order, repetition and a second
+/// owner after a takeover do not matter, and an end is never undone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct States(pub u8);
 
@@ -119,85 +125,87 @@
 #[serde(rename_all = "lowercase")]
 #[repr(u8)]
 pub enum State {
-    /// The sender owes it its end.
+    /// Accepted; the sender still has to bring it to an end.
     Taken = 1,
     /// A call was begun.
     Calling = 2,
-    /// Given back; its client may hand it in again.
+    /// Given back; its client may submit it again.
     Deferred = 4,
     /// Given up.
     Undeliverable = 8,
-    /// It was in hand when its log was lost, or its end was not kept.
+    /// Pending when its log was lost, or its end was not stored.
     Unknown = 16,
-    /// An endpoint took it. It may stand beside another end that was told before; both are kept.
+    /// Accepted by an endpoint. It may stand beside another end that was reported before; both are stored.
     Delivered = 32,
 }
 
 impl State {
-    /// All of them, in the order in which the later one says more.
+    /// All states, the less informative ones first.
     pub const ALL: [Self; 6] =
         [Self::Taken, Self::Calling, Self::Unknown, Self::Deferred, Self::Undeliverable, Self::Delivered];
 }
 
 impl States {
-    /// With one more.
+    /// Adds a state.
     #[must_use]
     pub fn with(self, state: State) -> Self {
         Self(self.0 | state as u8)
     }
 
-    /// Both together.
+    /// The union of both sets.
     #[must_use]
     pub fn join(self, other: Self) -> Self {
         Self(self.0 | other.0)
     }
 
-    /// Whether it is one of them.
+    /// Whether the set contains a state.
     pub fn has(self, state: State) -> bool {
         self.0 & state as u8 != 0
     }
 
-    /// Whether the message has ended, one way or another.
+    /// Whether the message has ended in any way.
     pub fn ended(self) -> bool {
         [State::Deferred, State::Undeliverable, State::Delivered].into_iter().any(|end| self.has(end))
     }
 
-    /// The one that says the most; `Unknown` counts only where there is no end.
+    /// The most informative state; `Unknown` counts only where there is no end.
     pub fn reported(self) -> Option<State> {
         State::ALL.into_iter().rev().find(|state| self.has(*state))
     }
 }
 
-/// What is known of a message. Never its body.
+/// The known state of a message; never its body.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its `Req-Id`, of [`MAX_ID_LEN`] bytes at most.
+    /// Its `Req-Id`, at most [`MAX_ID_LEN`] bytes.
     pub id: String,
-    /// Its class, by name.
+    /// The name of its class.
     pub class: String,
-    /// Its tenant, by name; empty for none.
+    /// The name of its tenant; empty for none.
     pub tenant: String,
     /// Its destination.
     pub destination: u32,
-    /// CRC-32 of its idempotency key, if it has one: tells whether two are alike, never what it is.
+    /// CRC-32 of its idempotency key, if it has one: shows whether two keys may be equal without revealing
+    /// the key.
     pub key: Option<u32>,
-    /// When it was taken on, Unix microseconds: the same in all logs, since it tells the shard.
+    /// When it was accepted, Unix microseconds. The value is the same in all logs, since it determines the
+    /// shard.
     pub taken_at: Micros,
-    /// When its time is up.
+    /// Its deadline, Unix microseconds.
     pub deadline: Micros,
-    /// When the last change happened.
+    /// When its last change happened, Unix microseconds.
     pub changed_at: Micros,
-    /// Calls begun.
+    /// Number of calls begun.
     pub attempts: u16,
-    /// What has happened.
+    /// The states that it has been in.
     pub states: States,
-    /// The sender that owed it its end as of the highest epoch, and that epoch.
+    /// The highest known epoch of its ownership, and the sender that owned the message in that epoch.
     pub owner: (u32, Rank),
 }
 
 impl Entry {
-    /// Takes in what else is known of the same message: commutative, associative, idempotent. If its client handed one
-    /// id in more than once with different words, those that leave it the most time stand.
+    /// Joins what another log knows of the same message: commutative, associative, idempotent. If the client
+    /// submitted one id more than once with different parameters, those with the latest deadline win.
     pub fn join(&mut self, other: &Self) {
         let words = |entry: &Self| (entry.deadline, entry.destination, entry.key);
         if (words(other), &other.class) > (words(self), &self.class) {
@@ -212,43 +220,43 @@
     }
 }
 
-/// One change, as a log holds it and replicas get it.
+/// A change, as it stands in a log and is sent to replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
     /// Its number in the log.
     pub number: u64,
-    /// The entry as it is from then on, in this log.
+    /// The entry in this log after the change.
     pub entry: Entry,
 }
 
-/// Which messages are asked for. A query is one tenant's.
+/// Selects messages. A query concerns one tenant.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Query {
-    /// Whose messages; nobody else's are ever told.
+    /// The tenant; messages of other tenants are never returned.
     pub tenant: String,
-    /// These, by `Req-Id`; all if it is empty. [`MAX_IDS`] at most.
+    /// The `Req-Id`s to look up, at most [`MAX_IDS`]; all messages if empty.
     #[serde(default)]
     pub ids: Vec<String>,
-    /// Taken on then or later, Unix microseconds.
+    /// Accepted at this time or later, Unix microseconds.
     #[serde(default)]
     pub from: Micros,
-    /// Taken on before then.
+    /// Accepted before this time, Unix microseconds.
     #[serde(default = "ever")]
     pub to: Micros,
-    /// Told as one of these; all if it is empty.
+    /// Reported in one of these states; any state if empty.
     #[serde(default)]
     pub states: Vec<State>,
-    /// Of one of these classes; all if it is empty.
+    /// Of one of these classes; any class if empty.
     #[serde(default)]
     pub classes: Vec<String>,
-    /// For one of these destinations; all if it is empty.
+    /// For one of these destinations; any destination if empty.
     #[serde(default)]
     pub destinations: Vec<u32>,
-    /// Rows at most, of [`MAX_ROWS`].
+    /// Maximum number of rows, at most [`MAX_ROWS`].
     #[serde(default = "rows")]
     pub limit: u32,
-    /// Goes on after this one: rows come by `taken_at` and id.
+    /// Continues after this row: rows are ordered by `taken_at` and id.
     #[serde(default)]
     pub after: Option<(Micros, String)>,
 }
@@ -262,14 +270,14 @@
 }
 
 impl Query {
-    /// Whether an entry is one that is asked for; `limit` aside.
+    /// Whether an entry matches the query; `limit` is not considered.
     pub fn wants(&self, entry: &Entry) -> bool {
         let told = || entry.states.reported().is_some_and(|told| self.states.contains(&told));
         (self.states.is_empty() || told()) && self.may_want(entry)
     }
 
-    /// Whether an entry of one log may become one that is asked for once joined with another log's: what may still
-    /// change, its state, is left out.
+    /// Whether an entry of one log may match once it is joined with those of other logs: the state, which may
+    /// still change, is not considered.
     pub fn may_want(&self, entry: &Entry) -> bool {
         self.tenant == entry.tenant
             && (self.ids.is_empty() || self.ids.contains(&entry.id))
--- a/src/status/query.rs
+++ b/src/status/query.rs
@@ -1,9 +1,10 @@
-//! Queries over the whole tier. The sender that is asked reads what it holds itself and asks others for the rest: for
-//! each owner the best server of its route, after a while the next one. Answers join by message, so that it does not
-//! matter who answers twice. Reading goes in slices, and ends at a deadline with what there is.
+//! Queries over the whole tier. The sender that receives a query reads the logs that it holds itself and
+//! sends sub-queries for the rest: for each owner it asks the best server of the route and, after a delay,
+//! the next one. Answers are joined by message, so it does not matter if two servers answer for the same log.
+//! Reading proceeds in slices and ends at a deadline with what has been read by then.
 //!
-//! A part that was cut at its limit tells up to which place it is whole; the answer ends at the least of those places,
-//! and says where to go on.
+//! A partial result that was truncated at its limit states up to which place it is complete. The answer ends
+//! at the smallest of those places and states where to continue.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -15,47 +16,47 @@
 use super::{Entry, LogId, MAX_IDS, MAX_ROWS, Query, Rank, State, Watermark};
 use crate::interface::Micros;
 
-/// A query takes so long at most: management answers are due within 1 s.
+/// Maximum time of a query: management answers are due within 1 s.
 pub const MAX_QUERY_TIME: Micros = 800_000;
-/// A server that has not answered for so long is not waited for alone: the route's next one is asked too.
+/// If a server has not answered after this time, the next one of the route is asked as well.
 pub const HEDGE: Micros = 200_000;
-/// Kept of the deadline for the way back.
+/// Part of the deadline reserved for the way back of the answer.
 const MARGIN: Micros = 40_000;
-/// Entries that are looked at in a turn at most, for all queries together.
+/// Maximum number of entries examined in one turn, for all queries together.
 pub const MAX_ENTRIES_PER_TURN: usize = 2_048;
-/// Own queries at a time at most.
+/// Maximum number of own queries at a time.
 pub const MAX_RUNNING: usize = 32;
-/// Queries of other senders at a time at most.
+/// Maximum number of queries of other senders at a time.
 pub const MAX_SERVING: usize = 64;
-/// Servers that one query waits for at a time at most.
+/// Maximum number of servers that one query waits for at a time.
 const MAX_OUT: usize = 32;
-/// Servers of one owner that are tried at most.
+/// Maximum number of servers tried for one owner.
 const MAX_SERVERS: usize = 4;
-/// Bytes of rows in one message, about.
+/// Approximate size of the rows in one message, bytes.
 const PIECE: usize = 32 * 1024;
-/// An entry without an end is told as unknown so long after its deadline.
+/// An entry without an end is reported as unknown this long after its deadline.
 const OVERDUE: Micros = 30_000_000;
 
-/// Who serves whose logs: for each owner the senders to ask, the best first; this sender may be one of them.
+/// For each owner the senders to ask for its logs, best first; this sender may be one of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Routes(pub BTreeMap<Rank, Vec<Rank>>);
 
-/// Why a query is not taken.
+/// Why a query is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum QueryRejected {
-    /// Too many ids.
-    #[error("{0} ids are asked for, over {MAX_IDS}")]
+    /// The query names too many ids.
+    #[error("the query names {0} ids, more than the maximum of {MAX_IDS}")]
     Ids(usize),
-    /// The limit is none.
-    #[error("a limit of {0} is not between 1 and {MAX_ROWS}")]
+    /// The row limit is out of bounds.
+    #[error("the query limit {0} is not between 1 and {MAX_ROWS}")]
     Limit(u32),
-    /// Too many at a time.
-    #[error("{MAX_RUNNING} queries are under way")]
+    /// Too many queries are running.
+    #[error("{MAX_RUNNING} queries are already running")]
     Busy,
 }
 
 impl QueryRejected {
-    /// A stable name.
+    /// The stable error code.
     pub fn code(&self) -> &'static str {
         match self {
             Self::Ids(_) => "status-ids",
@@ -67,61 +68,61 @@
     /// What an operator can do.
     pub fn remedy(&self) -> &'static str {
         match self {
-            Self::Ids(_) => "ask for fewer at a time",
-            Self::Limit(_) => "set limit within its bounds, and go on with `after`",
-            Self::Busy => "ask again in a second, or another sender",
+            Self::Ids(_) => "name fewer ids in one query",
+            Self::Limit(_) => "set limit within its bounds, and continue with `after`",
+            Self::Busy => "retry in a second, or query another sender",
         }
     }
 }
 
-/// A query on its way to a server.
+/// A query sent to a server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubQuery {
-    /// The asker's number for it.
+    /// The query's number at the sender that asks.
     pub number: u64,
-    /// What is asked for.
+    /// The query.
     pub query: Query,
-    /// Whose logs.
+    /// The owners whose logs are read.
     pub owners: Vec<Rank>,
-    /// How long an answer is of use, microseconds.
+    /// For how long an answer is useful, microseconds.
     pub within: Micros,
 }
 
-/// One log, as far as a server has it.
+/// The state of a log at a server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogStatus {
-    /// Which.
+    /// The log.
     pub log: LogId,
-    /// All is there up to this.
+    /// The server holds all changes up to this watermark.
     pub reached: Watermark,
-    /// Its horizon.
+    /// Messages accepted before this time may have been dropped.
     pub known_since: Micros,
-    /// The greatest number of a change that may be in the rows, or be the reason that one is missing: a copy may have
-    /// newer entries than it has without gaps. 0 if no entry was looked at.
+    /// The greatest number of a change that may be in the rows, or may be the reason that a row is missing: a
+    /// replica may hold entries beyond the position up to which it is complete. 0 if no entry was examined.
     pub shown: u64,
-    /// Spans in which entries were looked at, entries, and their bytes.
+    /// Number of spans in which entries were examined, number of these entries, and their bytes.
     pub touched: (u32, u64, u64),
 }
 
-/// An answer of a server, in pieces.
+/// Part of a server's answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartialResult {
-    /// The asker's number.
+    /// The query's number at the sender that asks.
     pub number: u64,
-    /// Entries that may be wanted.
+    /// Entries that may match.
     pub rows: Vec<Entry>,
-    /// It is the last one, and says:
+    /// Present in the last part of the answer.
     pub end: Option<ResultEnd>,
 }
 
-/// What a server says with the last piece.
+/// What a server reports with the last part of its answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultEnd {
-    /// Which logs were read. An owner without one has none here.
+    /// The logs that were read; an owner without a log has none here.
     pub logs: Vec<LogStatus>,
-    /// Beyond this place rows may be missing.
+    /// The place beyond which rows may be missing.
     pub whole_upto: Option<(Micros, String)>,
-    /// It had too much to do, and read nothing.
+    /// The server was too busy and read nothing.
     pub busy: bool,
 }
 
@@ -129,94 +130,94 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MissingReason {
-    /// Nobody who holds it answered in time.
+    /// No sender that holds it answered in time.
     NoAnswer,
-    /// Whoever answered holds nothing of it.
+    /// The senders that answered hold nothing of it.
     NotHeld,
-    /// Nobody is known to ask.
+    /// No server is known for it.
     NoServer,
 }
 
-/// Shards that are missing: one owner's.
+/// The missing shards of one owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Missing {
-    /// Whose.
+    /// The owner.
     pub owner: Rank,
     /// The first and the last span that the query could have touched.
     pub spans: (u32, u32),
-    /// Why.
+    /// The reason.
     pub why: MissingReason,
 }
 
-/// A log that is in an answer.
+/// A log that was read for an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct LogRead {
-    /// Which.
+    /// The log.
     pub log: LogId,
-    /// Who read it.
+    /// The sender that read it.
     pub server: Rank,
-    /// Up to which position.
+    /// The watermark up to which it was read.
     pub reached: Watermark,
-    /// Its horizon: what was taken on before may have been left out.
+    /// Messages accepted before this time may have been dropped.
     pub known_since: Micros,
-    /// The greatest number of a change that may have been shown; 0 if no entry was looked at.
+    /// The greatest number of a change that may have been shown; 0 if no entry was examined.
     pub shown: u64,
 }
 
-/// What a query really read, by link.
+/// What a query actually read, for one server and log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Touched {
-    /// Where.
+    /// The server.
     pub server: Rank,
-    /// Of which log.
+    /// The log.
     pub log: LogId,
-    /// Spans in which entries were looked at.
+    /// Number of spans in which entries were examined.
     pub shards: u32,
-    /// Entries looked at.
+    /// Number of entries examined.
     pub entries: u64,
     /// Their bytes.
     pub bytes: u64,
-    /// Bytes of the server's whole answer, told with its first log.
+    /// Bytes of the server's whole answer, given with its first log only.
     pub wire_bytes: u64,
-    /// From asking it to its last piece, microseconds.
+    /// Time from the sub-query to the last part of the answer, microseconds.
     pub took_us: Micros,
 }
 
-/// What came of a query.
+/// The answer to a query.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Answer {
-    /// Messages, by when they were taken on, then by id.
+    /// Messages, ordered by time of acceptance, then by id.
     pub rows: Vec<Entry>,
-    /// Where to go on, if there may be more.
+    /// Where to continue, if there may be more rows.
     pub next: Option<(Micros, String)>,
     /// Shards are missing, or something could not be read in time.
     pub partial: bool,
-    /// Owners that were asked for.
+    /// Number of owners whose logs the query needs.
     pub asked: usize,
-    /// Of them, those whose logs were read.
+    /// Of these, the number of owners whose logs were read.
     pub reached: usize,
-    /// The others.
+    /// The other owners.
     pub missing: Vec<Missing>,
-    /// What was read, with whose position.
+    /// The logs that were read, with server and watermark.
     pub logs: Vec<LogRead>,
-    /// What was taken on before this may be missing: the latest horizon of them all.
+    /// Messages accepted before this time may be missing: the latest horizon of all logs read.
     pub known_since: Micros,
-    /// Ids that were asked for and of which nothing is known; not that there never was such a message.
+    /// Requested ids of which nothing is known; this does not prove that no such message ever existed.
     pub not_known: Vec<String>,
-    /// What it cost.
+    /// What the query read.
     pub touched: Vec<Touched>,
-    /// From asking to this, microseconds.
+    /// Time from the query to this answer, microseconds.
     pub took_us: Micros,
 }
 
-/// All logs that are here.
+/// All logs held by this sender.
 #[derive(Debug, Clone, Copy)]
 pub struct LocalLogs<'a> {
-    /// The own one.
+    /// The own log.
     pub log: &'a Log,
-    /// Those of others.
+    /// Replicas of other senders' logs.
     pub store: &'a Store,
-    /// A shard's span.
+    /// The span of a shard, microseconds.
     pub span: Micros,
 }
 
@@ -240,7 +241,7 @@
         Some(LogStatus { log: id, reached, known_since: table.known_since(), shown: 0, touched: (0, 0, 0) })
     }
 
-    /// With what may have been shown, once it has been read.
+    /// Adds the greatest number that may have been shown; called once the log has been read.
     fn read(&self, holding: LogStatus) -> LogStatus {
         let last = match self.store.logs().get(&holding.log) {
             _ if holding.log == self.log.id() => self.log.last(),
@@ -250,19 +251,19 @@
     }
 }
 
-/// The log at hand, the place to go on from, and the spans of entries that were looked at.
+/// The current log, the place to continue from, and the spans of the entries examined.
 type At = (LogStatus, Option<(Micros, Key)>, BTreeSet<u32>);
 
-/// Reading some logs that are here, in slices.
+/// Reads some of the logs held here, in slices.
 #[derive(Debug)]
 struct Scan {
     query: Query,
     waiting: VecDeque<LogId>,
     at: Option<At>,
-    /// Ids that are still to be looked up in the log at hand.
+    /// Number of ids already looked up in the current log.
     ids: usize,
     found: BTreeMap<(Micros, Key), Entry>,
-    /// Rows found in the log at hand, and the place of the last.
+    /// Number of rows found in the current log, and the place of the last one.
     here: usize,
     last: Option<(Micros, String)>,
     logs: Vec<LogStatus>,
@@ -280,7 +281,7 @@
         Self { query, waiting, at, ids, found, here: 0, last: None, logs: Vec::new(), whole_upto: None }
     }
 
-    /// Goes on as far as the budget lasts; whether it is through.
+    /// Continues until the budget is used up; returns whether all logs have been read.
     fn step(&mut self, here: LocalLogs, now: Micros, budget: &mut usize) -> bool {
         loop {
             if *budget == 0 {
@@ -288,9 +289,9 @@
             }
             if self.at.is_none() {
                 let Some(next) = self.waiting.pop_front() else { return true };
-                // A log costs something even if it holds nothing.
+                // Even an empty log has a cost.
                 *budget -= 1;
-                // What is claimed is what holds now, before anything of it is read.
+                // The watermark is taken before anything of the log is read: it holds at this point.
                 self.at = here.holding(next, now).map(|holding| (holding, None, BTreeSet::new()));
                 (self.ids, self.here, self.last) = (0, 0, None);
                 continue;
@@ -301,7 +302,7 @@
             let mut look = |entry: &Entry| {
                 *entries += 1;
                 *bytes += size_of(entry) as u64;
-                // Ids come in any order of time.
+                // Ids are in no order of time.
                 let span = u32::try_from(entry.taken_at / here.span.max(1)).unwrap_or(u32::MAX);
                 *shards += u32::from(spans.insert(span));
             };
@@ -311,11 +312,12 @@
                     self.ids += 1;
                     let held = table.get(&key_of(&self.query.tenant, id));
                     if let Some(held) = held {
-                        // When a message was taken on never changes: out of the range nothing more is read of it.
+                        // The time of acceptance never changes: outside the range, nothing more of the
+                        // message is read.
                         if (begins(&self.query)..self.query.to).contains(&held.entry.taken_at) {
                             look(&held.entry);
                         }
-                        // Whatever else is asked for: what is here is known. The filters come at the end.
+                        // The message is known here, whatever the filters say; they are applied at the end.
                         let entry = &held.entry;
                         match self.found.get_mut(&(entry.taken_at, key_of(&entry.tenant, &entry.id))) {
                             Some(known) => known.join(entry),
@@ -355,7 +357,7 @@
                 true
             });
             if cut {
-                // Rows of this log go no further than its last one.
+                // The rows of this log are complete only up to the last one.
                 self.whole_upto = least(self.whole_upto.take(), last.take());
             }
             (self.here, self.last) = (count, last);
@@ -368,28 +370,28 @@
     }
 }
 
-/// An owner whose logs a query wants.
+/// The state of an owner whose logs a query needs.
 #[derive(Debug)]
 struct Wanted {
     servers: VecDeque<Rank>,
-    /// When the last one was asked.
+    /// When the last server was asked.
     asked: Option<Micros>,
     tried: bool,
     answered: bool,
     reached: bool,
 }
 
-/// What is out at a server.
+/// A sub-query that a server has not answered yet.
 #[derive(Debug)]
 struct Out {
     owners: Vec<Rank>,
     since: Micros,
     wire_bytes: u64,
-    /// They count once the last piece tells how far they go.
+    /// Counted only once the last part of the answer states the watermark.
     rows: Vec<Entry>,
 }
 
-/// A query that was asked here.
+/// A query received from a client of this sender.
 #[derive(Debug)]
 struct Running {
     query: Query,
@@ -404,7 +406,7 @@
     touched: Vec<Touched>,
 }
 
-/// Another sender's query.
+/// A query of another sender.
 #[derive(Debug)]
 struct Serving {
     asker: Rank,
@@ -413,16 +415,16 @@
     scan: Scan,
 }
 
-/// What is to be told to another sender.
+/// A message of the query protocol between senders.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QueryMessage {
-    /// A query.
+    /// A sub-query.
     Ask(SubQuery),
-    /// Part of an answer.
+    /// A partial result.
     Piece(PartialResult),
 }
 
-/// All queries under way at a sender.
+/// All queries in progress at a sender.
 #[derive(Debug)]
 pub struct Queries {
     own: Rank,
@@ -434,31 +436,32 @@
 }
 
 impl Queries {
-    /// None. Numbers begin at one drawn by chance, so that an answer to an earlier process is nobody's.
+    /// Starts without queries. Query numbers start at a random one, so that an answer meant for an earlier
+    /// process matches no query.
     pub fn new(own: Rank, seed: u64) -> Self {
         let (running, serving) = (BTreeMap::new(), VecDeque::new());
         Self { own, next: seed, running, serving, answers: Vec::new(), say: Vec::new() }
     }
 
-    /// Whether something is under way.
+    /// Whether a query is in progress.
     pub fn busy(&self) -> bool {
         !self.running.is_empty() || !self.serving.is_empty()
     }
 
-    /// Answers that are there.
+    /// Takes the finished answers.
     pub fn take_answers(&mut self) -> Vec<(u64, Answer)> {
         std::mem::take(&mut self.answers)
     }
 
-    /// What is to be sent.
+    /// Takes the messages to be sent.
     pub fn take_messages(&mut self) -> Vec<(Rank, QueryMessage)> {
         std::mem::take(&mut self.say)
     }
 
-    /// Takes a query that is to be answered within that time, [`MAX_QUERY_TIME`] at most.
+    /// Starts a query that is to be answered within `within`, at most [`MAX_QUERY_TIME`].
     ///
     /// # Errors
-    /// Says why it is not taken.
+    /// The reason why the query is rejected.
     pub fn ask(
         &mut self,
         now: Micros,
@@ -496,7 +499,8 @@
         Ok(self.next)
     }
 
-    /// Another sender asks. What it may cost is bounded; whoever asks beyond that is told so.
+    /// Accepts another sender's sub-query. The cost is bounded: beyond the bound the sender is told that this
+    /// one is busy.
     pub fn serve(&mut self, now: Micros, from: Rank, asked: SubQuery, here: LocalLogs) {
         let SubQuery { number, mut query, owners, within } = asked;
         let sane = query.ids.len() <= MAX_IDS && (1..=MAX_ROWS).contains(&(query.limit as usize));
@@ -506,7 +510,7 @@
             self.say.push((from, QueryMessage::Piece(piece)));
             return;
         }
-        // Which state a message has shows only once all logs are joined.
+        // The state of a message is certain only once all logs are joined.
         query.states.clear();
         let owners: BTreeSet<Rank> = owners.into_iter().collect();
         let logs: Vec<LogId> = owners.into_iter().flat_map(|owner| here.of(owner)).collect();
@@ -514,13 +518,13 @@
         self.serving.push_back(Serving { asker: from, number, until, scan: Scan::new(query, logs) });
     }
 
-    /// Part of another sender's answer has come, in that many bytes.
+    /// Handles a partial result of another sender, received in `wire_bytes` bytes.
     pub fn receive_result(&mut self, now: Micros, from: Rank, piece: PartialResult, wire_bytes: u64) {
         let Some(running) = self.running.get_mut(&piece.number) else { return };
         let Some(out) = running.out.get_mut(&from) else { return };
         out.wire_bytes += wire_bytes;
         let query = &running.query;
-        // Nobody's answer makes a row of another tenant's message.
+        // Rows of other tenants are dropped, whichever server sent them.
         out.rows.extend(piece.rows.into_iter().filter(|entry| match query.ids.is_empty() {
             true => query.may_want(entry),
             false => query.tenant == entry.tenant && query.ids.contains(&entry.id),
@@ -537,11 +541,11 @@
         running.read(from, &owners, end.logs, end.whole_upto, (wire_bytes, now.saturating_sub(since)));
     }
 
-    /// Goes on with all of them, within [`MAX_ENTRIES_PER_TURN`].
+    /// Advances all queries, within [`MAX_ENTRIES_PER_TURN`].
     pub fn step(&mut self, now: Micros, here: LocalLogs) {
         let mut budget = MAX_ENTRIES_PER_TURN;
         let numbers: Vec<u64> = self.running.keys().copied().collect();
-        // Each gets its part of the turn, so that a large one holds up nobody.
+        // Each query gets its share of the turn, so that a large one delays no other.
         let share = MAX_ENTRIES_PER_TURN / (numbers.len() + self.serving.len()).max(1);
         for number in numbers {
             let Some(running) = self.running.get_mut(&number) else { continue };
@@ -595,7 +599,7 @@
         }
     }
 
-    /// A server has told all that it has of some owners.
+    /// Records that a server has read all that it holds of some owners.
     fn read(
         &mut self,
         server: Rank,
@@ -608,7 +612,8 @@
         for owner in owners {
             if let Some(wanted) = self.owners.get_mut(owner) {
                 wanted.answered = true;
-                // A copy of which nothing was claimed yet is on its way, and tells of no position.
+                // A replica for which nothing has been claimed yet is still being filled and proves no
+                // position.
                 let told = |holding: &LogStatus| server == *owner || holding.reached.as_of > 0;
                 wanted.reached |= logs.iter().any(|holding| holding.log.owner == *owner && told(holding));
             }
@@ -621,7 +626,7 @@
         }
     }
 
-    /// Asks whoever is to be asked next.
+    /// Sends the sub-queries that are due.
     fn route(
         &mut self,
         now: Micros,
@@ -638,7 +643,7 @@
             }
             let Some(server) = wanted.servers.front().copied() else { continue };
             let room = ask.contains_key(&server) || out.len() + ask.len() < MAX_OUT;
-            // One question to a server at a time: its answer names no owners.
+            // Only one sub-query to a server at a time: its answer names no owners.
             if server != own && (!room || out.contains_key(&server)) {
                 continue;
             }
--- a/src/status/replicate.rs
+++ b/src/status/replicate.rs
@@ -1,11 +1,12 @@
-//! How logs come to those who keep them. The owner chooses replicas by rendezvous hashing (Thaler and Ravishankar,
-//! 1998) among senders on other hosts that the view holds for there, and sends each what changed after the number that
-//! it has come to: present states, in the order of numbers.
+//! Replication of logs. The owner chooses replicas by rendezvous hashing (Thaler and Ravishankar, 1998) among
+//! senders on other hosts that the membership view holds to be present, and sends each of them what changed
+//! after the number that it has reached: current states, in the order of numbers.
 //!
-//! A position is claimed only where it holds. A message that changes while its earlier change is still to be sent moves
-//! out of what lies before the claim; `worst` is the number that such a message has come to, and nothing is claimed
-//! before that is sent too. A receiver that lost what it had, or whose channel broke, says how far it is, and the owner
-//! goes back there. A replica of a life that is over sends what it has to the owner of the life that followed.
+//! A watermark is claimed only where it holds. A message that changes again before its earlier change was
+//! sent leaves the range below the claim. `worst` is the greatest number to which such a message has moved,
+//! and nothing is claimed until that number has been sent too. A receiver that lost its data, or whose
+//! channel broke, reports how far it is, and the owner resumes there. A replica of a log of an earlier
+//! generation sends what it holds to the owner, which writes a later generation.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,25 +17,25 @@
 use crate::interface::Micros;
 use crate::membership::{MembershipView, State};
 
-/// Bytes of a batch, about.
+/// Approximate size of a batch, bytes.
 const BATCH: usize = 12 * 1024;
-/// Batches that are sent and not answered, at most, for each receiver.
+/// Maximum number of unacknowledged batches for each receiver.
 const UNANSWERED: u32 = 4;
-/// Rest between two batches to one receiver that has nothing waiting.
+/// Minimum interval between two batches to one receiver.
 const PACE: Micros = 20_000;
-/// With nothing to say, a receiver hears that after so long.
+/// Interval of batches without changes to a receiver that is up to date.
 pub const HEARTBEAT: Micros = 1_000_000;
-/// Whoever does not answer is asked again after so long how far it is.
+/// Interval at which a receiver that does not answer is asked again how far it is.
 const PROBE: Micros = 1_000_000;
-/// Bytes a second to all receivers together: some 6,000 datagrams.
+/// Maximum bytes per second to all receivers together: some 6,000 datagrams.
 pub const MAX_BYTES_PER_S: u64 = 1 << 20;
-/// What may have been saved up of them.
+/// Maximum unused budget that may accumulate, bytes.
 const SAVED: u64 = 128 * 1024;
-/// Receivers at a time at most: replicas, and owners of lives that are over.
+/// Maximum number of receivers at a time: replicas, and owners of logs of earlier generations.
 pub const MAX_RECEIVERS: usize = 32;
 
-/// How well a sender would keep an owner's log, by chance that all senders draw alike (`SplitMix64`, Steele and others,
-/// 2014).
+/// The rendezvous weight of a sender as replica of an owner's log: a pseudo-random number that all senders
+/// compute alike (`SplitMix64`, Steele and others, 2014).
 fn weight(owner: Rank, rank: Rank) -> u64 {
     let mut drawn =
         (u64::from(owner) << 16 | u64::from(rank)).wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -43,7 +44,7 @@
     drawn ^ (drawn >> 31)
 }
 
-/// Those who keep an owner's log, best first. `hosts` tells by rank which senders share one.
+/// The replicas of an owner's log, best first. `hosts` gives the host of each rank.
 pub fn replicas(owner: Rank, count: usize, hosts: &[u32], facts: &MembershipView) -> Vec<Rank> {
     let host = |rank: Rank| hosts.get(usize::from(rank));
     let there = |rank: &Rank| {
@@ -57,7 +58,8 @@
     ranks
 }
 
-/// Those who may have been chosen to keep an owner's log, whoever was there then: the best of all, best first.
+/// The candidates for replicas of an owner's log, best first, whether or not they were present when the
+/// replicas were chosen.
 pub fn candidates(owner: Rank, count: usize, hosts: &[u32]) -> Vec<Rank> {
     let elsewhere = |rank: &Rank| hosts.get(usize::from(*rank)) != hosts.get(usize::from(owner));
     let ranks = (0..hosts.len()).filter_map(|rank| Rank::try_from(rank).ok());
@@ -67,19 +69,19 @@
     ranks
 }
 
-/// How far a receiver is with a log.
+/// The progress of a receiver with a log.
 #[derive(Debug, Default)]
 struct Push {
-    /// It came, or comes, to this number; not known until it says so.
+    /// The number that it has reached, or will reach with what is under way; unknown until it reports it.
     cursor: Option<u64>,
-    /// The claim that is worked on, and when nothing was beyond it.
+    /// The position that will be claimed next, and a time when no change beyond it had happened.
     mark: Mark,
-    /// Messages that moved out of what lies before the mark have come to this number.
+    /// The greatest number to which messages have moved that left the range below the mark.
     worst: u64,
     /// When something was sent last.
     said: Micros,
     unanswered: u32,
-    /// All of a life that is over has been told.
+    /// All of a log of an earlier generation has been sent.
     done: bool,
 }
 
@@ -89,37 +91,37 @@
     as_of: Micros,
 }
 
-/// A sender's part in keeping logs.
+/// The replication state of a sender.
 #[derive(Debug)]
 pub struct Replication {
     own: Rank,
     pushes: BTreeMap<(Rank, LogId), Push>,
     chosen: Vec<Rank>,
-    /// What others said that they have of which log.
+    /// The watermarks that other senders reported, for each log.
     hints: BTreeMap<Rank, Positions>,
     budget: u64,
     filled: Micros,
-    /// The own log's last number when this process, or its present life, began.
+    /// The last number of the own log when this process, or its current generation, started.
     begun: u64,
-    /// Those who have said since how far they are with it.
+    /// Receivers that have reported since then how far they are with it.
     heard: BTreeSet<Rank>,
 }
 
 impl Replication {
-    /// Nobody yet.
+    /// Starts without receivers.
     pub fn new(own: Rank, now: Micros) -> Self {
         let (pushes, hints) = (BTreeMap::new(), BTreeMap::new());
         let (begun, heard) = (0, BTreeSet::new());
         Self { own, pushes, chosen: Vec::new(), hints, budget: SAVED, filled: now, begun, heard }
     }
 
-    /// The own log goes on after that number in this process.
+    /// The own log continues after this number in this process.
     pub fn begins(&mut self, last: u64) {
         self.begun = last;
         self.heard.clear();
     }
 
-    /// These keep the own log from now on.
+    /// Sets the replicas of the own log.
     pub fn choose(&mut self, chosen: Vec<Rank>, log: LogId) {
         self.pushes.retain(|(to, id), _| id.owner != self.own || *id != log || chosen.contains(to));
         for to in &chosen {
@@ -128,25 +130,25 @@
         self.chosen = chosen;
     }
 
-    /// The own log is another one from now on.
+    /// The own log has a new generation.
     pub fn renewed(&mut self, log: LogId) {
         self.pushes.retain(|(_, id), _| id.owner != self.own);
-        // Nobody has anything of it before it is asked.
+        // No receiver holds anything of it before it is asked.
         self.begins(0);
         self.choose(self.chosen.clone(), log);
     }
 
-    /// Those who keep the own log.
+    /// The replicas of the own log.
     pub fn chosen(&self) -> &[Rank] {
         &self.chosen
     }
 
-    /// What others said that they have.
+    /// The watermarks that other senders reported.
     pub fn hints(&self) -> &BTreeMap<Rank, Positions> {
         &self.hints
     }
 
-    /// Somebody said that it has a log so far.
+    /// Records the watermark of a log that another sender reported.
     pub fn hint(&mut self, from: Rank, log: LogId, reached: Watermark) {
         let known = self.hints.entry(from).or_default();
         if known.len() < super::store::MAX_LOGS || known.contains_key(&log) {
@@ -154,7 +156,7 @@
         }
     }
 
-    /// A message of the own log has moved to a later number.
+    /// A message of the own log has moved from number `before` to `number`.
     pub fn moved(&mut self, log: LogId, before: u64, number: u64) {
         for ((_, id), push) in &mut self.pushes {
             let unsent = push.cursor.is_some_and(|cursor| cursor < before);
@@ -164,7 +166,7 @@
         }
     }
 
-    /// The channel to a sender broke, or another process is there: what was under way may be lost.
+    /// The channel to a sender broke, or its process restarted: what was under way may be lost.
     pub fn broken(&mut self, to: Rank) {
         for ((receiver, _), push) in &mut self.pushes {
             if *receiver == to {
@@ -173,7 +175,8 @@
         }
     }
 
-    /// A sender writes a log of that life: what is held here of others of its lives is for it to have.
+    /// An owner writes its log in the generation `life`: logs of its other generations that are held here are
+    /// to be sent to it.
     pub fn lives(&mut self, owner: Rank, life: LogId, store: &Store) {
         for (id, _) in store.of(owner).filter(|(id, _)| **id != life) {
             if self.pushes.len() < MAX_RECEIVERS {
@@ -183,9 +186,10 @@
         self.pushes.remove(&(owner, life));
     }
 
-    /// A receiver says how far it is. False if it has more of the own log than there is: then that life can't go on.
-    /// The first time it is held against what this process began with, since nothing is sent to whoever was not heard:
-    /// a folder that was put back to an older state has given out numbers again by then.
+    /// Handles a receiver's report of how far it is. Returns false if it holds more of the own log than
+    /// exists: the generation must not continue then. A receiver's first report is compared with the number
+    /// at which this process started, since nothing is sent to a receiver before its first report: a folder
+    /// restored to an older state has by then assigned numbers a second time.
     #[must_use]
     pub fn answered(&mut self, from: Rank, have: &BatchAck, log: &Log, now: Micros) -> bool {
         if have.log == log.id() {
@@ -207,11 +211,11 @@
         true
     }
 
-    /// When something is to be sent next. `last` is the own log's last number.
+    /// When something has to be sent next. `last` is the own log's last number.
     pub fn due(&self, last: u64) -> Option<Micros> {
         let due = self.pushes.iter().filter_map(|((_, id), push)| match push.cursor {
             None => Some(push.said + PROBE),
-            // Its answer, or the loss of its channel, says when.
+            // The receiver's answer, or the loss of its channel, sets the time.
             Some(_) if push.unanswered >= UNANSWERED => None,
             Some(_) if id.owner != self.own => (!push.done).then_some(push.said + PACE),
             Some(cursor) if cursor < last => Some(push.said + PACE),
@@ -220,7 +224,7 @@
         due.min()
     }
 
-    /// Batches that are due, for whom.
+    /// The batches that are due, with their receivers.
     pub fn batches(&mut self, now: Micros, log: &Log, store: &Store) -> Vec<(Rank, Batch)> {
         let gained = now.saturating_sub(self.filled).min(1_000_000) * MAX_BYTES_PER_S / 1_000_000;
         if gained > 0 {
@@ -276,7 +280,7 @@
         out
     }
 
-    /// For operators: who receives what, how far, and whether it answers.
+    /// For operators: the receivers, their logs, and how far each of them is, if it answers.
     pub fn receivers(&self) -> impl Iterator<Item = (Rank, LogId, Option<u64>)> {
         self.pushes.iter().map(|((to, id), push)| (*to, *id, push.cursor))
     }
--- a/src/status/shards.rs
+++ b/src/status/shards.rs
@@ -1,8 +1,9 @@
-//! Entries of one log as they are held in memory, at their owner and at replicas alike: found by message, in the
-//! order in which messages were taken on, and in the order of their last changes. A scan of them goes in slices.
+//! In-memory table of one log's entries, used by its owner and its replicas alike. Entries can be looked up
+//! by message, iterated by time of acceptance, and iterated in the order of their last changes. A scan
+//! proceeds in slices.
 //!
-//! A table holds each message once, with its present state and the number of its last change: an earlier number of
-//! the same message is not kept, since whoever gets the later one needs it no more.
+//! A table holds each message once, with its current state and the number of its last change. An earlier
+//! number of the same message is not stored: a receiver of the later change does not need it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::ops::Bound;
@@ -11,8 +12,9 @@
 use super::{Entry, Query, Rank, ShardId};
 use crate::interface::Micros;
 
-/// A message among all tenants': its id, a zero, its tenant. Two tenants may use one id, and neither may see the
-/// other's. No id holds a zero, so that the order is that of ids.
+/// Identifies a message among those of all tenants: its id, a zero byte, its tenant. Two tenants may use the
+/// same id, and neither may see the other's message. No id contains a zero byte, so the order is that of the
+/// ids.
 pub type Key = Arc<str>;
 
 /// The key of a message.
@@ -20,19 +22,19 @@
     format!("{id}\0{tenant}").into()
 }
 
-/// What an entry takes in memory beside its texts, with its places in all indexes, bytes.
+/// Approximate memory of an entry without its texts, with its places in all indexes, bytes.
 const ENTRY: usize = 360;
 
 /// An entry, with the number of its last change in its log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TableRow {
-    /// The number.
+    /// The number of its last change.
     pub number: u64,
-    /// What is known.
+    /// The entry.
     pub entry: Entry,
 }
 
-/// About what an entry takes when it is sent or read, bytes.
+/// Approximate size of an entry when it is sent or read, bytes.
 pub fn size_of(entry: &Entry) -> usize {
     entry.id.len() + entry.class.len() + entry.tenant.len() + 48
 }
@@ -46,21 +48,21 @@
     ShardId { owner, span: u32::try_from(entry.taken_at / span.max(1)).unwrap_or(u32::MAX) }
 }
 
-/// One log's entries.
+/// The entries of one log.
 #[derive(Debug, Clone, Default)]
 pub struct Table {
     rows: BTreeMap<(Micros, Key), TableRow>,
     taken: HashMap<Key, Micros>,
     numbers: BTreeMap<u64, Key>,
-    /// Those that have ended, by when they last changed.
+    /// Ended entries, by the time of their last change.
     ended: BTreeSet<(Micros, Key)>,
     bytes: usize,
     known_since: Micros,
 }
 
 impl Table {
-    /// Takes an entry in under a number; what is known of the message already is joined with it. A number that is not
-    /// later than the one that is held changes nothing. Returns the number that the message had.
+    /// Inserts an entry under a number, joined with the entry that is held for the message. Has no effect if
+    /// the number is not later than the one that is held. Returns the previous number of the message.
     pub fn put(&mut self, number: u64, mut entry: Entry) -> Option<u64> {
         let key = key_of(&entry.tenant, &entry.id);
         let mut before = None;
@@ -91,54 +93,55 @@
         Some(held.entry)
     }
 
-    /// What is held of a message.
+    /// The row of a message.
     pub fn get(&self, key: &Key) -> Option<&TableRow> {
         self.rows.get(&(*self.taken.get(key)?, key.clone()))
     }
 
-    /// The message whose last change has that number.
+    /// The row whose last change has this number.
     pub fn at(&self, number: u64) -> Option<&TableRow> {
         self.get(self.numbers.get(&number)?)
     }
 
-    /// All of them, by when they were taken on, then by id.
+    /// All rows, by time of acceptance, then by id.
     pub fn rows(&self) -> impl Iterator<Item = &TableRow> {
         self.rows.values()
     }
 
-    /// Those that changed after a number, in the order of their last changes.
+    /// Rows that changed after a number, in the order of their last changes.
     pub fn after(&self, number: u64) -> impl Iterator<Item = &TableRow> {
         let from = (Bound::Excluded(number), Bound::Unbounded);
         self.numbers.range(from).filter_map(|(_, key)| self.get(key))
     }
 
-    /// Messages held.
+    /// Number of messages.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether there are none.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// Memory that they take, about.
+    /// Approximate memory of the entries, bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The horizon: of messages that were taken on then or later nothing was left out for want of room or time.
+    /// The horizon: no message accepted at this time or later was dropped for lack of memory or because of
+    /// its age.
     pub fn known_since(&self) -> Micros {
         self.known_since
     }
 
-    /// The horizon is at least there.
+    /// Moves the horizon to at least this time.
     pub fn forget_before(&mut self, horizon: Micros) {
         self.known_since = self.known_since.max(horizon);
     }
 
-    /// Leaves the oldest ended one out, or without any the one whose last change is the longest ago. The horizon
-    /// moves past it.
+    /// Drops the entry that ended first, or, if none has ended, the one whose last change is the oldest. The
+    /// horizon moves past it. Returns whether there was one.
     pub fn drop_oldest(&mut self) -> bool {
         let ended = self.ended.first().map(|(_, key)| key.clone());
         let Some(key) = ended.or_else(|| self.numbers.first_key_value().map(|(_, key)| key.clone())) else {
@@ -150,7 +153,8 @@
         true
     }
 
-    /// Leaves out those that ended before then, `work` at most; then as many as `most` bytes need.
+    /// Drops up to `work` entries that ended before `ended_before`, then as many as needed to fit into `most`
+    /// bytes.
     pub fn bound(&mut self, most: usize, ended_before: Micros, work: usize) {
         for _ in 0..work {
             if self.ended.first().is_none_or(|(at, _)| *at >= ended_before) || !self.drop_oldest() {
@@ -160,8 +164,9 @@
         while self.bytes > most && self.drop_oldest() {}
     }
 
-    /// Looks at entries of a query's range of time, after a place, until `look` says no or `budget` is used up, by one
-    /// for each entry. Gives the place to go on from, or none at the end.
+    /// Calls `look` for the entries in a query's time range, after a place, until it returns false or
+    /// `budget`, which each entry reduces by one, is used up. Returns the place to continue from, or none at
+    /// the end.
     pub fn scan(
         &self,
         query: &Query,
@@ -188,7 +193,7 @@
     }
 }
 
-/// When the first message was taken on that a query may want.
+/// The earliest time of acceptance that a query may match.
 pub fn begins(query: &Query) -> Micros {
     query.from.max(query.after.as_ref().map_or(0, |after| after.0))
 }
--- a/src/status/store.rs
+++ b/src/status/store.rs
@@ -1,5 +1,5 @@
-//! What is held of other senders' logs: each as far as it came, with the position up to which all is there. A lost
-//! life's log stays readable beside the one that followed it.
+//! Replicas of other senders' logs, each with the watermark up to which it is complete. The log of a lost
+//! generation stays readable beside that of the following one.
 
 use std::collections::BTreeMap;
 
@@ -9,65 +9,65 @@
 use super::{Change, LogId, Positions, Rank, Watermark};
 use crate::interface::Micros;
 
-/// Logs held at most; beyond it the one that was heard of the longest ago goes.
+/// Maximum number of logs held; beyond it the one that was updated least recently is dropped.
 pub const MAX_LOGS: usize = 128;
-/// Senders that tell of one log, at most.
+/// Maximum number of senders that send one log.
 const MAX_SOURCES: usize = 8;
-/// Entries that go for their age in one call at most.
+/// Maximum number of entries that are expired in one call and log.
 const AGED_AT_ONCE: usize = 64;
 
-/// A piece of a log on its way to somebody who keeps it, in the order of numbers.
+/// Part of a log sent to a receiver, in the order of numbers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Of which log.
+    /// The log.
     pub log: LogId,
-    /// It goes on after this number: the receiver must have come as far.
+    /// The number that the batch follows: the receiver must have reached it.
     pub from: u64,
-    /// With it the receiver has come to this number.
+    /// The number that the receiver reaches with this batch.
     pub to: u64,
-    /// The sender's horizon.
+    /// Messages accepted before this time may have been dropped by the sender.
     pub known_since: Micros,
-    /// With it all is there up to this position.
+    /// The watermark that the receiver reaches with this batch.
     pub claim: Option<Watermark>,
-    /// Present states of messages whose last change lies between both.
+    /// Current states of the messages whose last change lies between both numbers.
     pub changes: Vec<Change>,
 }
 
-/// What a receiver says to a batch.
+/// A receiver's answer to a batch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BatchAck {
-    /// Of which log.
+    /// The log.
     pub log: LogId,
-    /// How far it has come.
+    /// The number that the receiver has reached.
     pub cursor: u64,
-    /// Up to where it has all.
+    /// The watermark up to which it holds all changes.
     pub reached: Watermark,
-    /// The batch did not fit on what is there, and was left.
+    /// The batch does not follow what the receiver holds, and was ignored.
     pub gap: bool,
 }
 
-/// One log as far as it is here.
+/// A replica of one log.
 #[derive(Debug)]
 pub struct Replica {
     /// Its entries.
     pub table: Table,
-    /// Each sender that told of it came to this number; between it and the position something may be missing. More
-    /// than one tells only of a life that is over.
+    /// The number that each sender of this log has reached; between it and the watermark changes may be
+    /// missing. Only a log of an earlier generation has more than one sender.
     cursors: BTreeMap<Rank, u64>,
-    /// All is there up to this.
+    /// All changes up to this watermark are held.
     pub reached: Watermark,
-    /// When something of it came last.
+    /// When a batch for it was applied last.
     pub heard: Micros,
 }
 
 impl Replica {
-    /// The last number that came.
+    /// The greatest number received.
     pub fn cursor(&self) -> u64 {
         self.cursors.values().copied().max().unwrap_or(0)
     }
 }
 
-/// All logs of others that are held here, bounded together.
+/// All replicas held here, with a common memory bound.
 #[derive(Debug)]
 pub struct Store {
     logs: BTreeMap<LogId, Replica>,
@@ -76,27 +76,27 @@
 }
 
 impl Store {
-    /// Nothing yet. `most` bytes of memory, ended entries for `keep` microseconds.
+    /// An empty store with `most` bytes of memory; ended entries are retained for `keep` microseconds.
     pub fn new(most: usize, keep: Micros) -> Self {
         Self { logs: BTreeMap::new(), most, keep }
     }
 
-    /// The logs.
+    /// The replicas.
     pub fn logs(&self) -> &BTreeMap<LogId, Replica> {
         &self.logs
     }
 
-    /// How far each of them is here.
+    /// The watermark of each replica.
     pub fn positions(&self) -> Positions {
         self.logs.iter().map(|(id, copy)| (*id, copy.reached)).collect()
     }
 
-    /// One owner's logs, of whatever life.
+    /// The replicas of one owner's logs, of any generation.
     pub fn of(&self, owner: Rank) -> impl Iterator<Item = (&LogId, &Replica)> {
         self.logs.iter().filter(move |(id, _)| id.owner == owner)
     }
 
-    /// Takes a batch in, if it goes on where the log is here; the answer says how far it is then.
+    /// Applies a batch if it follows what is held; the acknowledgement states how far the replica is then.
     pub fn apply(&mut self, now: Micros, from: Rank, batch: Batch) -> BatchAck {
         if !self.logs.contains_key(&batch.log) && self.logs.len() >= MAX_LOGS {
             let oldest = self.logs.iter().min_by_key(|(_, copy)| copy.heard).map(|(id, _)| *id);
@@ -111,7 +111,7 @@
         if copy.cursors.len() >= MAX_SOURCES && !copy.cursors.contains_key(&from) {
             copy.cursors.clear();
         }
-        // What another sender told does not count here: both may have left out different things so far.
+        // The cursors of other senders do not count here: each may have left out different changes so far.
         let cursor = copy.cursors.entry(from).or_insert(0);
         let gap = batch.from > *cursor;
         if !gap {
@@ -135,7 +135,7 @@
         self.logs.values().map(|copy| copy.table.bytes()).sum()
     }
 
-    /// At the bound the log that takes the most gives up its oldest.
+    /// Enforces the memory bound: the log that uses the most memory drops its oldest entries.
     fn bound(&mut self) {
         let mut bytes = self.bytes();
         while bytes > self.most {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Leaves out what has been ended for long enough, a few at a time.
+    /// Expires entries whose retention time is over, a few at a time.
     pub fn age(&mut self, now: Micros) {
         for copy in self.logs.values_mut() {
             copy.table.bound(usize::MAX, now.saturating_sub(self.keep), AGED_AT_ONCE);
