--- a/examples/status_cost.rs
+++ b/examples/status_cost.rs
@@ -12,7 +12,7 @@
 
 fn main() {
     let room = 8_000_000;
-    let mut log = Log::new(0, Generation(1), Segments::memory(room), 600_000_000, 0);
+    let mut log = Log::new(0, Generation(1), Segments::max_log_bytes(room), 600_000_000, 0);
     let mut segments = Segments::new(room, 0, 1);
     segments.begin(&mut log, []);
     let (messages, mut longest, begun) = (200_000u64, 0, Instant::now());
--- a/src/status/folder.rs
+++ b/src/status/folder.rs
@@ -9,16 +9,16 @@
 use crate::interface::Micros;
 
 /// Number of segments into which the capacity is divided.
-const PARTS: u64 = 16;
+const SEGMENTS: u64 = 16;
 /// Maximum number of changes of the oldest segment that are examined in one write.
-const MOVED_AT_ONCE: usize = 64;
+const MAX_EXAMINED_PER_WRITE: usize = 64;
 /// Minimum capacity, bytes; a smaller one is not used.
 pub const MIN_ROOM: u64 = 64 * 1024;
 
 /// The part of the capacity that segments may use; the rest is reserved for rewriting the whole log beside
 /// them.
-fn in_use(room: u64) -> u64 {
-    room / 3 * 2
+fn usable_bytes(capacity: u64) -> u64 {
+    capacity / 3 * 2
 }
 
 /// An operation in the folder.
@@ -45,27 +45,27 @@
 /// The segments of a log.
 #[derive(Debug)]
 pub struct Segments {
-    room: u64,
+    capacity: u64,
     boot: u64,
     list: VecDeque<Segment>,
     next: u64,
     /// How many changes of the oldest segment have been examined.
-    moved: usize,
+    examined: usize,
     /// The horizon in the header of the newest segment.
     horizon: Micros,
 }
 
 impl Segments {
-    /// Starts without segments. At most `room` bytes are used; `next` is the number of the first segment,
+    /// Starts without segments. At most `capacity` bytes are used; `next` is the number of the first segment,
     /// greater than all existing ones.
-    pub fn new(room: u64, boot: u64, next: u64) -> Self {
-        Self { room: in_use(room), boot, list: VecDeque::new(), next, moved: 0, horizon: 0 }
+    pub fn new(capacity: u64, boot: u64, next: u64) -> Self {
+        Self { capacity: usable_bytes(capacity), boot, list: VecDeque::new(), next, examined: 0, horizon: 0 }
     }
 
     /// Memory limit for a log that is stored here: a change takes less than half as much space in the folder
     /// as in memory, and the current entries must take less than half of the capacity.
-    pub fn memory(room: u64) -> usize {
-        usize::try_from(in_use(room) / 5 * 4).unwrap_or(usize::MAX)
+    pub fn max_log_bytes(capacity: u64) -> usize {
+        usize::try_from(usable_bytes(capacity) / 5 * 4).unwrap_or(usize::MAX)
     }
 
     /// Bytes used in the folder.
@@ -83,30 +83,30 @@
     pub fn begin(&mut self, log: &mut Log, old: impl IntoIterator<Item = u64>) -> Vec<Step> {
         log.unwritten();
         let mut steps = Vec::new();
-        self.anew(log, &mut steps);
+        self.begin_segment(log, &mut steps);
         let numbers: Vec<u64> = log.numbers().collect();
         let frames = numbers.iter().filter_map(|number| log.frame_of(*number));
         self.append(frames.flatten().collect(), numbers, false, &mut steps);
         let before: Vec<u64> = self.list.drain(..self.list.len() - 1).map(|segment| segment.at).collect();
         steps.extend(before.into_iter().chain(old).map(Step::Remove));
-        self.moved = 0;
+        self.examined = 0;
         steps
     }
 
-    fn anew(&mut self, log: &Log, steps: &mut Vec<Step>) {
+    fn begin_segment(&mut self, log: &Log, steps: &mut Vec<Step>) {
         self.horizon = log.table().known_since();
         self.append(log.head(self.boot), Vec::new(), true, steps);
     }
 
-    fn append(&mut self, bytes: Vec<u8>, numbers: Vec<u64>, anew: bool, steps: &mut Vec<Step>) {
-        if anew {
+    fn append(&mut self, bytes: Vec<u8>, numbers: Vec<u64>, begin: bool, steps: &mut Vec<Step>) {
+        if begin {
             self.list.push_back(Segment { at: self.next, bytes: 0, numbers: Vec::new() });
             self.next += 1;
         }
         let Some(last) = self.list.back_mut() else { return };
         last.bytes += bytes.len() as u64;
         last.numbers.extend(numbers);
-        steps.push(if anew { Step::Begin(last.at, bytes) } else { Step::Append(last.at, bytes) });
+        steps.push(if begin { Step::Begin(last.at, bytes) } else { Step::Append(last.at, bytes) });
     }
 
     /// Writes the unwritten changes, and frees space.
@@ -114,51 +114,51 @@
         let mut steps = Vec::new();
         let fresh = log.unwritten();
         if !fresh.numbers.is_empty() {
-            let full = self.list.back().is_none_or(|last| last.bytes >= self.room / PARTS);
+            let full = self.list.back().is_none_or(|last| last.bytes >= self.capacity / SEGMENTS);
             if full {
-                self.anew(log, &mut steps);
+                self.begin_segment(log, &mut steps);
             }
             self.append(fresh.bytes, fresh.numbers, false, &mut steps);
         }
-        self.clean(log, &mut steps);
+        self.compact(log, &mut steps);
         steps
     }
 
-    fn clean(&mut self, log: &Log, steps: &mut Vec<Step>) {
+    fn compact(&mut self, log: &Log, steps: &mut Vec<Step>) {
         // Each segment at most once per call.
         for _ in 0..self.list.len() {
             let total = self.bytes();
-            let pressed = total > self.room / PARTS * (PARTS - 2);
-            if self.list.len() < 2 || total <= self.room / 4 * 3 {
+            let nearly_full = total > self.capacity / SEGMENTS * (SEGMENTS - 2);
+            if self.list.len() < 2 || total <= self.capacity / 4 * 3 {
                 return;
             }
             let Some(oldest) = self.list.front() else { return };
-            let work = if pressed { usize::MAX } else { MOVED_AT_ONCE };
-            let upto = self.moved.saturating_add(work).min(oldest.numbers.len());
-            let looked: Vec<u64> = oldest.numbers[self.moved..upto].to_vec();
-            let whole = upto == oldest.numbers.len();
+            let work = if nearly_full { usize::MAX } else { MAX_EXAMINED_PER_WRITE };
+            let upto = self.examined.saturating_add(work).min(oldest.numbers.len());
+            let batch: Vec<u64> = oldest.numbers[self.examined..upto].to_vec();
+            let all_examined = upto == oldest.numbers.len();
             let (mut bytes, mut numbers) = (Vec::new(), Vec::new());
-            for number in looked {
+            for number in batch {
                 if let Some(frame) = log.frame_of(number) {
                     bytes.extend(frame);
                     numbers.push(number);
                 }
             }
-            self.moved = upto;
+            self.examined = upto;
             if !numbers.is_empty() {
                 self.append(bytes, numbers, false, steps);
             }
-            if !whole {
+            if !all_examined {
                 return;
             }
-            self.moved = 0;
+            self.examined = 0;
             if log.table().known_since() > self.horizon {
                 // The entries that the log dropped go with the segment: the new horizon has to be written
                 // before.
-                self.anew(log, steps);
+                self.begin_segment(log, steps);
             }
             steps.extend(self.list.pop_front().map(|oldest| Step::Remove(oldest.at)));
-            if !pressed {
+            if !nearly_full {
                 return;
             }
         }
--- a/src/status/index.rs
+++ b/src/status/index.rs
@@ -19,18 +19,20 @@
 use crate::mesh::Mesh;
 
 /// Interval between two slices of the running queries.
-const SLICE: Micros = 5_000;
+const SLICE_INTERVAL: Micros = 5_000;
 /// Maximum delay of a write that no client waits for.
-const WRITES: Micros = 20_000;
+const MAX_WRITE_DELAY: Micros = 20_000;
 /// Interval at which the membership view is checked for replicas and old entries are expired.
-const LOOK: Micros = 1_000_000;
+const MAINTENANCE_INTERVAL: Micros = 1_000_000;
 
 /// Messages between the indexes of two senders.
 #[derive(Debug, Serialize, Deserialize)]
 enum Message {
     Batch(Batch),
-    Have(BatchAck),
-    Say(QueryMessage),
+    #[serde(rename = "Have")]
+    Ack(BatchAck),
+    #[serde(rename = "Say")]
+    Query(QueryMessage),
 }
 
 /// Counters since the process started.
@@ -70,7 +72,7 @@
     replicas: usize,
     span: Micros,
     hosts: Vec<u32>,
-    facts: Option<MembershipView>,
+    view: Option<MembershipView>,
     log: Log,
     segments: Segments,
     store: Store,
@@ -78,15 +80,15 @@
     queries: Queries,
     mesh: Mesh,
     rng: fastrand::Rng,
-    looked: Micros,
-    sliced: Micros,
-    ticked: Micros,
+    maintained_at: Micros,
+    sliced_at: Micros,
+    ticked_at: Micros,
     /// The whole own log has to be rewritten to the folder.
-    anew: bool,
+    rewrite: bool,
     /// Writing to the folder failed: the folder holds nothing of this generation.
-    unkept: bool,
+    not_persisted: bool,
     /// Segments to remove once the log has been rewritten.
-    old: Vec<u64>,
+    old_segments: Vec<u64>,
     /// Counters for operators.
     pub counts: Counts,
 }
@@ -105,33 +107,33 @@
     ) -> Self {
         let Place { own, tier, hosts } = place;
         let mut rng = fastrand::Rng::with_seed(seed);
-        let keep = Micros::from(config.keep_s) * 1_000_000;
+        let retention = Micros::from(config.keep_s) * 1_000_000;
         let half = config.room_mb as usize * 500_000;
-        let most = half.min(Segments::memory(room.max(MIN_ROOM)));
-        let log = Log::resume(own, restored, Generation(rng.u64(1..)), most, keep);
+        let max_bytes = half.min(Segments::max_log_bytes(room.max(MIN_ROOM)));
+        let log = Log::resume(own, restored, Generation(rng.u64(1..)), max_bytes, retention);
         let next = old.iter().max().map_or(1, |last| last + 1);
         let mut replication = Replication::new(own, now);
-        replication.choose(Vec::new(), log.id());
-        replication.begins(log.last());
+        replication.set_replicas(Vec::new(), log.id());
+        replication.set_start(log.last());
         Self {
             own,
             replicas: config.replicas as usize,
             span: Micros::from(config.span_s) * 1_000_000,
-            facts: None,
+            view: None,
             segments: Segments::new(room, boot, next),
-            store: Store::new(half, keep),
+            store: Store::new(half, retention),
             replication,
             queries: Queries::new(own, rng.u64(..)),
             mesh: Mesh::new(STATUS, own, hosts.len(), tier, rng.u64(..)),
             hosts,
             log,
             rng,
-            looked: 0,
-            sliced: 0,
-            ticked: 0,
-            anew: true,
-            unkept: false,
-            old,
+            maintained_at: 0,
+            sliced_at: 0,
+            ticked_at: 0,
+            rewrite: true,
+            not_persisted: false,
+            old_segments: old,
             counts: Counts::default(),
         }
     }
@@ -159,7 +161,7 @@
     /// The entries of the own log with their shards, in the order in which they were accepted.
     pub fn own_entries(&self) -> impl Iterator<Item = (ShardId, &Entry)> {
         let (own, span) = (self.own, self.span);
-        self.log.table().rows().map(move |held| (shard_of(own, &held.entry, span), &held.entry))
+        self.log.table().rows().map(move |row| (shard_of(own, &row.entry, span), &row.entry))
     }
 
     /// The watermark of each log held here.
@@ -176,7 +178,7 @@
 
     /// The replicas of an owner's log according to the membership view.
     pub fn replicas_of(&self, owner: Rank) -> Vec<Rank> {
-        self.facts.as_ref().map_or(Vec::new(), |facts| replicas(owner, self.replicas, &self.hosts, facts))
+        self.view.as_ref().map_or(Vec::new(), |view| replicas(owner, self.replicas, &self.hosts, view))
     }
 
     /// The `count` best candidates for replicas of an owner's log, whether or not they are alive now.
@@ -197,7 +199,7 @@
             self.counts.too_long += 1;
             return None;
         };
-        self.moved(before, number);
+        self.record_change(before, number);
         Some(number)
     }
 
@@ -210,19 +212,19 @@
         act: impl FnOnce(&mut Entry),
     ) -> Option<u64> {
         let (before, number) = self.log.change(&key_of(tenant, id), now, act)?;
-        self.moved(before, number);
+        self.record_change(before, number);
         Some(number)
     }
 
-    fn moved(&mut self, before: u64, number: u64) {
+    fn record_change(&mut self, before: u64, number: u64) {
         self.counts.changes += 1;
-        self.replication.moved(self.log.id(), before, number);
+        self.replication.record_move(self.log.id(), before, number);
     }
 
     /// After a start: marks messages without an end that are no longer pending as unknown, since their end
     /// was not stored.
     pub fn settle(&mut self, now: Micros, owed: impl Fn(&Entry) -> bool) {
-        let lost = self.log.table().rows().map(|held| &held.entry);
+        let lost = self.log.table().rows().map(|row| &row.entry);
         let lost =
             lost.filter(|entry| !entry.states.ended() && !entry.states.has(State::Unknown) && !owed(entry));
         let lost: Vec<(String, String)> =
@@ -235,12 +237,12 @@
     /// The steps to carry out in the folder, in order, before anything else is sent. If a step fails, call
     /// [`Index::write_failed`].
     pub fn write(&mut self) -> Vec<Step> {
-        if self.unkept {
+        if self.not_persisted {
             self.log.unwritten();
             return Vec::new();
         }
-        if std::mem::take(&mut self.anew) {
-            let old = std::mem::take(&mut self.old);
+        if std::mem::take(&mut self.rewrite) {
+            let old = std::mem::take(&mut self.old_segments);
             return self.segments.begin(&mut self.log, old);
         }
         if self.log.is_unwritten() { self.segments.write(&mut self.log) } else { Vec::new() }
@@ -252,45 +254,46 @@
     /// two steps: the oldest segment is emptied before any other is removed. If a step fails, leave out the
     /// following ones.
     pub fn write_failed(&mut self, now: Micros) -> Vec<Step> {
-        let mut there: Vec<u64> = self.segments.numbers().chain(std::mem::take(&mut self.old)).collect();
-        there.sort_unstable();
-        there.dedup();
-        self.old.clone_from(&there);
-        self.unkept = true;
+        let mut existing: Vec<u64> =
+            self.segments.numbers().chain(std::mem::take(&mut self.old_segments)).collect();
+        existing.sort_unstable();
+        existing.dedup();
+        self.old_segments.clone_from(&existing);
+        self.not_persisted = true;
         self.renew(now);
-        let empty = there.iter().copied().map(Step::Empty);
-        empty.chain(there.iter().rev().copied().map(Step::Remove)).collect()
+        let empty = existing.iter().copied().map(Step::Empty);
+        empty.chain(existing.iter().rev().copied().map(Step::Remove)).collect()
     }
 
     /// Whether the folder holds nothing of this generation.
     pub fn is_not_persisted(&self) -> bool {
-        self.unkept
+        self.not_persisted
     }
 
     /// After [`Index::write_failed`]: has the whole log written by the next [`Index::write`].
     pub fn resume_writing(&mut self) {
-        (self.anew, self.unkept) = (true, false);
+        (self.rewrite, self.not_persisted) = (true, false);
     }
 
     fn renew(&mut self, now: Micros) {
         self.log.renew(Generation(self.rng.u64(1..)), now);
         self.log.unwritten();
-        self.replication.renewed(self.log.id());
+        self.replication.start_generation(self.log.id());
         self.counts.renewed += 1;
     }
 
     /// Updates the membership view.
-    pub fn set_view(&mut self, facts: Option<MembershipView>) {
-        self.facts = facts.or(self.facts.take());
+    pub fn set_view(&mut self, view: Option<MembershipView>) {
+        self.view = view.or(self.view.take());
         let chosen = self.replicas_of(self.own);
         if chosen != self.replication.chosen() {
-            self.replication.choose(chosen, self.log.id());
+            self.replication.set_replicas(chosen, self.log.id());
         }
     }
 
     /// Whether the membership view should be updated before the next tick.
     pub fn view_due(&self, now: Micros) -> bool {
-        now >= self.looked + LOOK
+        now >= self.maintained_at + MAINTENANCE_INTERVAL
     }
 
     /// The servers to ask for each owner of the tier: the owner, then its replicas. If the owner is held to
@@ -300,8 +303,8 @@
         use membership::State::{Dead, Left};
         let mut routes = BTreeMap::new();
         for owner in (0..self.hosts.len()).filter_map(|rank| Rank::try_from(rank).ok()) {
-            let fact = self.facts.as_ref().and_then(|facts| facts.members.get(usize::from(owner)));
-            let gone = fact.is_some_and(|fact| matches!(fact.state, Dead | Left));
+            let member = self.view.as_ref().and_then(|view| view.members.get(usize::from(owner)));
+            let gone = member.is_some_and(|member| matches!(member.state, Dead | Left));
             let mut servers = self.replicas_of(owner);
             // Reading the local replica is cheap, but this sender must not be listed twice.
             let here = owner != self.own && self.store.of(owner).next().is_some();
@@ -332,7 +335,7 @@
     ) -> Result<u64, QueryRejected> {
         let number = self.queries.ask(now, query, routes, within)?;
         self.counts.queries += 1;
-        self.sliced = 0;
+        self.sliced_at = 0;
         Ok(number)
     }
 
@@ -345,23 +348,25 @@
 
     /// When [`Index::tick`] has to be called next.
     pub fn due(&self) -> Micros {
-        let queries = self.queries.busy().then_some(self.sliced + SLICE);
-        let pushes = self.replication.due(self.log.last());
-        let unwritten = (self.anew || self.log.is_unwritten()).then_some(self.ticked + WRITES);
-        let due = queries.into_iter().chain(unwritten).chain(pushes).chain(self.mesh.due()).min();
-        due.map_or(self.looked + LOOK, |due| due.min(self.looked + LOOK))
+        let queries = self.queries.busy().then_some(self.sliced_at + SLICE_INTERVAL);
+        let replication = self.replication.due(self.log.last());
+        let unwritten = (self.rewrite || self.log.is_unwritten()).then_some(self.ticked_at + MAX_WRITE_DELAY);
+        let due = queries.into_iter().chain(unwritten).chain(replication).chain(self.mesh.due()).min();
+        due.map_or(self.maintained_at + MAINTENANCE_INTERVAL, |due| {
+            due.min(self.maintained_at + MAINTENANCE_INTERVAL)
+        })
     }
 
     /// Handles a datagram of the index, as told by [`Index::accepts`].
     pub fn receive(&mut self, now: Micros, from: Rank, bytes: &[u8]) {
         let arrived = self.mesh.receive(now, from, bytes);
         if arrived.peer_restarted {
-            self.replication.broken(from);
+            self.replication.reset_receiver(from);
         }
         for message in arrived.messages {
             let size = message.len() as u64;
             match postcard::from_bytes(&message) {
-                Ok(message) => self.told(now, from, message, size),
+                Ok(message) => self.handle(now, from, message, size),
                 Err(_) => self.counts.foreign += 1,
             }
         }
@@ -372,7 +377,7 @@
         self.mesh.accepts(bytes)
     }
 
-    fn told(&mut self, now: Micros, from: Rank, message: Message, size: u64) {
+    fn handle(&mut self, now: Micros, from: Rank, message: Message, size: u64) {
         match message {
             Message::Batch(batch) => {
                 let own_lost = batch.log.owner == self.own && batch.log != self.log.id();
@@ -381,28 +386,28 @@
                     return;
                 }
                 let log = batch.log;
-                let have = self.store.apply(now, from, batch);
+                let ack = self.store.apply(now, from, batch);
                 if log.owner == from {
-                    self.replication.lives(from, log, &self.store);
+                    self.replication.send_old_generations(from, log, &self.store);
                 }
-                self.send(now, from, &Message::Have(have));
+                self.send(now, from, &Message::Ack(ack));
             }
-            Message::Have(have) => {
-                if !self.replication.answered(from, &have, &self.log, now) {
+            Message::Ack(ack) => {
+                if !self.replication.handle_ack(from, &ack, &self.log, now) {
                     // Another sender holds changes that are missing here: numbers of this generation were
                     // lost and would be used twice.
                     self.renew(now);
-                    self.anew = !self.unkept;
+                    self.rewrite = !self.not_persisted;
                 }
             }
-            Message::Say(QueryMessage::Ask(asked)) => {
+            Message::Query(QueryMessage::SubQuery(sub_query)) => {
                 let here = LocalLogs { log: &self.log, store: &self.store, span: self.span };
-                self.queries.serve(now, from, asked, here);
-                self.sliced = 0;
+                self.queries.serve(now, from, sub_query, here);
+                self.sliced_at = 0;
             }
-            Message::Say(QueryMessage::Piece(piece)) => {
-                self.queries.receive_result(now, from, piece, size);
-                self.sliced = 0;
+            Message::Query(QueryMessage::PartialResult(result)) => {
+                self.queries.receive_result(now, from, result, size);
+                self.sliced_at = 0;
             }
         }
     }
@@ -416,30 +421,30 @@
     /// Does the work that is due and sends its messages. The steps of [`Index::write`] must have been carried
     /// out just before.
     pub fn tick(&mut self, now: Micros, out: &mut Outgoing) {
-        self.ticked = now;
-        if now >= self.looked + LOOK {
-            self.looked = now;
-            self.log.age(now);
-            self.store.age(now);
+        self.ticked_at = now;
+        if now >= self.maintained_at + MAINTENANCE_INTERVAL {
+            self.maintained_at = now;
+            self.log.expire(now);
+            self.store.expire(now);
         }
-        if self.queries.busy() && now >= self.sliced + SLICE {
-            self.sliced = now;
+        if self.queries.busy() && now >= self.sliced_at + SLICE_INTERVAL {
+            self.sliced_at = now;
             self.queries.step(now, LocalLogs { log: &self.log, store: &self.store, span: self.span });
         }
-        for (to, say) in self.queries.take_messages() {
-            self.send(now, to, &Message::Say(say));
+        for (to, message) in self.queries.take_messages() {
+            self.send(now, to, &Message::Query(message));
         }
         // Changes that are not written yet must not be sent.
-        if !self.anew && !self.log.is_unwritten() {
+        if !self.rewrite && !self.log.is_unwritten() {
             for (to, batch) in self.replication.batches(now, &self.log, &self.store) {
                 if !self.send(now, to, &Message::Batch(batch)) {
-                    self.replication.broken(to);
+                    self.replication.reset_receiver(to);
                 }
             }
         }
         self.mesh.flush(now, out);
         for lost in self.mesh.take_dropped_peers() {
-            self.replication.broken(lost);
+            self.replication.reset_receiver(lost);
         }
     }
 
@@ -460,13 +465,13 @@
                 .store
                 .logs()
                 .iter()
-                .map(|(log, copy)| ReplicaReport {
+                .map(|(log, replica)| ReplicaReport {
                     log: *log,
-                    entries: copy.table.len(),
-                    bytes: copy.table.bytes(),
-                    upto: copy.reached.upto,
-                    age_ms: now.saturating_sub(copy.reached.as_of) / 1_000,
-                    known_since: copy.table.known_since(),
+                    entries: replica.table.len(),
+                    bytes: replica.table.bytes(),
+                    upto: replica.reached.upto,
+                    age_ms: now.saturating_sub(replica.reached.as_of) / 1_000,
+                    known_since: replica.table.known_since(),
                 })
                 .collect(),
             counts: self.counts,
--- a/src/status/log.rs
+++ b/src/status/log.rs
@@ -13,7 +13,7 @@
 use crate::interface::Micros;
 
 /// Maximum number of ended entries that are expired in one call.
-const AGED_AT_ONCE: usize = 64;
+const MAX_EXPIRED_PER_CALL: usize = 64;
 /// Size of a frame's length and checksum, bytes.
 const FRAME: usize = 8;
 /// Version of the format in the folder.
@@ -24,7 +24,8 @@
 pub struct Head {
     version: u8,
     /// The generation of its changes.
-    pub life: Generation,
+    #[serde(rename = "life")]
+    pub generation: Generation,
     /// Identifies the boot of the machine: shows whether it was restarted since.
     pub boot: u64,
     /// The last number assigned when the segment was begun.
@@ -58,9 +59,10 @@
         return Err(End::Complete);
     }
     let (head, rest) = bytes.split_at_checked(FRAME).ok_or(End::Truncated)?;
-    let word = |at: usize| head.get(at..at + 4).and_then(|b| b.try_into().ok()).map_or(0, u32::from_le_bytes);
-    let (body, rest) = rest.split_at_checked(word(0) as usize).ok_or(End::Truncated)?;
-    if crc32fast::hash(body) == word(4) { Ok((body, rest)) } else { Err(End::Corrupt) }
+    let read_u32 =
+        |at: usize| head.get(at..at + 4).and_then(|b| b.try_into().ok()).map_or(0, u32::from_le_bytes);
+    let (body, rest) = rest.split_at_checked(read_u32(0) as usize).ok_or(End::Truncated)?;
+    if crc32fast::hash(body) == read_u32(4) { Ok((body, rest)) } else { Err(End::Corrupt) }
 }
 
 /// Reads a segment: its header if valid, its changes, and how it ends.
@@ -106,21 +108,21 @@
 /// missing here.
 pub fn restore(segments: &[(u64, Vec<u8>)], boot: u64, now: Micros) -> Restored {
     let mut restored = Restored::default();
-    let (mut life, mut sure) = (None, true);
+    let (mut generation, mut certain) = (None, true);
     for (n, (at, bytes)) in segments.iter().enumerate() {
         let newest = n + 1 == segments.len();
-        sure &= n == 0 || segments[n - 1].0 + 1 == *at;
+        certain &= n == 0 || segments[n - 1].0 + 1 == *at;
         let (head, changes, end) = read_segment(bytes);
         // Only the newest segment may end within a change: nothing after it was sent to others.
-        sure &= end == End::Complete || newest && end == End::Truncated;
+        certain &= end == End::Complete || newest && end == End::Truncated;
         let Some(head) = head else {
             // The newest segment may have been begun without a complete header; then nothing was sent to
             // others that is in no other segment.
-            sure &= newest && end == End::Truncated;
+            certain &= newest && end == End::Truncated;
             continue;
         };
-        sure &= head.boot == boot && life.is_none_or(|life| life == head.life);
-        life = Some(head.life);
+        certain &= head.boot == boot && generation.is_none_or(|known| known == head.generation);
+        generation = Some(head.generation);
         restored.last = restored.last.max(head.last);
         restored.known_since = restored.known_since.max(head.known_since);
         restored.changes.extend(changes);
@@ -128,8 +130,8 @@
     let changes = &restored.changes;
     restored.last = changes.iter().map(|change| change.number).fold(restored.last, u64::max);
     // After the clock went back, answers would look more recent than they are.
-    sure &= changes.iter().all(|change| change.entry.changed_at <= now);
-    restored.life = life.filter(|_| sure);
+    certain &= changes.iter().all(|change| change.entry.changed_at <= now);
+    restored.life = generation.filter(|_| certain);
     if restored.life.is_none() {
         restored.known_since = now;
     }
@@ -142,8 +144,8 @@
     id: LogId,
     table: Table,
     last: u64,
-    most: usize,
-    keep: Micros,
+    max_bytes: usize,
+    retention: Micros,
     unwritten: Unwritten,
 }
 
@@ -157,33 +159,45 @@
 }
 
 impl Log {
-    /// A log of a new generation. `most` bounds its memory, bytes; `keep` is the retention time of ended
-    /// entries, microseconds.
-    pub fn new(owner: Rank, life: Generation, most: usize, keep: Micros, known_since: Micros) -> Self {
+    /// A log of a new generation. `max_bytes` bounds its memory, bytes; `retention` is the retention time of
+    /// ended entries, microseconds.
+    pub fn new(
+        owner: Rank,
+        generation: Generation,
+        max_bytes: usize,
+        retention: Micros,
+        known_since: Micros,
+    ) -> Self {
         let mut table = Table::default();
-        table.forget_before(known_since);
+        table.raise_horizon(known_since);
         Self {
-            id: LogId { owner, generation: life },
+            id: LogId { owner, generation },
             table,
             last: 0,
-            most,
-            keep,
+            max_bytes,
+            retention,
             unwritten: Unwritten::default(),
         }
     }
 
     /// Resumes from what was restored. If the generation cannot be continued, `fresh` becomes the new one, in
     /// which all entries count as changed and have to be written.
-    pub fn resume(owner: Rank, restored: Restored, fresh: Generation, most: usize, keep: Micros) -> Self {
-        let Restored { life, mut changes, last, known_since } = restored;
-        let mut log = Self::new(owner, life.unwrap_or(fresh), most, keep, known_since);
+    pub fn resume(
+        owner: Rank,
+        restored: Restored,
+        fresh: Generation,
+        max_bytes: usize,
+        retention: Micros,
+    ) -> Self {
+        let Restored { life: generation, mut changes, last, known_since } = restored;
+        let mut log = Self::new(owner, generation.unwrap_or(fresh), max_bytes, retention, known_since);
         changes.sort_by_key(|change| change.number);
         for (at, Change { number, entry }) in (1..).zip(changes) {
             // If generations are mixed, so are their numbers; states can be joined in any order.
-            log.table.put(if life.is_some() { number } else { at }, entry);
+            log.table.put(if generation.is_some() { number } else { at }, entry);
         }
         log.last = last;
-        if life.is_none() {
+        if generation.is_none() {
             log.renew(fresh, known_since);
         }
         log
@@ -191,13 +205,13 @@
 
     /// Starts a new generation with all current entries. Numbers of the previous one are not assigned any
     /// more. Messages accepted before now may have been lost with it.
-    pub fn renew(&mut self, life: Generation, now: Micros) {
+    pub fn renew(&mut self, generation: Generation, now: Micros) {
         let before = std::mem::take(&mut self.table);
-        self.table.forget_before(before.known_since().max(now));
-        (self.id.generation, self.last) = (life, 0);
+        self.table.raise_horizon(before.known_since().max(now));
+        (self.id.generation, self.last) = (generation, 0);
         self.unwritten = Unwritten::default();
-        for held in before.after(0) {
-            self.write(held.entry.clone());
+        for row in before.after(0) {
+            self.write(row.entry.clone());
         }
     }
 
@@ -226,8 +240,8 @@
     pub fn put(&mut self, entry: Entry) -> Option<(u64, u64)> {
         let fits = entry.id.len() <= MAX_ID_LEN;
         let written = fits.then(|| self.write(entry));
-        if self.table.bytes() > self.most {
-            self.table.bound(self.most, 0, 0);
+        if self.table.bytes() > self.max_bytes {
+            self.table.evict(self.max_bytes, 0, 0);
         }
         written
     }
@@ -246,10 +260,10 @@
     /// Changes a message of the log and appends the change; returns none if the log does not contain the
     /// message or nothing changed.
     pub fn change(&mut self, key: &Key, now: Micros, act: impl FnOnce(&mut Entry)) -> Option<(u64, u64)> {
-        let held = self.table.get(key)?;
-        let mut entry = held.entry.clone();
+        let row = self.table.get(key)?;
+        let mut entry = row.entry.clone();
         act(&mut entry);
-        if entry == held.entry {
+        if entry == row.entry {
             return None;
         }
         entry.changed_at = entry.changed_at.max(now);
@@ -257,8 +271,8 @@
     }
 
     /// Expires entries whose retention time is over, a few at a time.
-    pub fn age(&mut self, now: Micros) {
-        self.table.bound(self.most, now.saturating_sub(self.keep), AGED_AT_ONCE);
+    pub fn expire(&mut self, now: Micros) {
+        self.table.evict(self.max_bytes, now.saturating_sub(self.retention), MAX_EXPIRED_PER_CALL);
     }
 
     /// The encoded header of a segment that begins now.
@@ -266,7 +280,7 @@
         let known_since = self.table.known_since();
         let mut bytes = Vec::new();
         frame(
-            &Head { version: VERSION, life: self.id.generation, boot, last: self.last, known_since },
+            &Head { version: VERSION, generation: self.id.generation, boot, last: self.last, known_since },
             &mut bytes,
         );
         bytes
@@ -292,6 +306,6 @@
 
     /// The numbers of all current entries.
     pub fn numbers(&self) -> impl Iterator<Item = u64> {
-        self.table.after(0).map(|held| held.number)
+        self.table.after(0).map(|row| row.number)
     }
 }
--- a/src/status/mod.rs
+++ b/src/status/mod.rs
@@ -207,9 +207,9 @@
     /// Joins what another log knows of the same message: commutative, associative, idempotent. If the client
     /// submitted one id more than once with different parameters, those with the latest deadline win.
     pub fn join(&mut self, other: &Self) {
-        let words = |entry: &Self| (entry.deadline, entry.destination, entry.key);
-        if (words(other), &other.class) > (words(self), &self.class) {
-            (self.deadline, self.destination, self.key) = words(other);
+        let terms = |entry: &Self| (entry.deadline, entry.destination, entry.key);
+        if (terms(other), &other.class) > (terms(self), &self.class) {
+            (self.deadline, self.destination, self.key) = terms(other);
             self.class.clone_from(&other.class);
         }
         self.states = self.states.join(other.states);
@@ -272,8 +272,8 @@
 impl Query {
     /// Whether an entry matches the query; `limit` is not considered.
     pub fn wants(&self, entry: &Entry) -> bool {
-        let told = || entry.states.reported().is_some_and(|told| self.states.contains(&told));
-        (self.states.is_empty() || told()) && self.may_want(entry)
+        let state_matches = || entry.states.reported().is_some_and(|state| self.states.contains(&state));
+        (self.states.is_empty() || state_matches()) && self.may_want(entry)
     }
 
     /// Whether an entry of one log may match once it is joined with those of other logs: the state, which may
--- a/src/status/query.rs
+++ b/src/status/query.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::log::Log;
-use super::shards::{Key, Table, begins, key_of, size_of};
+use super::shards::{Key, Table, key_of, scan_start, size_of};
 use super::store::Store;
 use super::{Entry, LogId, MAX_IDS, MAX_ROWS, Query, Rank, State, Watermark};
 use crate::interface::Micros;
@@ -21,7 +21,7 @@
 /// If a server has not answered after this time, the next one of the route is asked as well.
 pub const HEDGE: Micros = 200_000;
 /// Part of the deadline reserved for the way back of the answer.
-const MARGIN: Micros = 40_000;
+const RETURN_MARGIN: Micros = 40_000;
 /// Maximum number of entries examined in one turn, for all queries together.
 pub const MAX_ENTRIES_PER_TURN: usize = 2_048;
 /// Maximum number of own queries at a time.
@@ -29,13 +29,13 @@
 /// Maximum number of queries of other senders at a time.
 pub const MAX_SERVING: usize = 64;
 /// Maximum number of servers that one query waits for at a time.
-const MAX_OUT: usize = 32;
+const MAX_PENDING: usize = 32;
 /// Maximum number of servers tried for one owner.
 const MAX_SERVERS: usize = 4;
 /// Approximate size of the rows in one message, bytes.
-const PIECE: usize = 32 * 1024;
+const RESULT_BYTES: usize = 32 * 1024;
 /// An entry without an end is reported as unknown this long after its deadline.
-const OVERDUE: Micros = 30_000_000;
+const UNKNOWN_AFTER: Micros = 30_000_000;
 
 /// For each owner the senders to ask for its logs, best first; this sender may be one of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -121,7 +121,8 @@
     /// The logs that were read; an owner without a log has none here.
     pub logs: Vec<LogStatus>,
     /// The place beyond which rows may be missing.
-    pub whole_upto: Option<(Micros, String)>,
+    #[serde(rename = "whole_upto")]
+    pub complete_upto: Option<(Micros, String)>,
     /// The server was too busy and read nothing.
     pub busy: bool,
 }
@@ -231,10 +232,10 @@
         if id == self.log.id() {
             return Some(self.log.table());
         }
-        self.store.logs().get(&id).map(|copy| &copy.table)
+        self.store.logs().get(&id).map(|replica| &replica.table)
     }
 
-    fn holding(&self, id: LogId, now: Micros) -> Option<LogStatus> {
+    fn status(&self, id: LogId, now: Micros) -> Option<LogStatus> {
         let table = self.table(id)?;
         let own = id == self.log.id();
         let reached = if own { self.log.reached(now) } else { self.store.logs().get(&id)?.reached };
@@ -242,43 +243,55 @@
     }
 
     /// Adds the greatest number that may have been shown; called once the log has been read.
-    fn read(&self, holding: LogStatus) -> LogStatus {
-        let last = match self.store.logs().get(&holding.log) {
-            _ if holding.log == self.log.id() => self.log.last(),
-            copy => copy.map_or(holding.reached.upto, |copy| copy.cursor().max(copy.reached.upto)),
+    fn with_shown(&self, status: LogStatus) -> LogStatus {
+        let last = match self.store.logs().get(&status.log) {
+            _ if status.log == self.log.id() => self.log.last(),
+            replica => {
+                replica.map_or(status.reached.upto, |replica| replica.cursor().max(replica.reached.upto))
+            }
         };
-        LogStatus { shown: if holding.touched.1 > 0 { last } else { 0 }, ..holding }
+        LogStatus { shown: if status.touched.1 > 0 { last } else { 0 }, ..status }
     }
 }
 
 /// The current log, the place to continue from, and the spans of the entries examined.
-type At = (LogStatus, Option<(Micros, Key)>, BTreeSet<u32>);
+type ScanPosition = (LogStatus, Option<(Micros, Key)>, BTreeSet<u32>);
 
 /// Reads some of the logs held here, in slices.
 #[derive(Debug)]
 struct Scan {
     query: Query,
     waiting: VecDeque<LogId>,
-    at: Option<At>,
+    position: Option<ScanPosition>,
     /// Number of ids already looked up in the current log.
-    ids: usize,
+    ids_done: usize,
     found: BTreeMap<(Micros, Key), Entry>,
     /// Number of rows found in the current log, and the place of the last one.
-    here: usize,
-    last: Option<(Micros, String)>,
+    rows_in_log: usize,
+    last_row: Option<(Micros, String)>,
     logs: Vec<LogStatus>,
-    whole_upto: Option<(Micros, String)>,
+    complete_upto: Option<(Micros, String)>,
 }
 
-fn least(a: Option<(Micros, String)>, b: Option<(Micros, String)>) -> Option<(Micros, String)> {
+fn min_place(a: Option<(Micros, String)>, b: Option<(Micros, String)>) -> Option<(Micros, String)> {
     a.into_iter().chain(b).min()
 }
 
 impl Scan {
     fn new(query: Query, logs: impl IntoIterator<Item = LogId>) -> Self {
         let waiting: VecDeque<LogId> = logs.into_iter().collect();
-        let (at, ids, found) = (None, 0, BTreeMap::new());
-        Self { query, waiting, at, ids, found, here: 0, last: None, logs: Vec::new(), whole_upto: None }
+        let (position, ids_done, found) = (None, 0, BTreeMap::new());
+        Self {
+            query,
+            waiting,
+            position,
+            ids_done,
+            found,
+            rows_in_log: 0,
+            last_row: None,
+            logs: Vec::new(),
+            complete_upto: None,
+        }
     }
 
     /// Continues until the budget is used up; returns whether all logs have been read.
@@ -287,19 +300,19 @@
             if *budget == 0 {
                 return false;
             }
-            if self.at.is_none() {
+            if self.position.is_none() {
                 let Some(next) = self.waiting.pop_front() else { return true };
                 // Even an empty log has a cost.
                 *budget -= 1;
                 // The watermark is taken before anything of the log is read: it holds at this point.
-                self.at = here.holding(next, now).map(|holding| (holding, None, BTreeSet::new()));
-                (self.ids, self.here, self.last) = (0, 0, None);
+                self.position = here.status(next, now).map(|status| (status, None, BTreeSet::new()));
+                (self.ids_done, self.rows_in_log, self.last_row) = (0, 0, None);
                 continue;
             }
-            let Some((mut holding, from, mut spans)) = self.at.take() else { continue };
-            let Some(table) = here.table(holding.log) else { continue };
-            let (shards, entries, bytes) = &mut holding.touched;
-            let mut look = |entry: &Entry| {
+            let Some((mut status, from, mut spans)) = self.position.take() else { continue };
+            let Some(table) = here.table(status.log) else { continue };
+            let (shards, entries, bytes) = &mut status.touched;
+            let mut record = |entry: &Entry| {
                 *entries += 1;
                 *bytes += size_of(entry) as u64;
                 // Ids are in no order of time.
@@ -307,18 +320,18 @@
                 *shards += u32::from(spans.insert(span));
             };
             if !self.query.ids.is_empty() {
-                while let Some(id) = self.query.ids.get(self.ids).filter(|_| *budget > 0) {
+                while let Some(id) = self.query.ids.get(self.ids_done).filter(|_| *budget > 0) {
                     *budget -= 1;
-                    self.ids += 1;
-                    let held = table.get(&key_of(&self.query.tenant, id));
-                    if let Some(held) = held {
+                    self.ids_done += 1;
+                    let row = table.get(&key_of(&self.query.tenant, id));
+                    if let Some(row) = row {
                         // The time of acceptance never changes: outside the range, nothing more of the
                         // message is read.
-                        if (begins(&self.query)..self.query.to).contains(&held.entry.taken_at) {
-                            look(&held.entry);
+                        if (scan_start(&self.query)..self.query.to).contains(&row.entry.taken_at) {
+                            record(&row.entry);
                         }
                         // The message is known here, whatever the filters say; they are applied at the end.
-                        let entry = &held.entry;
+                        let entry = &row.entry;
                         match self.found.get_mut(&(entry.taken_at, key_of(&entry.tenant, &entry.id))) {
                             Some(known) => known.join(entry),
                             None => {
@@ -328,23 +341,23 @@
                         }
                     }
                 }
-                if self.ids < self.query.ids.len() {
-                    self.at = Some((holding, from, spans));
+                if self.ids_done < self.query.ids.len() {
+                    self.position = Some((status, from, spans));
                     return false;
                 }
-                self.logs.push(here.read(holding));
+                self.logs.push(here.with_shown(status));
                 continue;
             }
-            let most = self.query.limit as usize;
+            let limit = self.query.limit as usize;
             let (found, query) = (&mut self.found, &self.query);
-            let (mut count, mut last, mut cut) = (self.here, self.last.take(), false);
+            let (mut count, mut last, mut truncated) = (self.rows_in_log, self.last_row.take(), false);
             let place = table.scan(query, from, budget, &mut |entry| {
-                look(entry);
+                record(entry);
                 if !query.may_want(entry) {
                     return true;
                 }
-                cut = count == most;
-                if cut {
+                truncated = count == limit;
+                if truncated {
                     return false;
                 }
                 count += 1;
@@ -356,26 +369,26 @@
                 }
                 true
             });
-            if cut {
+            if truncated {
                 // The rows of this log are complete only up to the last one.
-                self.whole_upto = least(self.whole_upto.take(), last.take());
+                self.complete_upto = min_place(self.complete_upto.take(), last.take());
             }
-            (self.here, self.last) = (count, last);
+            (self.rows_in_log, self.last_row) = (count, last);
             if let Some(place) = place {
-                self.at = Some((holding, Some(place), spans));
+                self.position = Some((status, Some(place), spans));
                 return false;
             }
-            self.logs.push(here.read(holding));
+            self.logs.push(here.with_shown(status));
         }
     }
 }
 
 /// The state of an owner whose logs a query needs.
 #[derive(Debug)]
-struct Wanted {
+struct OwnerState {
     servers: VecDeque<Rank>,
     /// When the last server was asked.
-    asked: Option<Micros>,
+    asked_at: Option<Micros>,
     tried: bool,
     answered: bool,
     reached: bool,
@@ -383,7 +396,7 @@
 
 /// A sub-query that a server has not answered yet.
 #[derive(Debug)]
-struct Out {
+struct PendingSubQuery {
     owners: Vec<Rank>,
     since: Micros,
     wire_bytes: u64,
@@ -393,22 +406,22 @@
 
 /// A query received from a client of this sender.
 #[derive(Debug)]
-struct Running {
+struct RunningQuery {
     query: Query,
     begun: Micros,
     until: Micros,
-    owners: BTreeMap<Rank, Wanted>,
-    out: BTreeMap<Rank, Out>,
+    owners: BTreeMap<Rank, OwnerState>,
+    pending: BTreeMap<Rank, PendingSubQuery>,
     own: Vec<(Scan, Vec<Rank>)>,
     rows: BTreeMap<Key, Entry>,
-    whole_upto: Option<(Micros, String)>,
+    complete_upto: Option<(Micros, String)>,
     logs: Vec<LogRead>,
     touched: Vec<Touched>,
 }
 
 /// A query of another sender.
 #[derive(Debug)]
-struct Serving {
+struct ServedQuery {
     asker: Rank,
     number: u64,
     until: Micros,
@@ -419,9 +432,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QueryMessage {
     /// A sub-query.
-    Ask(SubQuery),
+    #[serde(rename = "Ask")]
+    SubQuery(SubQuery),
     /// A partial result.
-    Piece(PartialResult),
+    #[serde(rename = "Piece")]
+    PartialResult(PartialResult),
 }
 
 /// All queries in progress at a sender.
@@ -429,10 +444,10 @@
 pub struct Queries {
     own: Rank,
     next: u64,
-    running: BTreeMap<u64, Running>,
-    serving: VecDeque<Serving>,
+    running: BTreeMap<u64, RunningQuery>,
+    serving: VecDeque<ServedQuery>,
     answers: Vec<(u64, Answer)>,
-    say: Vec<(Rank, QueryMessage)>,
+    outbox: Vec<(Rank, QueryMessage)>,
 }
 
 impl Queries {
@@ -440,7 +455,7 @@
     /// process matches no query.
     pub fn new(own: Rank, seed: u64) -> Self {
         let (running, serving) = (BTreeMap::new(), VecDeque::new());
-        Self { own, next: seed, running, serving, answers: Vec::new(), say: Vec::new() }
+        Self { own, next: seed, running, serving, answers: Vec::new(), outbox: Vec::new() }
     }
 
     /// Whether a query is in progress.
@@ -455,7 +470,7 @@
 
     /// Takes the messages to be sent.
     pub fn take_messages(&mut self) -> Vec<(Rank, QueryMessage)> {
-        std::mem::take(&mut self.say)
+        std::mem::take(&mut self.outbox)
     }
 
     /// Starts a query that is to be answered within `within`, at most [`MAX_QUERY_TIME`].
@@ -480,18 +495,18 @@
         }
         let wanted = |(owner, servers): (Rank, Vec<Rank>)| {
             let servers: VecDeque<Rank> = servers.into_iter().take(MAX_SERVERS).collect();
-            (owner, Wanted { servers, asked: None, tried: false, answered: false, reached: false })
+            (owner, OwnerState { servers, asked_at: None, tried: false, answered: false, reached: false })
         };
         self.next = self.next.wrapping_add(1);
-        let running = Running {
+        let running = RunningQuery {
             query,
             begun: now,
             until: now + within.min(MAX_QUERY_TIME),
             owners: routes.0.into_iter().map(wanted).collect(),
-            out: BTreeMap::new(),
+            pending: BTreeMap::new(),
             own: Vec::new(),
             rows: BTreeMap::new(),
-            whole_upto: None,
+            complete_upto: None,
             logs: Vec::new(),
             touched: Vec::new(),
         };
@@ -501,13 +516,13 @@
 
     /// Accepts another sender's sub-query. The cost is bounded: beyond the bound the sender is told that this
     /// one is busy.
-    pub fn serve(&mut self, now: Micros, from: Rank, asked: SubQuery, here: LocalLogs) {
-        let SubQuery { number, mut query, owners, within } = asked;
+    pub fn serve(&mut self, now: Micros, from: Rank, sub_query: SubQuery, here: LocalLogs) {
+        let SubQuery { number, mut query, owners, within } = sub_query;
         let sane = query.ids.len() <= MAX_IDS && (1..=MAX_ROWS).contains(&(query.limit as usize));
         if self.serving.len() >= MAX_SERVING || !sane {
-            let end = ResultEnd { logs: vec![], whole_upto: None, busy: true };
-            let piece = PartialResult { number, rows: vec![], end: Some(end) };
-            self.say.push((from, QueryMessage::Piece(piece)));
+            let end = ResultEnd { logs: vec![], complete_upto: None, busy: true };
+            let result = PartialResult { number, rows: vec![], end: Some(end) };
+            self.outbox.push((from, QueryMessage::PartialResult(result)));
             return;
         }
         // The state of a message is certain only once all logs are joined.
@@ -515,30 +530,38 @@
         let owners: BTreeSet<Rank> = owners.into_iter().collect();
         let logs: Vec<LogId> = owners.into_iter().flat_map(|owner| here.of(owner)).collect();
         let until = now + within.min(MAX_QUERY_TIME);
-        self.serving.push_back(Serving { asker: from, number, until, scan: Scan::new(query, logs) });
+        self.serving.push_back(ServedQuery { asker: from, number, until, scan: Scan::new(query, logs) });
     }
 
     /// Handles a partial result of another sender, received in `wire_bytes` bytes.
-    pub fn receive_result(&mut self, now: Micros, from: Rank, piece: PartialResult, wire_bytes: u64) {
-        let Some(running) = self.running.get_mut(&piece.number) else { return };
-        let Some(out) = running.out.get_mut(&from) else { return };
-        out.wire_bytes += wire_bytes;
+    pub fn receive_result(&mut self, now: Micros, from: Rank, result: PartialResult, wire_bytes: u64) {
+        let Some(running) = self.running.get_mut(&result.number) else { return };
+        let Some(pending) = running.pending.get_mut(&from) else { return };
+        pending.wire_bytes += wire_bytes;
         let query = &running.query;
         // Rows of other tenants are dropped, whichever server sent them.
-        out.rows.extend(piece.rows.into_iter().filter(|entry| match query.ids.is_empty() {
+        pending.rows.extend(result.rows.into_iter().filter(|entry| match query.ids.is_empty() {
             true => query.may_want(entry),
             false => query.tenant == entry.tenant && query.ids.contains(&entry.id),
         }));
-        let Some(end) = piece.end else { return };
-        let Some(Out { owners, since, wire_bytes, rows }) = running.out.remove(&from) else { return };
+        let Some(end) = result.end else { return };
+        let Some(PendingSubQuery { owners, since, wire_bytes, rows }) = running.pending.remove(&from) else {
+            return;
+        };
         if end.busy {
             // The next server is asked at once.
             let asked = running.owners.iter_mut().filter(|(owner, _)| owners.contains(owner));
-            asked.for_each(|(_, wanted)| wanted.asked = Some(0));
+            asked.for_each(|(_, state)| state.asked_at = Some(0));
             return;
         }
-        rows.into_iter().for_each(|entry| running.row(entry));
-        running.read(from, &owners, end.logs, end.whole_upto, (wire_bytes, now.saturating_sub(since)));
+        rows.into_iter().for_each(|entry| running.add_row(entry));
+        running.record_result(
+            from,
+            &owners,
+            end.logs,
+            end.complete_upto,
+            (wire_bytes, now.saturating_sub(since)),
+        );
     }
 
     /// Advances all queries, within [`MAX_ENTRIES_PER_TURN`].
@@ -549,12 +572,12 @@
         let share = MAX_ENTRIES_PER_TURN / (numbers.len() + self.serving.len()).max(1);
         for number in numbers {
             let Some(running) = self.running.get_mut(&number) else { continue };
-            running.route(now, self.own, number, here, &mut self.say);
+            running.send_sub_queries(now, self.own, number, here, &mut self.outbox);
             let mut part = share.max(64).min(budget);
             budget -= part;
             running.scan(now, self.own, here, &mut part);
             budget += part;
-            if now >= running.until || running.through() {
+            if now >= running.until || running.is_done() {
                 let Some(running) = self.running.remove(&number) else { continue };
                 self.answers.push((number, running.finish(now, here.span)));
             }
@@ -563,35 +586,35 @@
             let Some(mut serving) = self.serving.pop_front() else { break };
             let mut part = share.max(64).min(budget);
             budget -= part;
-            let through = serving.scan.step(here, now, &mut part);
+            let done = serving.scan.step(here, now, &mut part);
             budget += part;
-            if through {
-                self.tell(serving);
+            if done {
+                self.send_result(serving);
             } else if now < serving.until {
                 self.serving.push_back(serving);
             }
         }
     }
 
-    fn tell(&mut self, serving: Serving) {
-        let Serving { asker, number, scan, .. } = serving;
+    fn send_result(&mut self, serving: ServedQuery) {
+        let ServedQuery { asker, number, scan, .. } = serving;
         let (mut rows, mut bytes) = (Vec::new(), 0);
         for entry in scan.found.into_values() {
             bytes += size_of(&entry);
             rows.push(entry);
-            if bytes >= PIECE {
-                let piece = PartialResult { number, rows: std::mem::take(&mut rows), end: None };
-                self.say.push((asker, QueryMessage::Piece(piece)));
+            if bytes >= RESULT_BYTES {
+                let result = PartialResult { number, rows: std::mem::take(&mut rows), end: None };
+                self.outbox.push((asker, QueryMessage::PartialResult(result)));
                 bytes = 0;
             }
         }
-        let end = Some(ResultEnd { logs: scan.logs, whole_upto: scan.whole_upto, busy: false });
-        self.say.push((asker, QueryMessage::Piece(PartialResult { number, rows, end })));
+        let end = Some(ResultEnd { logs: scan.logs, complete_upto: scan.complete_upto, busy: false });
+        self.outbox.push((asker, QueryMessage::PartialResult(PartialResult { number, rows, end })));
     }
 }
 
-impl Running {
-    fn row(&mut self, entry: Entry) {
+impl RunningQuery {
+    fn add_row(&mut self, entry: Entry) {
         let key = key_of(&entry.tenant, &entry.id);
         match self.rows.get_mut(&key) {
             Some(known) => known.join(&entry),
@@ -600,26 +623,26 @@
     }
 
     /// Records that a server has read all that it holds of some owners.
-    fn read(
+    fn record_result(
         &mut self,
         server: Rank,
         owners: &[Rank],
         logs: Vec<LogStatus>,
-        whole_upto: Option<(Micros, String)>,
+        complete_upto: Option<(Micros, String)>,
         (wire_bytes, took_us): (u64, Micros),
     ) {
-        self.whole_upto = least(self.whole_upto.take(), whole_upto);
+        self.complete_upto = min_place(self.complete_upto.take(), complete_upto);
         for owner in owners {
-            if let Some(wanted) = self.owners.get_mut(owner) {
-                wanted.answered = true;
+            if let Some(state) = self.owners.get_mut(owner) {
+                state.answered = true;
                 // A replica for which nothing has been claimed yet is still being filled and proves no
                 // position.
-                let told = |holding: &LogStatus| server == *owner || holding.reached.as_of > 0;
-                wanted.reached |= logs.iter().any(|holding| holding.log.owner == *owner && told(holding));
+                let proves = |status: &LogStatus| server == *owner || status.reached.as_of > 0;
+                state.reached |= logs.iter().any(|status| status.log.owner == *owner && proves(status));
             }
         }
-        for (n, holding) in logs.into_iter().enumerate() {
-            let LogStatus { log, reached, known_since, shown, touched: (shards, entries, bytes) } = holding;
+        for (n, status) in logs.into_iter().enumerate() {
+            let LogStatus { log, reached, known_since, shown, touched: (shards, entries, bytes) } = status;
             let wire_bytes = if n == 0 { wire_bytes } else { 0 };
             self.touched.push(Touched { server, log, shards, entries, bytes, wire_bytes, took_us });
             self.logs.push(LogRead { log, server, reached, known_since, shown });
@@ -627,28 +650,28 @@
     }
 
     /// Sends the sub-queries that are due.
-    fn route(
+    fn send_sub_queries(
         &mut self,
         now: Micros,
         own: Rank,
         number: u64,
         here: LocalLogs,
-        say: &mut Vec<(Rank, QueryMessage)>,
+        outbox: &mut Vec<(Rank, QueryMessage)>,
     ) {
         let mut ask: BTreeMap<Rank, Vec<Rank>> = BTreeMap::new();
-        let out = &self.out;
-        for (owner, wanted) in &mut self.owners {
-            if wanted.reached || wanted.asked.is_some_and(|at| now < at + HEDGE && !wanted.answered) {
+        let pending = &self.pending;
+        for (owner, state) in &mut self.owners {
+            if state.reached || state.asked_at.is_some_and(|at| now < at + HEDGE && !state.answered) {
                 continue;
             }
-            let Some(server) = wanted.servers.front().copied() else { continue };
-            let room = ask.contains_key(&server) || out.len() + ask.len() < MAX_OUT;
+            let Some(server) = state.servers.front().copied() else { continue };
+            let has_capacity = ask.contains_key(&server) || pending.len() + ask.len() < MAX_PENDING;
             // Only one sub-query to a server at a time: its answer names no owners.
-            if server != own && (!room || out.contains_key(&server)) {
+            if server != own && (!has_capacity || pending.contains_key(&server)) {
                 continue;
             }
-            wanted.servers.pop_front();
-            (wanted.asked, wanted.tried, wanted.answered) = (Some(now), true, false);
+            state.servers.pop_front();
+            (state.asked_at, state.tried, state.answered) = (Some(now), true, false);
             ask.entry(server).or_default().push(*owner);
         }
         for (server, owners) in ask {
@@ -658,10 +681,14 @@
                 self.own.push((Scan::new(query, logs), owners));
                 continue;
             }
-            let within = self.until.saturating_sub(now + MARGIN);
+            let within = self.until.saturating_sub(now + RETURN_MARGIN);
             let query = Query { states: Vec::new(), ..self.query.clone() };
-            say.push((server, QueryMessage::Ask(SubQuery { number, query, owners: owners.clone(), within })));
-            self.out.insert(server, Out { owners, since: now, wire_bytes: 0, rows: Vec::new() });
+            outbox.push((
+                server,
+                QueryMessage::SubQuery(SubQuery { number, query, owners: owners.clone(), within }),
+            ));
+            self.pending
+                .insert(server, PendingSubQuery { owners, since: now, wire_bytes: 0, rows: Vec::new() });
         }
     }
 
@@ -671,25 +698,31 @@
                 return;
             }
             let (scan, owners) = self.own.remove(0);
-            scan.found.into_values().for_each(|entry| self.row(entry));
-            self.read(own, &owners, scan.logs, scan.whole_upto, (0, now.saturating_sub(self.begun)));
+            scan.found.into_values().for_each(|entry| self.add_row(entry));
+            self.record_result(
+                own,
+                &owners,
+                scan.logs,
+                scan.complete_upto,
+                (0, now.saturating_sub(self.begun)),
+            );
         }
     }
 
-    fn through(&self) -> bool {
-        let through = |w: &Wanted| w.reached || w.servers.is_empty() && (w.answered || !w.tried);
-        self.own.is_empty() && self.owners.values().all(through)
+    fn is_done(&self) -> bool {
+        let done = |w: &OwnerState| w.reached || w.servers.is_empty() && (w.answered || !w.tried);
+        self.own.is_empty() && self.owners.values().all(done)
     }
 
     fn finish(self, now: Micros, span: Micros) -> Answer {
-        let Self { query, owners, rows, whole_upto, logs, touched, own, .. } = self;
+        let Self { query, owners, rows, complete_upto, logs, touched, own, .. } = self;
         let last_span = |at: Micros| u32::try_from(at / span.max(1)).unwrap_or(u32::MAX);
         let spans = (last_span(query.from), last_span(query.to.min(now)));
         let missing: Vec<Missing> = owners
             .iter()
-            .filter(|(_, wanted)| !wanted.reached)
-            .map(|(owner, wanted)| {
-                let why = match (wanted.tried, wanted.answered) {
+            .filter(|(_, state)| !state.reached)
+            .map(|(owner, state)| {
+                let why = match (state.tried, state.answered) {
                     (false, _) => MissingReason::NoServer,
                     (true, false) => MissingReason::NoAnswer,
                     (true, true) => MissingReason::NotHeld,
@@ -700,7 +733,7 @@
         let not_known = query.ids.iter().filter(|id| !rows.contains_key(&key_of(&query.tenant, id)));
         let not_known = not_known.cloned().collect();
         let overdue = |mut entry: Entry| {
-            if !entry.states.ended() && now > entry.deadline.saturating_add(OVERDUE) {
+            if !entry.states.ended() && now > entry.deadline.saturating_add(UNKNOWN_AFTER) {
                 entry.states = entry.states.with(State::Unknown);
             }
             entry
@@ -708,11 +741,11 @@
         let mut rows: Vec<Entry> =
             rows.into_values().map(overdue).filter(|entry| query.wants(entry)).collect();
         rows.sort_by(|a, b| (a.taken_at, &a.id).cmp(&(b.taken_at, &b.id)));
-        let whole = |entry: &Entry| {
-            whole_upto.as_ref().is_none_or(|(at, id)| (entry.taken_at, &entry.id) <= (*at, id))
+        let is_complete = |entry: &Entry| {
+            complete_upto.as_ref().is_none_or(|(at, id)| (entry.taken_at, &entry.id) <= (*at, id))
         };
-        rows.retain(whole);
-        let mut next = whole_upto.clone();
+        rows.retain(is_complete);
+        let mut next = complete_upto.clone();
         if rows.len() > query.limit as usize {
             rows.truncate(query.limit as usize);
             next = rows.last().map(|last| (last.taken_at, last.id.clone()));
@@ -721,7 +754,7 @@
             partial: !missing.is_empty() || !own.is_empty(),
             asked: owners.len(),
             reached: owners.len() - missing.len(),
-            known_since: logs.iter().map(|told| told.known_since).max().unwrap_or(0),
+            known_since: logs.iter().map(|log| log.known_since).max().unwrap_or(0),
             took_us: now.saturating_sub(self.begun),
             rows,
             next,
--- a/src/status/shards.rs
+++ b/src/status/shards.rs
@@ -23,7 +23,7 @@
 }
 
 /// Approximate memory of an entry without its texts, with its places in all indexes, bytes.
-const ENTRY: usize = 360;
+const ENTRY_OVERHEAD: usize = 360;
 
 /// An entry, with the number of its last change in its log.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 }
 
 fn cost_of(entry: &Entry) -> usize {
-    ENTRY + 2 * entry.id.len() + 2 * entry.tenant.len() + entry.class.len()
+    ENTRY_OVERHEAD + 2 * entry.id.len() + 2 * entry.tenant.len() + entry.class.len()
 }
 
 /// The shard of an entry in its owner's log.
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Table {
     rows: BTreeMap<(Micros, Key), TableRow>,
-    taken: HashMap<Key, Micros>,
+    accepted_at: HashMap<Key, Micros>,
     numbers: BTreeMap<u64, Key>,
     /// Ended entries, by the time of their last change.
     ended: BTreeSet<(Micros, Key)>,
@@ -66,36 +66,36 @@
     pub fn put(&mut self, number: u64, mut entry: Entry) -> Option<u64> {
         let key = key_of(&entry.tenant, &entry.id);
         let mut before = None;
-        if let Some(held) = self.get(&key) {
-            if held.number >= number {
-                return Some(held.number);
+        if let Some(row) = self.get(&key) {
+            if row.number >= number {
+                return Some(row.number);
             }
-            before = Some(held.number);
-            entry.join(&held.entry);
+            before = Some(row.number);
+            entry.join(&row.entry);
             self.remove(&key);
         }
         self.bytes += cost_of(&entry);
         if entry.states.ended() {
             self.ended.insert((entry.changed_at, key.clone()));
         }
-        self.taken.insert(key.clone(), entry.taken_at);
+        self.accepted_at.insert(key.clone(), entry.taken_at);
         self.numbers.insert(number, key.clone());
         self.rows.insert((entry.taken_at, key), TableRow { number, entry });
         before
     }
 
     fn remove(&mut self, key: &Key) -> Option<Entry> {
-        let taken = self.taken.remove(key)?;
-        let held = self.rows.remove(&(taken, key.clone()))?;
-        self.numbers.remove(&held.number);
-        self.ended.remove(&(held.entry.changed_at, key.clone()));
-        self.bytes -= cost_of(&held.entry);
-        Some(held.entry)
+        let taken = self.accepted_at.remove(key)?;
+        let row = self.rows.remove(&(taken, key.clone()))?;
+        self.numbers.remove(&row.number);
+        self.ended.remove(&(row.entry.changed_at, key.clone()));
+        self.bytes -= cost_of(&row.entry);
+        Some(row.entry)
     }
 
     /// The row of a message.
     pub fn get(&self, key: &Key) -> Option<&TableRow> {
-        self.rows.get(&(*self.taken.get(key)?, key.clone()))
+        self.rows.get(&(*self.accepted_at.get(key)?, key.clone()))
     }
 
     /// The row whose last change has this number.
@@ -136,7 +136,7 @@
     }
 
     /// Moves the horizon to at least this time.
-    pub fn forget_before(&mut self, horizon: Micros) {
+    pub fn raise_horizon(&mut self, horizon: Micros) {
         self.known_since = self.known_since.max(horizon);
     }
 
@@ -153,15 +153,15 @@
         true
     }
 
-    /// Drops up to `work` entries that ended before `ended_before`, then as many as needed to fit into `most`
-    /// bytes.
-    pub fn bound(&mut self, most: usize, ended_before: Micros, work: usize) {
-        for _ in 0..work {
+    /// Drops up to `max_expired` entries that ended before `ended_before`, then as many as needed to fit into
+    /// `max_bytes` bytes.
+    pub fn evict(&mut self, max_bytes: usize, ended_before: Micros, max_expired: usize) {
+        for _ in 0..max_expired {
             if self.ended.first().is_none_or(|(at, _)| *at >= ended_before) || !self.drop_oldest() {
                 break;
             }
         }
-        while self.bytes > most && self.drop_oldest() {}
+        while self.bytes > max_bytes && self.drop_oldest() {}
     }
 
     /// Calls `look` for the entries in a query's time range, after a place, until it returns false or
@@ -174,9 +174,9 @@
         budget: &mut usize,
         look: &mut impl FnMut(&Entry) -> bool,
     ) -> Option<(Micros, Key)> {
-        let mut place = from.unwrap_or_else(|| (begins(query), Key::from("")));
+        let mut place = from.unwrap_or_else(|| (scan_start(query), Key::from("")));
         let begin = Bound::Excluded(place.clone());
-        for ((taken, key), held) in self.rows.range((begin, Bound::Unbounded)) {
+        for ((taken, key), row) in self.rows.range((begin, Bound::Unbounded)) {
             if *taken >= query.to {
                 return None;
             }
@@ -184,7 +184,7 @@
                 return Some(place);
             }
             *budget -= 1;
-            if !look(&held.entry) {
+            if !look(&row.entry) {
                 return None;
             }
             place = (*taken, key.clone());
@@ -194,6 +194,6 @@
 }
 
 /// The earliest time of acceptance that a query may match.
-pub fn begins(query: &Query) -> Micros {
+pub fn scan_start(query: &Query) -> Micros {
     query.from.max(query.after.as_ref().map_or(0, |after| after.0))
 }
--- a/src/status/store.rs
+++ b/src/status/store.rs
@@ -14,7 +14,7 @@
 /// Maximum number of senders that send one log.
 const MAX_SOURCES: usize = 8;
 /// Maximum number of entries that are expired in one call and log.
-const AGED_AT_ONCE: usize = 64;
+const MAX_EXPIRED_PER_CALL: usize = 64;
 
 /// Part of a log sent to a receiver, in the order of numbers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,12 +52,12 @@
     /// Its entries.
     pub table: Table,
     /// The number that each sender of this log has reached; between it and the watermark changes may be
-    /// missing. Only a log of an earlier generation has more than one sender.
+    /// missing. Only a log of an ended generation has more than one sender.
     cursors: BTreeMap<Rank, u64>,
     /// All changes up to this watermark are held.
     pub reached: Watermark,
     /// When a batch for it was applied last.
-    pub heard: Micros,
+    pub updated_at: Micros,
 }
 
 impl Replica {
@@ -71,14 +71,15 @@
 #[derive(Debug)]
 pub struct Store {
     logs: BTreeMap<LogId, Replica>,
-    most: usize,
-    keep: Micros,
+    max_bytes: usize,
+    retention: Micros,
 }
 
 impl Store {
-    /// An empty store with `most` bytes of memory; ended entries are retained for `keep` microseconds.
-    pub fn new(most: usize, keep: Micros) -> Self {
-        Self { logs: BTreeMap::new(), most, keep }
+    /// An empty store with `max_bytes` bytes of memory; ended entries are retained for `retention`
+    /// microseconds.
+    pub fn new(max_bytes: usize, retention: Micros) -> Self {
+        Self { logs: BTreeMap::new(), max_bytes, retention }
     }
 
     /// The replicas.
@@ -88,7 +89,7 @@
 
     /// The watermark of each replica.
     pub fn positions(&self) -> Positions {
-        self.logs.iter().map(|(id, copy)| (*id, copy.reached)).collect()
+        self.logs.iter().map(|(id, replica)| (*id, replica.reached)).collect()
     }
 
     /// The replicas of one owner's logs, of any generation.
@@ -99,59 +100,61 @@
     /// Applies a batch if it follows what is held; the acknowledgement states how far the replica is then.
     pub fn apply(&mut self, now: Micros, from: Rank, batch: Batch) -> BatchAck {
         if !self.logs.contains_key(&batch.log) && self.logs.len() >= MAX_LOGS {
-            let oldest = self.logs.iter().min_by_key(|(_, copy)| copy.heard).map(|(id, _)| *id);
+            let oldest = self.logs.iter().min_by_key(|(_, replica)| replica.updated_at).map(|(id, _)| *id);
             oldest.map(|oldest| self.logs.remove(&oldest));
         }
-        let copy = self.logs.entry(batch.log).or_insert_with(|| Replica {
+        let replica = self.logs.entry(batch.log).or_insert_with(|| Replica {
             table: Table::default(),
             cursors: BTreeMap::new(),
             reached: Watermark { upto: 0, as_of: 0 },
-            heard: now,
+            updated_at: now,
         });
-        if copy.cursors.len() >= MAX_SOURCES && !copy.cursors.contains_key(&from) {
-            copy.cursors.clear();
+        if replica.cursors.len() >= MAX_SOURCES && !replica.cursors.contains_key(&from) {
+            replica.cursors.clear();
         }
         // The cursors of other senders do not count here: each may have left out different changes so far.
-        let cursor = copy.cursors.entry(from).or_insert(0);
+        let cursor = replica.cursors.entry(from).or_insert(0);
         let gap = batch.from > *cursor;
         if !gap {
-            copy.heard = now;
-            copy.table.forget_before(batch.known_since);
+            replica.updated_at = now;
+            replica.table.raise_horizon(batch.known_since);
             for Change { number, entry } in batch.changes {
-                copy.table.put(number, entry);
+                replica.table.put(number, entry);
             }
             *cursor = batch.to.max(*cursor);
             if let Some(claim) = batch.claim.filter(|claim| claim.upto <= *cursor) {
-                copy.reached.upto = copy.reached.upto.max(claim.upto);
-                copy.reached.as_of = copy.reached.as_of.max(claim.as_of);
+                replica.reached.upto = replica.reached.upto.max(claim.upto);
+                replica.reached.as_of = replica.reached.as_of.max(claim.as_of);
             }
         }
-        let have = BatchAck { log: batch.log, cursor: *cursor, reached: copy.reached, gap };
-        self.bound();
-        have
+        let ack = BatchAck { log: batch.log, cursor: *cursor, reached: replica.reached, gap };
+        self.enforce_limit();
+        ack
     }
 
     fn bytes(&self) -> usize {
-        self.logs.values().map(|copy| copy.table.bytes()).sum()
+        self.logs.values().map(|replica| replica.table.bytes()).sum()
     }
 
     /// Enforces the memory bound: the log that uses the most memory drops its oldest entries.
-    fn bound(&mut self) {
+    fn enforce_limit(&mut self) {
         let mut bytes = self.bytes();
-        while bytes > self.most {
-            let Some(copy) = self.logs.values_mut().max_by_key(|copy| copy.table.bytes()) else { return };
-            let before = copy.table.bytes();
-            if !copy.table.drop_oldest() {
+        while bytes > self.max_bytes {
+            let Some(replica) = self.logs.values_mut().max_by_key(|replica| replica.table.bytes()) else {
+                return;
+            };
+            let before = replica.table.bytes();
+            if !replica.table.drop_oldest() {
                 return;
             }
-            bytes -= before - copy.table.bytes();
+            bytes -= before - replica.table.bytes();
         }
     }
 
     /// Expires entries whose retention time is over, a few at a time.
-    pub fn age(&mut self, now: Micros) {
-        for copy in self.logs.values_mut() {
-            copy.table.bound(usize::MAX, now.saturating_sub(self.keep), AGED_AT_ONCE);
+    pub fn expire(&mut self, now: Micros) {
+        for replica in self.logs.values_mut() {
+            replica.table.evict(usize::MAX, now.saturating_sub(self.retention), MAX_EXPIRED_PER_CALL);
         }
     }
 }
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -101,7 +101,7 @@
 const ROOM: u64 = 100_000;
 
 fn filled(changes: u64) -> (Log, Segments, Folder) {
-    let mut log = Log::new(1, Generation(7), Segments::memory(ROOM), 1 << 40, 5);
+    let mut log = Log::new(1, Generation(7), Segments::max_log_bytes(ROOM), 1 << 40, 5);
     let (mut segments, mut folder) = (Segments::new(ROOM, 9, 1), Folder::default());
     folder.carry_out(segments.begin(&mut log, []));
     for n in 0..changes {
@@ -179,7 +179,7 @@
 #[test]
 fn the_folder_stays_within_its_room_and_holds_the_log() {
     let mut rng = fastrand::Rng::with_seed(3);
-    let mut log = Log::new(1, Generation(7), Segments::memory(ROOM), 1 << 40, 0);
+    let mut log = Log::new(1, Generation(7), Segments::max_log_bytes(ROOM), 1 << 40, 0);
     let (mut segments, mut folder) = (Segments::new(ROOM, 9, 1), Folder::default());
     folder.carry_out(segments.begin(&mut log, []));
     let (mut most, mut horizon, mut taken) = (0, 0, BTreeMap::new());
@@ -224,7 +224,7 @@
         }
     }
     assert!(most <= ROOM && most > ROOM / 2, "{most} bytes");
-    assert!(horizon > 5_000 && log.table().bytes() <= Segments::memory(ROOM), "known since {horizon}");
+    assert!(horizon > 5_000 && log.table().bytes() <= Segments::max_log_bytes(ROOM), "known since {horizon}");
 }
 
 /// Guards what an answer says of its horizon: nothing that was taken on since is left out, the oldest ends go first.
@@ -237,7 +237,7 @@
             n + 1,
             entry(&format!("m{n}"), "t", n, if ended { &[State::Delivered] } else { &[State::Taken] }),
         );
-        table.bound(40_000, 0, 0);
+        table.evict(40_000, 0, 0);
         assert!(table.bytes() <= 40_000);
         for taken in table.known_since()..=n {
             assert!(table.get(&key_of("t", &format!("m{taken}"))).is_some(), "{taken}");
@@ -245,7 +245,7 @@
     }
     let open = table.rows().filter(|held| !held.entry.states.ended()).count();
     assert!(open == 20 && table.known_since() > 100, "{open} open, {}", table.known_since());
-    table.bound(usize::MAX, 190, 5);
+    table.evict(usize::MAX, 190, 5);
     assert_eq!(table.rows().filter(|held| held.entry.states.ended()).count(), table.len() - open);
 }
 
@@ -397,10 +397,12 @@
         |upto| BatchAck { log: log.id(), cursor: upto, reached: Watermark { upto, as_of: 1 }, gap: false };
     for (begun, first, goes_on) in [(20, 20, true), (20, 21, false), (40, 40, true)] {
         let mut replication = Replication::new(1, 0);
-        replication.begins(begun);
-        replication.choose(vec![2], log.id());
-        assert_eq!(replication.answered(2, &have(first), &log, 5), goes_on, "{first} of {begun}");
-        assert!(replication.answered(2, &have(40), &log, 6) && !replication.answered(2, &have(41), &log, 7));
+        replication.set_start(begun);
+        replication.set_replicas(vec![2], log.id());
+        assert_eq!(replication.handle_ack(2, &have(first), &log, 5), goes_on, "{first} of {begun}");
+        assert!(
+            replication.handle_ack(2, &have(40), &log, 6) && !replication.handle_ack(2, &have(41), &log, 7)
+        );
     }
 }
 
@@ -421,7 +423,7 @@
         let log = LogId { owner: 2, generation: Generation(4) };
         let reached = Watermark { upto: 1, as_of };
         let holding = LogStatus { log, reached, known_since: 0, shown: 1, touched: (1, 1, 1) };
-        let end = ResultEnd { logs: vec![holding], whole_upto: None, busy: false };
+        let end = ResultEnd { logs: vec![holding], complete_upto: None, busy: false };
         let rows = vec![entry("m", "t", 9, &[State::Taken])];
         queries.receive_result(2, server, PartialResult { number, rows, end: ended.then_some(end) }, 9);
         queries.step(MAX_QUERY_TIME, here);
