--- a/examples/status_cost.rs
+++ b/examples/status_cost.rs
@@ -1,5 +1,5 @@
-//! What the status index costs the loop that delivers: each hand-in, call and end, with what is written of it, and a
-//! query's slice. `cargo run --release --example status_cost`
+//! Measures the cost of the status index in the event loop: each submission, call and end with what is
+//! written for it, and the slices of a query. `cargo run --release --example status_cost`
 
 use std::time::Instant;
 
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -1,4 +1,4 @@
-//! The status index: what joins, what is kept, and what may be claimed. Whole tiers of it are in `status_tier`.
+//! Tests of the status index: joining of entries, storage and claims. `status_tier` tests whole tiers.
 
 use std::collections::BTreeMap;
 
@@ -47,9 +47,12 @@
 }
 
 proptest! {
-    /// Guards against what order, repetition and a second owner after a takeover could do to what is told.
+    /// Guards against a reported state that depends on order, repetition or a second owner after a takeover.
     #[test]
-    fn what_is_known_of_a_message_is_a_join(parts in prop::collection::vec(any_entry(), 1..7), seed: u64) {
+    fn joining_entries_is_commutative_associative_and_idempotent(
+        parts in prop::collection::vec(any_entry(), 1..7),
+        seed: u64,
+    ) {
         let joined = |parts: &[Entry]| {
             let mut all = parts[0].clone();
             parts[1..].iter().for_each(|part| all.join(part));
@@ -67,7 +70,8 @@
             prop_assert_eq!(&halves, &all);
         }
         for part in &parts {
-            prop_assert!(State::ALL.into_iter().all(|state| all.states.has(state) || !part.states.has(state)));
+            let is_kept = |state| all.states.has(state) || !part.states.has(state);
+            prop_assert!(State::ALL.into_iter().all(is_kept));
             prop_assert!(all.states.ended() || !part.states.ended());
         }
     }
@@ -98,11 +102,11 @@
     }
 }
 
-const ROOM: u64 = 100_000;
+const FOLDER_BYTES: u64 = 100_000;
 
 fn filled(changes: u64) -> (Log, Segments, Folder) {
-    let mut log = Log::new(1, Generation(7), Segments::max_log_bytes(ROOM), 1 << 40, 5);
-    let (mut segments, mut folder) = (Segments::new(ROOM, 9, 1), Folder::default());
+    let mut log = Log::new(1, Generation(7), Segments::max_log_bytes(FOLDER_BYTES), 1 << 40, 5);
+    let (mut segments, mut folder) = (Segments::new(FOLDER_BYTES, 9, 1), Folder::default());
     folder.carry_out(segments.begin(&mut log, []));
     for n in 0..changes {
         log.put(entry(&format!("m{}", n % (changes / 2).max(1)), "t", n + 10, &[State::Taken]));
@@ -112,15 +116,15 @@
 }
 
 fn rows(log: &Log) -> Vec<(u64, Entry)> {
-    let mut rows: Vec<_> = log.table().rows().map(|held| (held.number, held.entry.clone())).collect();
+    let mut rows: Vec<_> = log.table().rows().map(|row| (row.number, row.entry.clone())).collect();
     rows.sort_by_key(|row| row.0);
     rows
 }
 
-/// Guards against a number that means two things: a process that is killed within a write goes on in its life with what
-/// it had told, and with nothing else.
+/// Guards against a number that is used for two changes: a process that was killed during a write resumes the
+/// generation with the numbers that it had sent, and no others.
 #[test]
-fn a_killed_owner_goes_on_where_what_it_told_ends() {
+fn log_resumes_its_generation_after_a_truncated_last_write() {
     let (log, mut segments, folder) = filled(40);
     let restored = restore(&folder.segments(), 9, 1_000);
     let again = Log::resume(1, restored, Generation(8), 1 << 20, 1 << 40);
@@ -131,22 +135,22 @@
     whole.carry_out(segments.write(&mut longer));
     let (at, bytes) = folder.0.last_key_value().unwrap();
     for cut in bytes.len()..whole.0[at].len() {
-        let mut torn = folder.clone();
-        torn.0.insert(*at, whole.0[at][..cut].to_vec());
-        let again = Log::resume(1, restore(&torn.segments(), 9, 1_000), Generation(8), 1 << 20, 1 << 40);
+        let mut truncated = folder.clone();
+        truncated.0.insert(*at, whole.0[at][..cut].to_vec());
+        let again = Log::resume(1, restore(&truncated.segments(), 9, 1_000), Generation(8), 1 << 20, 1 << 40);
         assert_eq!((again.id().generation, again.last()), (Generation(7), 40), "cut at {cut}");
         assert_eq!(again.table().known_since(), 5);
     }
 }
 
-/// Guards against a life that goes on though something of it may be lost: its numbers would be given out twice.
+/// Guards against resuming a generation of which something may be lost: its numbers would be used twice.
 #[test]
-fn whoever_is_not_sure_draws_a_new_life_and_tells_from_when_it_knows() {
+fn log_with_a_doubtful_folder_starts_a_new_generation_and_horizon() {
     let (log, _, folder) = filled(400);
     assert!(folder.0.len() > 2, "{} segments", folder.0.len());
     let mut doubtful: Vec<(&str, Folder, u64, u64)> = vec![
-        ("nothing is there", Folder::default(), 9, 1_000),
-        ("the machine was started since", folder.clone(), 10, 1_000),
+        ("the folder is empty", Folder::default(), 9, 1_000),
+        ("the machine was restarted", folder.clone(), 10, 1_000),
         ("the clock went back", folder.clone(), 9, 100),
     ];
     let ats: Vec<u64> = folder.0.keys().copied().collect();
@@ -155,32 +159,42 @@
         act(&mut changed);
         changed
     };
-    doubtful.push(("one is lost", changed(&|f| drop(f.0.remove(&ats[1]))), 9, 1_000));
+    doubtful.push(("a segment is missing", changed(&|f| drop(f.0.remove(&ats[1]))), 9, 1_000));
     doubtful.push((
-        "an older one is cut",
+        "an older segment is truncated",
         changed(&|f| f.0.get_mut(&ats[1]).unwrap().truncate(90)),
         9,
         1_000,
     ));
-    doubtful.push(("one is spoilt", changed(&|f| f.0.get_mut(&ats[1]).unwrap()[60] ^= 1), 9, 1_000));
-    doubtful.push(("the newest is spoilt", changed(&|f| f.0.get_mut(&ats[2]).unwrap()[60] ^= 1), 9, 1_000));
+    doubtful.push(("a segment is corrupt", changed(&|f| f.0.get_mut(&ats[1]).unwrap()[60] ^= 1), 9, 1_000));
+    doubtful.push((
+        "the newest segment is corrupt",
+        changed(&|f| f.0.get_mut(&ats[2]).unwrap()[60] ^= 1),
+        9,
+        1_000,
+    ));
     for (why, folder, boot, now) in doubtful {
         let again = Log::resume(1, restore(&folder.segments(), boot, now), Generation(8), 1 << 20, 1 << 40);
         assert_eq!((again.id().generation, again.table().known_since()), (Generation(8), now), "{why}");
-        assert_eq!(again.last(), again.table().len() as u64, "{why}: all of it is written in the new life");
-        let whole = ["the machine was started since", "the clock went back"].contains(&why);
+        assert_eq!(
+            again.last(),
+            again.table().len() as u64,
+            "{why}: all entries are rewritten in the new generation"
+        );
+        let whole = ["the machine was restarted", "the clock went back"].contains(&why);
         let known = rows(&again);
         let there = |id: &str| known.iter().any(|(_, entry)| entry.id == id);
         assert!(!whole || rows(&log).iter().all(|(_, entry)| there(&entry.id)), "{why}");
     }
 }
 
-/// Guards the disk: whatever is written for however long, the folder stays within its room and holds what the log does.
+/// Guards against a folder that outgrows its capacity or loses entries of the log, however long it is written
+/// to.
 #[test]
-fn the_folder_stays_within_its_room_and_holds_the_log() {
+fn folder_stays_within_its_capacity_and_restores_the_log() {
     let mut rng = fastrand::Rng::with_seed(3);
-    let mut log = Log::new(1, Generation(7), Segments::max_log_bytes(ROOM), 1 << 40, 0);
-    let (mut segments, mut folder) = (Segments::new(ROOM, 9, 1), Folder::default());
+    let mut log = Log::new(1, Generation(7), Segments::max_log_bytes(FOLDER_BYTES), 1 << 40, 0);
+    let (mut segments, mut folder) = (Segments::new(FOLDER_BYTES, 9, 1), Folder::default());
     folder.carry_out(segments.begin(&mut log, []));
     let (mut most, mut horizon, mut taken) = (0, 0, BTreeMap::new());
     for n in 0..6_000u64 {
@@ -200,22 +214,20 @@
                 Log::resume(1, restore(&folder.segments(), 9, 1 << 40), Generation(8), 1 << 30, 1 << 50);
             assert_eq!((again.id(), again.last()), (log.id(), log.last()));
             for (number, entry) in rows(&log) {
-                let held = again.table().at(number).unwrap();
-                assert!(
-                    held.entry.id == entry.id && held.entry.states.join(entry.states) == held.entry.states
-                );
+                let row = again.table().at(number).unwrap();
+                assert!(row.entry.id == entry.id && row.entry.states.join(entry.states) == row.entry.states);
             }
-            // The horizon outlasts the process, though what it says was left out is in no segment.
+            // The horizon is restored, although the entries that it excludes are in no segment.
             let since = again.table().known_since();
             let missing =
                 taken.iter().find(|(id, at)| **at >= since && again.table().get(&key_of("t", id)).is_none());
             assert_eq!(missing, None, "known since {since}");
         }
         if n % 1_700 == 1_699 {
-            // A new process: all of it is written anew beside what is there.
+            // A new process rewrites the whole log beside the existing segments.
             let old: Vec<u64> = folder.0.keys().copied().collect();
             let next = old.last().unwrap() + 1;
-            segments = Segments::new(ROOM, 9, next);
+            segments = Segments::new(FOLDER_BYTES, 9, next);
             let steps = segments.begin(&mut log, old);
             let mut beside = folder.clone();
             beside.carry_out(steps.iter().filter(|s| !matches!(s, Step::Remove(_))).cloned().collect());
@@ -223,13 +235,17 @@
             folder.carry_out(steps);
         }
     }
-    assert!(most <= ROOM && most > ROOM / 2, "{most} bytes");
-    assert!(horizon > 5_000 && log.table().bytes() <= Segments::max_log_bytes(ROOM), "known since {horizon}");
+    assert!(most <= FOLDER_BYTES && most > FOLDER_BYTES / 2, "{most} bytes");
+    assert!(
+        horizon > 5_000 && log.table().bytes() <= Segments::max_log_bytes(FOLDER_BYTES),
+        "known since {horizon}"
+    );
 }
 
-/// Guards what an answer says of its horizon: nothing that was taken on since is left out, the oldest ends go first.
+/// Guards against a wrong horizon: no entry accepted since is dropped, and the oldest ended entries are
+/// dropped first.
 #[test]
-fn at_its_bound_a_table_gives_up_the_oldest_ended_ones_and_says_so() {
+fn table_at_its_memory_limit_drops_the_oldest_ended_entries_and_raises_the_horizon() {
     let mut table = Table::default();
     for n in 0..200u64 {
         let ended = n % 10 != 0;
@@ -243,15 +259,16 @@
             assert!(table.get(&key_of("t", &format!("m{taken}"))).is_some(), "{taken}");
         }
     }
-    let open = table.rows().filter(|held| !held.entry.states.ended()).count();
+    let open = table.rows().filter(|row| !row.entry.states.ended()).count();
     assert!(open == 20 && table.known_since() > 100, "{open} open, {}", table.known_since());
     table.evict(usize::MAX, 190, 5);
-    assert_eq!(table.rows().filter(|held| held.entry.states.ended()).count(), table.len() - open);
+    assert_eq!(table.rows().filter(|row| row.entry.states.ended()).count(), table.len() - open);
 }
 
-/// Guards positions: a batch that does not go on where the copy is, or comes from one who told less, claims nothing.
+/// Guards against a wrong watermark: a batch that does not follow what the replica holds, or comes from a
+/// sender that has sent less, claims nothing.
 #[test]
-fn a_batch_with_a_gap_before_it_is_left_and_claims_nothing() {
+fn batch_after_a_gap_is_ignored_and_claims_nothing() {
     let log = myrtleyard::status::LogId { owner: 1, generation: Generation(7) };
     let batch = |from, to, claim: Option<u64>| Batch {
         log,
@@ -266,15 +283,17 @@
     let have = store.apply(2, 1, batch(5, 9, Some(9)));
     assert!(have.gap && have.cursor == 3 && have.reached.upto == 3);
     assert_eq!(store.logs()[&log].table.len(), 1);
-    // Another one who kept the same log begins with what it has; where the first one was is nothing to it.
+    // Another sender that holds the log starts with what it has; the first sender's cursor does not apply to
+    // it.
     let have = store.apply(3, 2, batch(3, 8, Some(8)));
     assert!(have.gap && have.cursor == 0 && have.reached.upto == 3);
-    // A claim beyond what came is no claim, and none goes back.
+    // A claim beyond what was received is ignored, and a claim never goes back.
     assert_eq!(store.apply(4, 1, batch(3, 4, Some(6))).reached.upto, 3);
     assert_eq!(store.apply(5, 1, batch(4, 6, Some(2))).reached.upto, 3);
 }
 
-/// One sender's log with so many messages, and a query on it: the answer, and how many turns it took.
+/// Runs a query on one sender's log with `messages` messages; returns the answer and the number of turns it
+/// took.
 fn ask(messages: u64, query: Query, routes: Routes, turns: u64) -> (Answer, u64) {
     let mut log = Log::new(1, Generation(7), 1 << 30, 1 << 40, 0);
     for n in 0..messages {
@@ -286,8 +305,8 @@
     let number = queries.ask(0, query, routes, MAX_QUERY_TIME).unwrap();
     for turn in 1..=turns {
         queries.step(turn * 5_000, here);
-        if let Some((told, answer)) = queries.take_answers().pop() {
-            assert_eq!(told, number);
+        if let Some((answered, answer)) = queries.take_answers().pop() {
+            assert_eq!(answered, number);
             return (answer, turn);
         }
     }
@@ -302,9 +321,9 @@
     Routes(BTreeMap::from([(1, vec![1])]))
 }
 
-/// Guards one tenant's messages against another's questions, and the loop against a long one.
+/// Guards against rows of another tenant, and against a long query that blocks the event loop.
 #[test]
-fn an_answer_is_one_tenants_and_comes_in_slices() {
+fn answer_holds_rows_of_one_tenant_and_is_read_in_slices() {
     let (answer, turns) =
         ask(20_000, query(r#"{"tenant": "odd", "limit": 10, "from": 19000}"#), alone(), 200);
     assert_eq!((answer.rows.len(), answer.partial, turns), (10, false, 1));
@@ -313,7 +332,7 @@
     let (answer, turns) =
         ask(20_000, query(r#"{"tenant": "odd", "limit": 1000, "states": ["delivered"]}"#), alone(), 200);
     assert!(answer.rows.is_empty() && !answer.partial);
-    // It found a thousand that may have ended elsewhere, and goes on after them.
+    // It found a thousand messages that may have ended elsewhere, and continues after them.
     assert_eq!((answer.next, turns), (Some((1_999, "m001999".into())), 1));
     let (answer, turns) = ask(20_000, query(r#"{"tenant": "none"}"#), alone(), 200);
     assert!(answer.rows.is_empty() && answer.touched[0].entries == 20_000, "{:?}", answer.touched);
@@ -321,15 +340,16 @@
     let (answer, _) = ask(10, query(r#"{"tenant": "odd", "ids": ["m000001", "m000002", "x"]}"#), alone(), 2);
     assert_eq!(answer.rows.iter().map(|row| row.id.as_str()).collect::<Vec<_>>(), ["m000001"]);
     assert_eq!(answer.not_known, ["m000002", "x"]);
-    // A message that the filters leave out, or an earlier page had, is known.
+    // A message that is excluded by the filters, or was on an earlier page, is known.
     let rest = r#"{"tenant": "odd", "ids": ["m000001", "x"], "classes": ["other"], "after": [5, "m"]}"#;
     let (answer, _) = ask(10, query(rest), alone(), 2);
     assert!(answer.rows.is_empty() && answer.not_known == ["x"]);
 }
 
-/// Guards predictions' bounds: a shard counts once, whatever the order of ids, and only what is in the range is read.
+/// Guards the bounds of predictions: a shard counts once, whatever the order of ids, and only entries in the
+/// range are read.
 #[test]
-fn by_ids_a_shard_counts_once_and_what_is_out_of_range_is_not_read() {
+fn query_by_ids_counts_each_shard_once_and_skips_entries_out_of_range() {
     let ids: Vec<String> = [1, 2_001, 3, 2_003].iter().map(|n| format!("m{n:06}")).collect();
     let asked = Query { ids, ..query(r#"{"tenant": "odd"}"#) };
     let touched = |asked: Query| {
@@ -341,9 +361,9 @@
     assert_eq!(touched(Query { to: 2_000, ..asked }), (2, 1, 2));
 }
 
-/// Guards against pages that leave something out or tell it twice.
+/// Guards against pages that omit or repeat a message.
 #[test]
-fn pages_hold_every_message_once() {
+fn paged_queries_return_every_message_once() {
     let (mut after, mut seen) = (None, vec![]);
     loop {
         let asked = Query { after, ..query(r#"{"tenant": "even", "limit": 7}"#) };
@@ -357,9 +377,10 @@
     assert_eq!(seen, (0..100).step_by(2).map(|n| format!("m{n:06}")).collect::<Vec<_>>());
 }
 
-/// Guards against an answer that passes for whole: who did not answer is named, and the deadline holds.
+/// Guards against a partial answer that looks complete: owners that did not answer are named, and the
+/// deadline holds.
 #[test]
-fn a_cut_answer_names_what_is_missing_in_time() {
+fn answer_at_the_deadline_is_partial_and_names_missing_owners() {
     let routes = Routes(BTreeMap::from([(1, vec![1]), (2, vec![2, 3]), (3, vec![])]));
     let (answer, turns) = ask(10, query(r#"{"tenant": "even"}"#), routes, 200);
     assert!(answer.partial && turns * 5_000 == MAX_QUERY_TIME && answer.rows.len() == 5);
@@ -370,12 +391,13 @@
     assert_eq!(refused, Err(QueryRejected::Limit(1_001)));
 }
 
-/// Guards against a life that goes on without what it has told: a process may end between any two removals.
+/// Guards against resuming a generation without changes that were sent: a process may end between any two
+/// removals.
 #[test]
-fn no_life_goes_on_with_a_part_of_a_folder_that_could_not_be_written() {
+fn generation_is_not_resumed_from_a_partly_deleted_folder() {
     let config = serde_json::from_str("{}").unwrap();
     let place = Place { own: 1, tier: 0, hosts: vec![0, 1] };
-    let mut index = Index::new(&config, place, Default::default(), vec![], (ROOM, 9), 3, 10);
+    let mut index = Index::new(&config, place, Default::default(), vec![], (FOLDER_BYTES, 9), 3, 10);
     let mut folder = Folder::default();
     for n in 0..400 {
         index.accepted(entry(&format!("m{n}"), "t", n + 10, &[State::Delivered])).unwrap();
@@ -389,9 +411,10 @@
     assert!(folder.0.is_empty());
 }
 
-/// Guards against an older folder that was put back: what it gave out again may have passed what others have by then.
+/// Guards against a folder restored to an older state: the numbers that it assigns again may have passed
+/// those of its receivers by then.
 #[test]
-fn whoever_has_more_than_a_process_began_with_has_of_another_one() {
+fn ack_beyond_the_numbers_known_to_the_process_is_rejected() {
     let (log, ..) = filled(40);
     let have =
         |upto| BatchAck { log: log.id(), cursor: upto, reached: Watermark { upto, as_of: 1 }, gap: false };
@@ -406,10 +429,10 @@
     }
 }
 
-/// Guards against rows without the position that proves them, and against a copy that passes for whole before anything
-/// was claimed of it.
+/// Guards against rows without the watermark that proves them, and against a replica that counts as complete
+/// before anything was claimed of it.
 #[test]
-fn rows_count_once_their_position_is_there() {
+fn rows_count_only_with_a_watermark_that_proves_them() {
     let log = Log::new(1, Generation(7), 1 << 30, 1 << 40, 0);
     let store = Store::new(1 << 20, 1 << 40);
     let here = LocalLogs { log: &log, store: &store, span: 1_000 };
@@ -422,8 +445,8 @@
         queries.step(1, here);
         let log = LogId { owner: 2, generation: Generation(4) };
         let reached = Watermark { upto: 1, as_of };
-        let holding = LogStatus { log, reached, known_since: 0, shown: 1, touched: (1, 1, 1) };
-        let end = ResultEnd { logs: vec![holding], complete_upto: None, busy: false };
+        let status = LogStatus { log, reached, known_since: 0, shown: 1, touched: (1, 1, 1) };
+        let end = ResultEnd { logs: vec![status], complete_upto: None, busy: false };
         let rows = vec![entry("m", "t", 9, &[State::Taken])];
         queries.receive_result(2, server, PartialResult { number, rows, end: ended.then_some(end) }, 9);
         queries.step(MAX_QUERY_TIME, here);
--- a/tests/status_tier.rs
+++ b/tests/status_tier.rs
@@ -1,11 +1,11 @@
-//! Whole indexes of a tier in virtual time: channels over links that lose, delay and repeat datagrams, with crashes
-//! (with and without folder, within a write), cuts and stops by chance. What is claimed is held against what the owners
-//! really did.
+//! Whole indexes of a tier in virtual time: channels over links that lose, delay and repeat datagrams, with
+//! random crashes (with and without the folder, during a write), partitions and stops. Claims are compared
+//! with what the owners really recorded.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use myrtleyard::interface::Micros;
-use myrtleyard::membership::{MemberView, MembershipView, State as Held};
+use myrtleyard::membership::{MemberView, MembershipView, State as MemberState};
 use myrtleyard::status::folder::Step;
 use myrtleyard::status::index::{Index, Place};
 use myrtleyard::status::log::restore;
@@ -15,10 +15,10 @@
 const SIZE: usize = 5;
 const STEP: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-const ROOM: u64 = 16_000_000;
+const FOLDER_BYTES: u64 = 16_000_000;
 
-/// A change as its owner made it, once it was in the folder.
-struct Made {
+/// A change as its owner recorded it, once it was in the folder.
+struct RecordedChange {
     id: String,
     states: States,
     at: Micros,
@@ -27,10 +27,10 @@
 struct Sender {
     index: Option<Index>,
     folder: BTreeMap<u64, Vec<u8>>,
-    /// Messages that have no end here.
+    /// Messages without an end here.
     open: Vec<String>,
-    /// Numbers that are not in the folder yet.
-    making: Vec<(LogId, u64, Made)>,
+    /// Changes that are not in the folder yet.
+    unwritten: Vec<(LogId, u64, RecordedChange)>,
     down: Option<Micros>,
 }
 
@@ -38,12 +38,12 @@
     now: Micros,
     rng: fastrand::Rng,
     senders: Vec<Sender>,
-    under_way: Vec<(Micros, Rank, Rank, Vec<u8>)>,
+    in_flight: Vec<(Micros, Rank, Rank, Vec<u8>)>,
     loss: f64,
-    cuts: BTreeMap<(Rank, Rank), Micros>,
-    truth: BTreeMap<LogId, BTreeMap<u64, Made>>,
-    /// How far each copy was said to be.
-    told: BTreeMap<(Rank, LogId), (u64, Micros)>,
+    partitions: BTreeMap<(Rank, Rank), Micros>,
+    truth: BTreeMap<LogId, BTreeMap<u64, RecordedChange>>,
+    /// The last claim of each replica.
+    claims: BTreeMap<(Rank, LogId), (u64, Micros)>,
     next: u32,
     config: Config,
     datagrams: u64,
@@ -56,19 +56,19 @@
             now: 1_000 * SECOND,
             rng: fastrand::Rng::with_seed(seed),
             senders: vec![],
-            under_way: vec![],
+            in_flight: vec![],
             loss,
-            cuts: BTreeMap::new(),
+            partitions: BTreeMap::new(),
             truth: BTreeMap::new(),
-            told: BTreeMap::new(),
+            claims: BTreeMap::new(),
             next: 0,
             config: serde_json::from_str(config).unwrap(),
             datagrams: 0,
             checks: 0,
         };
         for rank in 0..SIZE {
-            let (folder, open, making) = (BTreeMap::new(), vec![], vec![]);
-            tier.senders.push(Sender { index: None, folder, open, making, down: None });
+            let (folder, open, unwritten) = (BTreeMap::new(), vec![], vec![]);
+            tier.senders.push(Sender { index: None, folder, open, unwritten, down: None });
             tier.start(rank);
         }
         tier
@@ -81,30 +81,32 @@
         let old = segments.iter().map(|(at, _)| *at).collect();
         let place = Place { own: rank as Rank, tier: 9, hosts: (0..SIZE as u32).collect() };
         let restored = restore(&segments, 1, now);
-        let mut index = Index::new(&self.config, place, restored, old, (ROOM, 1), seed, now);
+        let mut index = Index::new(&self.config, place, restored, old, (FOLDER_BYTES, 1), seed, now);
         index.settle(now, |entry| sender.open.contains(&entry.id));
         (sender.index, sender.down) = (Some(index), None);
         self.record_renewed(rank);
     }
 
-    /// What a new life begins with are changes of that life.
+    /// The entries with which a new generation starts are changes of that generation.
     fn record_renewed(&mut self, rank: usize) {
         let now = self.now;
         let sender = &mut self.senders[rank];
         let Some(index) = &sender.index else { return };
         let log = index.own_log();
         let known = self.truth.get(&log);
-        let making: BTreeSet<u64> =
-            sender.making.iter().filter(|(id, ..)| *id == log).map(|(_, number, _)| *number).collect();
+        let unwritten: BTreeSet<u64> =
+            sender.unwritten.iter().filter(|(id, ..)| *id == log).map(|(_, number, _)| *number).collect();
         for held in index.log().table().rows() {
-            if !making.contains(&held.number) && known.is_none_or(|known| !known.contains_key(&held.number)) {
-                let made = Made { id: held.entry.id.clone(), states: held.entry.states, at: now };
-                sender.making.push((log, held.number, made));
+            if !unwritten.contains(&held.number)
+                && known.is_none_or(|known| !known.contains_key(&held.number))
+            {
+                let made = RecordedChange { id: held.entry.id.clone(), states: held.entry.states, at: now };
+                sender.unwritten.push((log, held.number, made));
             }
         }
     }
 
-    /// The process is gone, with or without its folder, maybe within its last write.
+    /// Stops the process, with or without loss of its folder, possibly during its last write.
     fn crash(&mut self, rank: usize, folder_kept: bool, back: Micros) {
         if self.senders[rank].index.is_none() {
             return;
@@ -119,27 +121,27 @@
             }
         }
         let sender = &mut self.senders[rank];
-        sender.making.clear();
+        sender.unwritten.clear();
         (sender.index, sender.down) = (None, Some(back));
         if !folder_kept {
             sender.folder.clear();
             sender.open.clear();
         }
-        self.told.retain(|(holder, _), _| *holder != rank as Rank);
+        self.claims.retain(|(holder, _), _| *holder != rank as Rank);
     }
 
-    fn facts(&self, own: Rank) -> MembershipView {
-        let fact = |sender: &Sender| MemberView {
-            state: if sender.index.is_some() { Held::Alive } else { Held::Dead },
+    fn view(&self, own: Rank) -> MembershipView {
+        let member = |sender: &Sender| MemberView {
+            state: if sender.index.is_some() { MemberState::Alive } else { MemberState::Dead },
             since: 0,
             incarnation: 1,
             same_zone: true,
         };
-        let members = self.senders.iter().map(fact).collect();
+        let members = self.senders.iter().map(member).collect();
         MembershipView { own, members, isolated: false, minority: false }
     }
 
-    /// Something happens to a message here.
+    /// Changes a random message of this sender, or accepts a new one.
     fn change(&mut self, rank: usize) {
         let now = self.now;
         let sender = &mut self.senders[rank];
@@ -177,7 +179,7 @@
         };
         let Some(number) = number else { return };
         let states = index.log().table().at(number).unwrap().entry.states;
-        sender.making.push((log, number, Made { id, states, at: now }));
+        sender.unwritten.push((log, number, RecordedChange { id, states, at: now }));
     }
 
     fn step(&mut self, changes: f64) {
@@ -190,11 +192,11 @@
             if self.rng.f64() < changes {
                 self.change(rank);
             }
-            let facts = self.facts(rank as Rank);
+            let view = self.view(rank as Rank);
             let sender = &mut self.senders[rank];
             let Some(index) = &mut sender.index else { continue };
             if index.view_due(now) {
-                index.set_view(Some(facts));
+                index.set_view(Some(view));
             }
             if index.due() > now {
                 continue;
@@ -207,7 +209,7 @@
                     Step::Remove(at) => drop(sender.folder.remove(&at)),
                 }
             }
-            for (log, number, made) in sender.making.drain(..) {
+            for (log, number, made) in sender.unwritten.drain(..) {
                 let before = self.truth.entry(log).or_default().insert(number, made);
                 assert!(before.is_none(), "number {number} of {log:?} is given out twice");
             }
@@ -217,18 +219,18 @@
                 assert!(bytes.len() <= 256);
                 self.datagrams += 1;
                 let from = rank as Rank;
-                if self.cuts.get(&(from, to)).is_some_and(|until| now < *until) {
+                if self.partitions.get(&(from, to)).is_some_and(|until| now < *until) {
                     continue;
                 }
                 for _ in 0..if self.rng.f64() < 0.05 { 2 } else { 1 } {
                     if self.rng.f64() >= self.loss {
-                        self.under_way.push((now + self.rng.u64(500..20_000), from, to, bytes.clone()));
+                        self.in_flight.push((now + self.rng.u64(500..20_000), from, to, bytes.clone()));
                     }
                 }
             }
         }
-        let (come, later): (Vec<_>, Vec<_>) = self.under_way.drain(..).partition(|(at, ..)| *at <= now);
-        self.under_way = later;
+        let (come, later): (Vec<_>, Vec<_>) = self.in_flight.drain(..).partition(|(at, ..)| *at <= now);
+        self.in_flight = later;
         for (_, from, to, bytes) in come {
             if let Some(index) = &mut self.senders[usize::from(to)].index {
                 let before = index.own_log();
@@ -249,13 +251,13 @@
         }
     }
 
-    /// No copy claims what it does not hold, and none goes back.
+    /// Checks that no replica claims what it does not hold, and that no claim goes back.
     fn check(&mut self) {
         for (rank, sender) in self.senders.iter().enumerate() {
             let Some(index) = &sender.index else { continue };
-            for (log, copy) in index.store().logs() {
-                let (upto, as_of) = (copy.reached.upto, copy.reached.as_of);
-                let before = self.told.insert((rank as Rank, *log), (upto, as_of)).unwrap_or_default();
+            for (log, replica) in index.store().logs() {
+                let (upto, as_of) = (replica.reached.upto, replica.reached.as_of);
+                let before = self.claims.insert((rank as Rank, *log), (upto, as_of)).unwrap_or_default();
                 assert!(before.0 <= upto && before.1 <= as_of, "{rank} went back in {log:?}");
                 if upto == 0 && as_of == 0 {
                     continue;
@@ -267,7 +269,7 @@
                     "{rank} claims {upto} of {log:?}, which never was"
                 );
                 for (number, made) in truth.range(..=upto) {
-                    let held = copy.table.get(&myrtleyard::status::shards::key_of("t", &made.id));
+                    let held = replica.table.get(&myrtleyard::status::shards::key_of("t", &made.id));
                     let held =
                         held.unwrap_or_else(|| panic!("{rank} claims {upto} of {log:?} without {number}"));
                     assert!(held.number >= *number, "{rank} claims {upto} and has {} older", made.id);
@@ -295,8 +297,9 @@
         panic!("no answer within its time");
     }
 
-    /// What an answer says it has read of each log is in its rows.
-    fn hold(&self, answer: &Answer, query: &Query) -> usize {
+    /// Checks that the rows of an answer contain everything up to the watermarks that it states; returns the
+    /// number of changes checked.
+    fn check_answer(&self, answer: &Answer, query: &Query) -> usize {
         let rows: BTreeMap<&str, States> =
             answer.rows.iter().map(|row| (row.id.as_str(), row.states)).collect();
         let mut held = 0;
@@ -321,14 +324,15 @@
     }
 }
 
-const ROOMY: &str = r#"{"room_mb": 64, "keep_s": 86400}"#;
+const LARGE_CONFIG: &str = r#"{"room_mb": 64, "keep_s": 86400}"#;
 
-/// Guards positions and numbers over whatever chance brings, and answers against passing for more than they are.
+/// Guards against wrong watermarks and numbers under random faults, and against answers that claim more than
+/// they hold.
 #[test]
-fn nobody_claims_what_it_does_not_hold() {
-    let (mut checks, mut whole, mut partial, mut held, mut lives) = (0, 0, 0, 0, 0);
+fn replicas_claim_only_changes_that_they_hold() {
+    let (mut checks, mut complete, mut partial, mut held, mut generations) = (0, 0, 0, 0, 0);
     for seed in 0..9 {
-        let mut tier = Tier::new(seed, [0.0, 0.1, 0.3][seed as usize % 3], ROOMY);
+        let mut tier = Tier::new(seed, [0.0, 0.1, 0.3][seed as usize % 3], LARGE_CONFIG);
         tier.run(2 * SECOND, 0.02);
         for _ in 0..8 {
             let rank = tier.rng.usize(..SIZE);
@@ -339,9 +343,9 @@
                 _ => {
                     let both = tier.rng.bool();
                     for other in (0..SIZE as Rank).filter(|other| usize::from(*other) != rank) {
-                        tier.cuts.insert((rank as Rank, other), until);
+                        tier.partitions.insert((rank as Rank, other), until);
                         if both {
-                            tier.cuts.insert((other, rank as Rank), until);
+                            tier.partitions.insert((other, rank as Rank), until);
                         }
                     }
                 }
@@ -352,24 +356,25 @@
             let rank = up[tier.rng.usize(..up.len())];
             let query = tier.any_ids();
             let answer = tier.ask(rank, &query);
-            held += tier.hold(&answer, &query);
+            held += tier.check_answer(&answer, &query);
             assert_eq!(answer.partial, answer.reached < answer.asked);
-            whole += usize::from(!answer.partial);
+            complete += usize::from(!answer.partial);
             partial += usize::from(answer.partial);
         }
-        tier.cuts.clear();
+        tier.partitions.clear();
         tier.run(14 * SECOND, 0.0);
         converged(&mut tier, seed);
         checks += tier.checks;
-        lives += tier.truth.len();
+        generations += tier.truth.len();
     }
     println!(
-        "{checks} changes checked, {lives} lives, answers: {whole} whole, {partial} partial, {held} changes told"
+        "{checks} changes checked, {generations} generations, answers: {complete} complete, \
+         {partial} partial, {held} changes found"
     );
-    assert!(checks > 50_000 && lives > 40 && whole > 20 && partial > 2 && held > 1_000);
+    assert!(checks > 50_000 && generations > 40 && complete > 20 && partial > 2 && held > 1_000);
 }
 
-/// In a calm each chosen replica has all of the owner's log, as of just now.
+/// Checks that, without faults, each chosen replica holds all of the owner's log with a recent watermark.
 fn converged(tier: &mut Tier, seed: u64) {
     tier.check();
     for rank in 0..SIZE as Rank {
@@ -388,11 +393,12 @@
     }
 }
 
-/// Guards a lost folder: what its replicas have stays readable, at the owner too, beside what it does from then on.
+/// Guards against loss of the folder: what its replicas hold stays readable, at the owner too, beside what
+/// the owner records afterwards.
 #[test]
-fn what_a_lost_folder_held_is_read_at_its_replicas() {
+fn entries_of_a_lost_folder_are_read_from_replicas() {
     for seed in 0..6 {
-        let mut tier = Tier::new(seed, 0.1, ROOMY);
+        let mut tier = Tier::new(seed, 0.1, LARGE_CONFIG);
         tier.run(4 * SECOND, 0.05);
         tier.run(2 * SECOND, 0.0);
         let lost = tier.senders[2].index.as_ref().unwrap().own_log();
@@ -401,14 +407,14 @@
         tier.run(SECOND / 2, 0.0);
         let mut query: Query = serde_json::from_str(r#"{"tenant": "t", "limit": 1000}"#).unwrap();
         query.ids = of_lost.into_iter().rev().take(100).collect();
-        // While it is away, and after it came back with an empty folder.
+        // While it is down, and after it came back with an empty folder.
         for _ in 0..2 {
             for rank in [0, 1, 3, 4] {
                 let answer = tier.ask(rank, &query);
                 assert!(!answer.partial && answer.not_known.is_empty(), "seed {seed}: {:?}", answer.missing);
                 let told = answer.logs.iter().find(|told| told.log == lost).expect("its log is named");
                 assert!(told.server != 2 || tier.senders[2].index.is_some());
-                tier.hold(&answer, &query);
+                tier.check_answer(&answer, &query);
             }
             tier.run(5 * SECOND, 0.02);
         }
@@ -419,13 +425,14 @@
     }
 }
 
-/// Guards the budget: catching up after a long cut stays within the stated bytes a second, and comes to its end.
+/// Guards the bandwidth limit: catching up after a long partition stays within the bytes per second, and
+/// completes.
 #[test]
-fn catching_up_is_bounded_and_ends() {
-    let mut tier = Tier::new(7, 0.0, ROOMY);
+fn catch_up_after_a_partition_stays_within_the_bandwidth_and_completes() {
+    let mut tier = Tier::new(7, 0.0, LARGE_CONFIG);
     for other in 1..SIZE as Rank {
-        tier.cuts.insert((0, other), tier.now + 20 * SECOND);
-        tier.cuts.insert((other, 0), tier.now + 20 * SECOND);
+        tier.partitions.insert((0, other), tier.now + 20 * SECOND);
+        tier.partitions.insert((other, 0), tier.now + 20 * SECOND);
     }
     for _ in 0..60 {
         (0..40).for_each(|_| tier.change(0));
@@ -433,12 +440,12 @@
     }
     let before = tier.datagrams;
     tier.run(SECOND, 0.0);
-    // Data, its answers, and what the mesh says to keep its channels.
+    // Data, its acknowledgements, and what the mesh sends to keep its channels.
     assert!(tier.datagrams - before < 14_000, "{} datagrams", tier.datagrams - before);
     tier.run(12 * SECOND, 0.0);
     converged(&mut tier, 7);
     let before = tier.datagrams;
     tier.run(10 * SECOND, 0.0);
-    // A beat and its answer for each replica a second.
+    // A heartbeat and its acknowledgement per second for each replica.
     assert!(tier.datagrams - before < 10 * 10 * 8, "{} datagrams in a calm", tier.datagrams - before);
 }
