--- a/src/plans/adopted.rs
+++ b/src/plans/adopted.rs
@@ -1,24 +1,26 @@
-//! What an adopter may say of the log of the sender from which it has taken over. Changes were told to two covers, and
-//! either's word was enough to go on, so that neither has all of them. The adopter says nothing until both have told
-//! all that they know; then it has what was ever granted, as far as that is without gaps.
+//! What an adopter may state about the log of the sender that it has taken over. Each change was sent to two
+//! backups, and the acknowledgement of either was enough to continue, so neither backup has all changes. The
+//! adopter states nothing until both have reported all that they know; then it has everything that was ever
+//! granted, as far as it is without gaps.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::status::Rank;
 
-/// Numbers beyond a gap that are remembered of one cover; more of them are forgotten, which only says less.
+/// Maximum number of changes beyond a gap that are stored for one backup; dropping more only makes the stated
+/// position smaller.
 pub const MAX_BEYOND: usize = 1_024;
 
-/// What one cover knows of the log.
+/// The changes of the log known to one backup.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct ReplicaNumbers {
     /// All changes up to this number.
     pub upto: u64,
-    /// These beyond it.
+    /// Changes beyond it.
     pub beyond: BTreeSet<u64>,
 }
 
-/// An adoption of one log by its two covers' facts.
+/// The adoption of a log, from the reports of its two backups.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Adopted {
     told: BTreeMap<Rank, ReplicaNumbers>,
@@ -26,12 +28,12 @@
 }
 
 impl Adopted {
-    /// Of a log with these covers.
+    /// An adoption of a log with these backups.
     pub fn new(covers: (Rank, Rank)) -> Self {
         Self { told: BTreeMap::new(), covers: Some(covers) }
     }
 
-    /// A cover has told all that it knows. What it told before holds still.
+    /// A backup has reported all that it knows. Its earlier reports still hold.
     pub fn report(&mut self, cover: Rank, known: ReplicaNumbers) {
         if self.covers.is_some_and(|covers| cover == covers.0 || cover == covers.1) {
             let held = self.told.entry(cover).or_default();
@@ -43,7 +45,7 @@
         }
     }
 
-    /// Up to which number it has all changes; nothing as long as a cover has not told.
+    /// The number up to which the adopter has all changes; none until both backups have reported.
     pub fn upto(&self) -> Option<u64> {
         let (one, other) = self.covers?;
         let (one, other) = (self.told.get(&one)?, self.told.get(&other)?);
--- a/src/plans/limits.rs
+++ b/src/plans/limits.rs
@@ -1,5 +1,6 @@
-//! Whose plan it is, what it entitles to, and how many reads a second it bears at one sender. Rates are held by the
-//! generic cell rate algorithm (ITU-T I.371): one time per tenant, and a tenant at rest needs none.
+//! The plans of tenants, what they permit, and the limit of reads per second at one sender. Rates are
+//! enforced by the generic cell rate algorithm (ITU-T I.371): one time per tenant, and none for an idle
+//! tenant.
 
 use std::collections::BTreeMap;
 
@@ -12,19 +13,19 @@
 use crate::error_code::CodedError;
 use crate::interface::Micros;
 
-/// Tenants whose rate and counts are kept at most.
+/// Maximum number of tenants with a rate and counters of their own.
 pub const MAX_TENANTS: usize = 1_024;
-/// Whoever does not fit shares this one's rate and counts. No tenant is called so.
+/// Tenants beyond the maximum share the rate and counters of this name. No tenant has this name.
 pub const OTHERS: &str = "(others)";
-/// The plan of those that have none of their own.
+/// The plan of tenants that have none of their own.
 pub const DEFAULT: &str = "default";
-/// A second's reads may come at once, microseconds.
+/// The reads of one second may come at once, microseconds.
 const BURST: Micros = 1_000_000;
 
-/// Why a read is not begun.
+/// Why a read is rejected before it begins.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Denied {
-    /// It came with a token, and its plan has no sessions.
+    /// It has a session token, but its plan has no sessions.
     #[error("plan {plan} has level {level}: reads with a session token need level session")]
     NoSession {
         /// The plan by its key in the section `plans`.
@@ -32,53 +33,53 @@
         /// Its level.
         level: &'static str,
     },
-    /// Its token can't be read.
+    /// Its token cannot be decoded.
     #[error("{0}")]
     Token(#[from] TokenError),
-    /// The tenant's reads of this second are used up at this sender.
+    /// The tenant's reads of this second at this sender are used up.
     #[error("plan {plan} allows {reads_per_s} reads a second; the next one in {after_ms} ms")]
     Rate {
         /// The plan by its key in the section `plans`.
         plan: String,
         /// Its rate.
         reads_per_s: u32,
-        /// When there is room again, milliseconds.
+        /// When the next read is possible, milliseconds.
         after_ms: u64,
     },
-    /// The tenant's budget of this minute is used up or lent elsewhere, at the whole fleet.
+    /// The tenant's budget of this minute for the whole fleet is used up or leased to other senders.
     #[error("the {what} of this minute that plan {plan} allows are used up or lent; again in {after_ms} ms")]
     Later {
         /// The plan by its key in the section `plans`.
         plan: String,
         /// Queries or bytes.
         what: &'static str,
-        /// When there may be room again, milliseconds.
+        /// When budget may be available again, milliseconds.
         after_ms: u64,
     },
-    /// It may touch more shards than a read may.
+    /// It may touch more shards than a read is allowed.
     #[error("the read may touch {most} shards, and plan {plan} allows {allowed}")]
     Shards {
         /// The plan by its key in the section `plans`.
         plan: String,
-        /// What it may touch.
+        /// The number of shards that it may touch.
         most: u64,
-        /// What it may.
+        /// The number allowed.
         allowed: u32,
     },
-    /// It may read more bytes than a whole minute has.
+    /// It may read more bytes than are allowed in a whole minute.
     #[error("the read may take {most} bytes, and plan {plan} allows {allowed} a minute")]
     Bytes {
         /// The plan by its key in the section `plans`.
         plan: String,
-        /// What it may read.
+        /// The number of bytes that it may read.
         most: u64,
-        /// What all reads of a minute may.
+        /// The number allowed for all reads of a minute.
         allowed: u64,
     },
 }
 
 impl Denied {
-    /// A stable name.
+    /// The stable error code.
     pub fn code(&self) -> &'static str {
         CodedError::code(self)
     }
@@ -88,7 +89,7 @@
         CodedError::remedy(self)
     }
 
-    /// When it may be asked again, milliseconds; nothing if that alone does not help.
+    /// When the read may be retried, milliseconds; none if waiting alone does not help.
     pub fn again_ms(&self) -> Option<u64> {
         match self {
             Self::Rate { after_ms, .. } | Self::Later { after_ms, .. } => Some(*after_ms),
@@ -106,57 +107,58 @@
     ..Token;
 } }
 
-/// Counts of one tenant's reads at one level, since the process began.
+/// Counters of one tenant's reads at one level, since the process started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Worth what the plan says.
+    /// Reads that met the plan.
     pub kept: u64,
-    /// Less, and told so.
+    /// Reads answered with less, which the answer stated.
     pub less: u64,
-    /// Refused, since it would have been less.
+    /// Reads refused because the answer would have been less.
     pub refused: u64,
-    /// Not begun: no session in the plan, an unreadable token, too many, or too large.
+    /// Reads rejected before they began: no session in the plan, an invalid token, too many reads, or too
+    /// large a read.
     pub denied: u64,
     /// Logs read here.
     pub here: u64,
-    /// Questions to other senders.
+    /// Requests to other senders.
     pub asked: u64,
-    /// Times that a log had to wait.
+    /// Number of times that a log had to wait.
     pub waits: u64,
-    /// Logs told as late.
+    /// Logs reported as late.
     pub late: u64,
-    /// Logs told as lost.
+    /// Logs reported as lost.
     pub lost: u64,
 }
 
-/// What a read that has ended adds to the counts.
+/// What a finished read adds to the counters.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tally {
     /// Logs read here.
     pub here: u64,
-    /// Questions to other senders.
+    /// Requests to other senders.
     pub asked: u64,
-    /// Times that a log had to wait.
+    /// Number of times that a log had to wait.
     pub waits: u64,
 }
 
-/// All tenants' plans and what has become of their reads at this sender.
+/// The plans of all tenants, and counters of their reads at this sender.
 #[derive(Debug, Default)]
 pub struct Plans {
     config: Config,
     fallback: Plan,
-    /// When a tenant's bucket is full again; who is not in it, has a full one.
+    /// When a tenant's bucket is full again; a tenant without an entry has a full one.
     full_at: BTreeMap<String, Micros>,
     counts: BTreeMap<(String, Level), Counts>,
 }
 
 impl Plans {
-    /// With the section as it is.
+    /// Plans from the section of the settings.
     pub fn new(config: Config) -> Self {
         Self { config, ..Self::default() }
     }
 
-    /// The section has changed. Reads under way keep what they began with; rates count on.
+    /// Applies a changed section. Reads in progress keep the plan with which they began; rates continue.
     pub fn adopt(&mut self, config: Config) {
         self.config = config;
     }
@@ -167,15 +169,16 @@
         own.unwrap_or_else(|| (DEFAULT, self.config.get(DEFAULT).unwrap_or(&self.fallback)))
     }
 
-    /// Whether a tenant's 202 carries a token.
+    /// Whether a tenant's 202 answers carry a token.
     pub fn entitled(&self, tenant: &str) -> bool {
         self.of(tenant).1.level == Level::Session
     }
 
-    /// Lets a read begin: its plan, and its token as read.
+    /// Admits a read; returns its plan and its decoded token.
     ///
     /// # Errors
-    /// Tells why it does not begin; its rate is not charged for what its plan or its token keeps back.
+    /// The reason why it is rejected. A read that is rejected because of its plan or token is not charged to
+    /// the rate.
     pub fn admit(
         &mut self,
         tenant: &str,
@@ -208,12 +211,12 @@
     fn charge(&mut self, tenant: &str, reads_per_s: u32, now: Micros) -> Result<(), Micros> {
         let each = (BURST / Micros::from(reads_per_s.max(1))).max(1);
         if !self.full_at.contains_key(tenant) && self.full_at.len() >= MAX_TENANTS {
-            // Who is at rest needs no place.
+            // Idle tenants need no entry.
             self.full_at.retain(|_, full_at| *full_at > now);
         }
         let known = self.full_at.contains_key(tenant) || self.full_at.len() < MAX_TENANTS;
         let full_at = self.full_at.entry(if known { tenant } else { OTHERS }.to_owned()).or_default();
-        // A clock that stepped back must not keep anybody waiting for longer than a burst.
+        // A clock that stepped back must not block a tenant for longer than a burst.
         *full_at = (*full_at).clamp(now, now.saturating_add(BURST));
         let after = full_at.saturating_add(each);
         if after > now.saturating_add(BURST) {
@@ -223,7 +226,7 @@
         Ok(())
     }
 
-    /// A read that was let begin is not run, by what it would cost.
+    /// Counts an admitted read that is not run because of its estimated cost.
     pub fn denied(&mut self, tenant: &str) {
         let level = self.of(tenant).1.level;
         self.count(tenant, level).denied += 1;
@@ -235,7 +238,7 @@
         self.counts.entry(if known { key } else { (OTHERS.to_owned(), level) }).or_default()
     }
 
-    /// A read has ended.
+    /// Counts a read that has ended.
     pub fn ended(
         &mut self,
         tenant: &str,
@@ -262,7 +265,7 @@
         }
     }
 
-    /// Counts by tenant and level.
+    /// Counters by tenant and level.
     pub fn counts(&self) -> impl Iterator<Item = (&str, Level, &Counts)> {
         self.counts.iter().map(|((tenant, level), counts)| (tenant.as_str(), *level, counts))
     }
--- a/src/plans/mod.rs
+++ b/src/plans/mod.rs
@@ -1,5 +1,6 @@
-//! Reads by a tenant's plan: how fresh an answer has to be, what it may cost, and which sender gives it. Read-your-writes
-//! is a feature of the plan. Here are the words; the rooms below hold tokens and routing. No I/O.
+//! Reads according to a tenant's plan: how fresh an answer must be, what it may cost, and which sender gives
+//! it. Read-your-writes is a feature of the plan. This module holds the settings of plans; its submodules
+//! hold tokens and routing. No I/O.
 
 pub mod adopted;
 pub mod limits;
@@ -9,21 +10,21 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How fresh a tenant's reads are.
+/// The freshness of a tenant's reads.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
-    /// Whatever is nearest, with its age.
+    /// The nearest data, with its age.
     #[default]
     Any,
     /// Not older than `staleness_ms`.
     Bounded,
-    /// Read-your-writes and monotonic reads, by tokens.
+    /// Read-your-writes and monotonic reads, by session tokens.
     Session,
 }
 
 impl Level {
-    /// As in the configuration.
+    /// The name in the settings.
     pub fn name(self) -> &'static str {
         match self {
             Self::Any => "any",
@@ -33,43 +34,44 @@
     }
 }
 
-/// What becomes of a read that can't have its level within `wait_ms`.
+/// What happens to a read that cannot reach its level within `wait_ms`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fallback {
-    /// It is refused, and says what is missing.
+    /// The read is refused; the answer says what is missing.
     #[default]
     Refuse,
-    /// It is answered with what there is, and says that it is less.
+    /// The read is answered with the data available, and the answer says that it is less than the level
+    /// requires.
     TellStale,
 }
 
-/// One tenant's plan. The section `plans` holds one for each tenant by name, and `default`.
+/// The plan of a tenant. The section `plans` holds one for each tenant by name, and `default`.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// How fresh reads are.
+    /// The freshness of reads.
     #[serde(default)]
     pub level: Level,
-    /// For `bounded`: answers are not older, milliseconds.
+    /// For level `bounded`: maximum age of an answer, milliseconds.
     #[serde(default = "staleness")]
     pub staleness_ms: u32,
     /// How long a read may wait for a sender to catch up, milliseconds; the answer is due within 1 s.
     #[serde(default = "wait")]
     pub wait_ms: u32,
-    /// What becomes of it then.
+    /// What happens to the read after that time.
     #[serde(default, rename = "or")]
     pub otherwise: Fallback,
-    /// Reads a second at one sender.
+    /// Reads per second at one sender.
     #[serde(default = "reads")]
     pub reads_per_s: u32,
-    /// Queries a minute at the whole fleet.
+    /// Queries per minute in the whole fleet.
     #[serde(default = "queries")]
     pub queries_per_min: u32,
-    /// Shards that one query may touch.
+    /// Maximum number of shards that one query may touch.
     #[serde(default = "shards")]
     pub shards: u32,
-    /// Bytes that all queries of a minute may read at the whole fleet.
+    /// Maximum number of bytes that all queries of a minute may read in the whole fleet.
     #[serde(default = "bytes")]
     pub bytes_per_min: u64,
 }
@@ -78,7 +80,7 @@
 pub const WAIT_MS: (u32, u32) = (0, 800);
 /// Bounds of `staleness_ms`.
 pub const STALENESS_MS: (u32, u32) = (10, 3_600_000);
-/// Plans at most.
+/// Maximum number of plans.
 pub const MAX_PLANS: usize = 256;
 
 fn staleness() -> u32 {
@@ -120,5 +122,6 @@
     }
 }
 
-/// The section `plans`: each tenant's by name, and `default` for the others. It needs `status`.
+/// The section `plans` of the settings: plans by tenant name, and `default` for the others. It requires
+/// `status`.
 pub type Config = std::collections::BTreeMap<String, Plan>;
--- a/src/plans/route.rs
+++ b/src/plans/route.rs
@@ -1,10 +1,10 @@
-//! Which sender a log is read at. Decisions rest on hints: who announced how far it has a log, what the view says, what
-//! an estimate says that it costs. A hint that is wrong costs a detour. What an answer is worth is decided on the
-//! position that the answering sender states with it ([`Need::met`]), never here.
+//! Chooses the sender at which a log is read. Decisions rest on hints: the watermarks that senders announced,
+//! the membership view, the estimated cost. A wrong hint costs a detour. Whether an answer is sufficient is
+//! decided by the watermark that the answering sender states with it ([`Need::met`]), never here.
 //!
-//! The order, per log: a summary that covers the need and says that nothing is there; the cheapest of the senders that
-//! can keep the level and stand well; the owner, then an adopter; whoever may have it, but stands badly; a replica that is
-//! behind; waiting; the end.
+//! The order, per log: a summary that covers the need and says that nothing is there; the cheapest of the
+//! healthy senders that can meet the level; the owner, then an adopter; a sender that may have it, but is not
+//! healthy; a replica that is behind; waiting; the end.
 
 use std::collections::BTreeMap;
 
@@ -14,93 +14,96 @@
 use crate::membership::{MembershipView, State};
 use crate::status::{LogId, Positions, Rank, Watermark};
 
-/// Senders that are considered for one log: more of them are not looked at.
+/// Maximum number of senders considered for one log.
 pub const MAX_HOLDERS: usize = 16;
-/// A sender that came into the view less than this ago is starting, microseconds.
+/// A sender that joined the membership view less than this ago counts as starting, microseconds.
 pub const STARTING: Micros = 5_000_000;
 
-/// What a sender is to a log, as far as it is known here.
+/// The role of a sender for a log, as far as it is known here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// It writes it, or did.
+    /// It writes the log, or did.
     Owner,
-    /// It has taken over what the owner had in hand, and has both covers' facts.
+    /// It has taken over the pending messages of the owner, and has the log records of both backups.
     Adopter,
-    /// It gets it from the owner.
+    /// It receives the log from the owner.
     Replica,
 }
 
-/// Somebody who may hold a log.
+/// A sender that may hold a log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Holder {
-    /// Who.
+    /// The sender.
     pub rank: Rank,
-    /// What it is to the log.
+    /// Its role for the log.
     pub role: Role,
-    /// How far, as it announced; nothing if it did not.
+    /// The watermark that it announced; zero if it did not.
     pub reached: Watermark,
 }
 
-/// A log that may hold rows, with those who may hold the log.
+/// A log that may contain matching rows, with the senders that may hold it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Log {
-    /// Which.
+    /// The log.
     pub id: LogId,
-    /// Who, besides its owner's rank, which is always considered; [`MAX_HOLDERS`] at most.
+    /// The senders that may hold it, at most [`MAX_HOLDERS`]; the owner is always considered.
     pub holders: Vec<Holder>,
-    /// A summary covers the log so far, and says that no row is in it.
+    /// The watermark up to which a summary covers the log and says that it contains no matching row.
     pub empty: Option<Watermark>,
 }
 
-/// What a route is chosen by.
+/// The information by which a route is chosen.
 pub struct RouteContext<'a> {
     /// This sender.
     pub own: Rank,
-    /// How far this sender has the logs that it keeps.
+    /// The watermarks of the logs that this sender holds.
     pub here: &'a Positions,
-    /// The view, if there is one.
+    /// The membership view, if there is one.
     pub facts: Option<&'a MembershipView>,
-    /// Who may hold which log.
+    /// The logs, with the senders that may hold them.
     pub logs: &'a [Log],
-    /// What it costs to read a log at a sender, by estimate; any unit, the less the better.
+    /// Estimated cost of reading a log at a sender, in any unit; less is better.
     pub cost: &'a dyn Fn(Rank, LogId) -> u64,
-    /// Whether a sender has more to do than it can.
+    /// Whether a sender is overloaded.
     pub busy: &'a dyn Fn(Rank) -> bool,
 }
 
-/// What an answer must be worth.
+/// The requirement that an answer for a log must meet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Need {
-    /// Anything.
+    /// None.
     Any,
-    /// Nothing had happened beyond it then or later, by the owner's clock, Unix microseconds.
+    /// The watermark must be at least this recent: by the owner's clock, nothing beyond it had happened at
+    /// this time, Unix microseconds.
     Since(Micros),
     /// All changes up to this number.
     Upto(u64),
-    /// All that there is: the owner's own word, since the token overflowed and does not name the log.
+    /// All changes, as confirmed by the owner itself: the token overflowed and does not name the log.
     All,
 }
 
-/// What a sender states of a log that it is asked for.
+/// A sender's reply for a log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HolderReply {
-    /// It has it so far.
+    /// It holds the log up to this watermark.
     Has(Watermark),
-    /// It is the owner, in another life: nobody writes this log any more.
+    /// It is the owner, in another generation: no sender writes this log any more.
     Over,
-    /// It has nothing of it.
+    /// It holds nothing of the log.
     Nothing,
-    /// It can't say yet: it reads its folder, or takes over and lacks a cover's facts.
+    /// It cannot answer yet: it is reading its folder, or is taking over and lacks the log records of a
+    /// backup.
     NotYet,
     /// It did not answer in time.
     Silent,
 }
 
 impl Need {
-    /// Whether what a sender states keeps it. This is the proof; hints go through [`Need::hoped`].
+    /// Whether a stated watermark meets the requirement. This is the proof; hints are checked by
+    /// [`Need::hoped`].
     pub fn met(self, log: LogId, from: Rank, reached: Watermark) -> bool {
         match self {
             Self::Any => true,
@@ -119,26 +122,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "lowercase", tag = "route", content = "at")]
 pub enum Route {
-    /// Nowhere: nothing is in it.
+    /// Nowhere: it contains no matching row.
     NotTouched,
     /// At this sender.
     Here,
-    /// At another one that holds it.
+    /// At another sender that holds it.
     At(Rank),
     /// At its owner.
     Owner(Rank),
-    /// At the one that took over from its owner.
+    /// At the sender that took over from its owner.
     Adopter(Rank),
-    /// Nowhere yet, until then at most, microseconds.
+    /// Not yet; waits at most until this time, microseconds.
     Wait(Micros),
-    /// Nowhere any more: the owner has begun another life, and nobody who may have what is needed has it.
+    /// Not possible any more: the owner has started another generation, and no sender that may hold the
+    /// needed changes has them.
     Lost,
-    /// Nowhere in time.
+    /// Not possible in time.
     Late,
 }
 
 impl Route {
-    /// Whom it asks, if anybody.
+    /// The sender to ask, if any.
     pub fn asks(self, own: Rank) -> Option<Rank> {
         match self {
             Self::Here => Some(own),
@@ -148,39 +152,40 @@
     }
 }
 
-/// Why.
+/// The reason for a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// A summary that covers what is needed says that no row is there.
+    /// A summary that covers the need says that no matching row is there.
     Summary,
-    /// The cheapest of those that can keep the level, as far as is known.
+    /// The cheapest of the senders that can meet the need, as far as is known.
     Cheapest,
-    /// Nobody else is known to keep the level.
+    /// No other sender is known to meet the need.
     OnlyOwner,
     /// The token overflowed and does not name this log.
     Overflowed,
-    /// The owner did not help, and it has taken over.
+    /// The owner could not answer, and this sender has taken over.
     TookOver,
-    /// It is suspect, starting, gone by the view, or has too much to do; but nobody better is left.
+    /// It is suspect, starting, gone according to the membership view, or overloaded, but no better sender is
+    /// left.
     LastResort,
     /// It was behind, and may have caught up.
     CatchUp,
-    /// The owner's life is over: it may have what is left.
+    /// The log's generation has ended: this sender may hold what remains.
     Remains,
-    /// All were asked, and are behind or silent.
+    /// All senders were asked, and are behind or silent.
     Behind,
     /// The time to wait is over.
     TimeUp,
-    /// It was asked as often as is allowed.
+    /// The log was requested as often as is allowed.
     Often,
-    /// The owner and all that may hold it have said that they have less.
+    /// The owner and all senders that may hold the log have replied that they have less.
     Gone,
-    /// The read has taken as much as it may.
+    /// The read has used up its allowance.
     Cut,
 }
 
-/// How a sender stands: the lesser, the better.
+/// The health of a sender; smaller is better.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Standing {
     Well,
@@ -206,20 +211,20 @@
     }
 }
 
-/// What is known of one log's read so far.
+/// The progress of reading one log.
 #[derive(Debug, Clone, Copy)]
 pub struct Progress<'a> {
-    /// What it must be worth.
+    /// The requirement.
     pub need: Need,
-    /// What those who were asked have said, in this round.
+    /// The replies in this round.
     pub replies: &'a BTreeMap<Rank, HolderReply>,
-    /// It has waited before: who is behind by the hints is asked, too.
+    /// The read has waited before: senders that are behind according to the hints are asked, too.
     pub again: bool,
     /// Until when it may wait.
     pub until: Micros,
 }
 
-/// Everybody who may hold the log, the owner's rank among them, each once.
+/// All senders that may hold the log, including its owner, each once.
 fn holders(log: LogId, world: &RouteContext<'_>) -> Vec<Holder> {
     let none = Watermark { upto: 0, as_of: 0 };
     let mut all: BTreeMap<Rank, Holder> = BTreeMap::new();
@@ -237,11 +242,11 @@
     all.into_values().collect()
 }
 
-/// Where a log is read next.
+/// Chooses where a log is read next.
 pub fn route(log: LogId, progress: Progress<'_>, world: &RouteContext<'_>, now: Micros) -> (Route, Reason) {
     let Progress { need, replies: said, again, until } = progress;
     let empty = world.logs.iter().find(|known| known.id == log).and_then(|known| known.empty);
-    // Only the owner's own word is worth all of it.
+    // `Need::All` can only be met by the owner itself.
     if need != Need::All && empty.is_some_and(|empty| need.met(log, log.owner, empty)) {
         return (Route::NotTouched, Reason::Summary);
     }
@@ -263,7 +268,7 @@
         (route, reason)
     };
     let hoped = |holder: &&&Holder| need.hoped(log, holder);
-    // One that is known to hold nothing of the log can't answer for it, whatever the level is.
+    // A sender that is known to hold nothing of the log cannot answer for it at any level.
     let holds = |holder: &&&Holder| holder.reached.upto > 0 || holder.reached.as_of > 0;
     if let Some(cheapest) = left.iter().filter(hoped).filter(holds).filter(well).min_by_key(price) {
         let reason = if need == Need::All { Reason::Overflowed } else { Reason::Cheapest };
@@ -284,7 +289,7 @@
         return to(owner, Reason::LastResort);
     }
     let over = said.get(&log.owner) == Some(&HolderReply::Over);
-    // Whoever is furthest, first: what the hints say may be old.
+    // The most advanced sender first: hints may be outdated.
     let furthest = |holder: &&&Holder| (u64::MAX - holder.reached.upto, price(holder));
     if let Some(behind) = left.iter().filter(|_| over || again || need == Need::Any).min_by_key(furthest) {
         return to(behind, if over { Reason::Remains } else { Reason::CatchUp });
@@ -298,9 +303,9 @@
     }
 }
 
-/// Whether nobody can ever have what is needed: the owner says so, by being in another life, and all others that may
-/// hold the log have said since then that they have less; or the owner, in the log's own life, has less. Whoever was not
-/// heard may still have it.
+/// Whether the needed changes are lost for good. Either the owner replied that it is in another generation,
+/// and all others that may hold the log have replied since then that they have less; or the owner, in the
+/// log's own generation, has less. A sender without a reply may still hold them.
 fn lost(log: LogId, need: Need, said: &BTreeMap<Rank, HolderReply>, all: &[Holder]) -> bool {
     if matches!(need, Need::Any | Need::Since(_)) && said.get(&log.owner) != Some(&HolderReply::Over) {
         return false;
--- a/src/plans/session.rs
+++ b/src/plans/session.rs
@@ -1,8 +1,9 @@
-//! One read, from its plan to its end: each log that may hold rows is routed, asked for, and its answer checked against
-//! what the read has to be worth. An answer that is worth less is no answer: the log is routed anew, a bounded number of
-//! times. Rows and the position that proves them come and go together.
+//! One read, from its plan to its end: each log that may contain matching rows is routed and requested, and
+//! each answer is checked against the requirement of the read. An insufficient answer does not count: the log
+//! is routed again, a bounded number of times. Rows and the watermark that proves them are always handled
+//! together.
 //!
-//! A read keeps the plan that it began with. It ends within [`ANSWER_WITHIN`], whatever happens.
+//! A read keeps the plan with which it began. It ends within [`ANSWER_WITHIN`] in any case.
 
 use std::collections::BTreeMap;
 
@@ -14,76 +15,77 @@
 use crate::interface::Micros;
 use crate::status::{LogId, Rank, Watermark};
 
-/// From the beginning of a read to its end at most, microseconds. Its answer is due within 1 s.
+/// Maximum duration of a read, microseconds. Its answer is due within 1 s.
 pub const ANSWER_WITHIN: Micros = 800_000;
-/// Who has not answered after so long is routed round, microseconds.
+/// A sender that has not answered after this time is routed around, microseconds.
 pub const ASK_WITHIN: Micros = 150_000;
-/// How long a log that can't be read yet rests before it is looked at again, microseconds.
+/// Delay before a log that cannot be read yet is tried again, microseconds.
 pub const PAUSE: Micros = 40_000;
-/// Times that one log is asked for at most.
+/// Maximum number of requests for one log.
 pub const MAX_ASKS: usize = 24;
-/// Logs that one read touches at most.
+/// Maximum number of logs that one read touches.
 pub const MAX_LOGS: usize = 4_096;
 
-/// Something to be done for a read.
+/// A request that a read has to send.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Ask {
-    /// Its number in this read, which its answer comes with.
+    /// Its number within the read, which the answer repeats.
     pub number: u32,
-    /// Whom to ask; this sender too.
+    /// The sender to ask; may be this one.
     pub to: Rank,
-    /// For these logs, and what each must be worth.
+    /// The logs to read, with the requirement for each.
     pub logs: Vec<(LogId, Need)>,
-    /// Until when its answer is waited for.
+    /// How long its answer is waited for.
     pub by: Micros,
 }
 
-/// A step of a log's way.
+/// A step in the routing of a log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 pub struct Hop {
-    /// Where it went,
+    /// The route.
     #[serde(flatten)]
     pub route: Route,
-    /// and why.
+    /// The reason for it.
     pub reason: Reason,
 }
 
-/// What became of one log.
+/// The result of reading one log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// It was read, and is worth what it has to be.
+    /// It was read, and the answer meets the requirement.
     Kept,
-    /// Nothing is in it.
+    /// It contains no matching row.
     NotTouched,
-    /// Nobody can reach the need in time; somebody may later.
+    /// No sender can meet the requirement in time; one may later.
     Late,
-    /// Nobody ever will: the owner began another life, and nobody kept what is needed.
+    /// The requirement can never be met: the owner started another generation, and no sender holds the needed
+    /// changes.
     Lost,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Leg<R> {
     need: Need,
-    /// What those asked have said, since the last rest.
+    /// The replies since the last pause.
     said: BTreeMap<Rank, HolderReply>,
-    /// Who is asked, until when, and by which question.
+    /// The sender that was asked, until when its answer is waited for, and the number of the request.
     asked: Option<(Rank, Micros, u32)>,
-    /// The last question from before the owner said that its life is over.
+    /// Number of the last request before the owner replied that the generation has ended.
     over: Option<u32>,
-    /// When it is looked at again.
+    /// When it is tried again.
     rests: Option<Micros>,
     rested: bool,
     asks: usize,
     hops: Vec<Hop>,
-    /// The furthest answer, with its rows.
+    /// The most advanced answer, with its rows.
     best: Option<(Rank, Watermark, R)>,
     /// The greatest number that any answer may have shown: rows of several logs may have come together.
     shown: u64,
     verdict: Option<Verdict>,
 }
 
-/// A read under way. `R` is what an answer has for one log.
+/// A read in progress. `R` is the content of an answer for one log.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Read<R> {
     level: Level,
@@ -91,67 +93,67 @@
     token: Token,
     until: Micros,
     end: Micros,
-    /// Questions so far.
+    /// Number of requests so far.
     asks: u32,
-    /// Seen in logs that were not asked for.
+    /// Positions shown of logs that were not requested.
     came: Token,
     legs: BTreeMap<LogId, Leg<R>>,
 }
 
-/// How a read has ended.
+/// The outcome of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// All of it is worth what the plan says.
+    /// All of it meets the plan.
     Kept,
-    /// There is less, and it is told what.
+    /// It is less than the plan requires; the answer says what is missing.
     Less,
-    /// Nothing is shown; it is told why.
+    /// Nothing is shown; the answer says why.
     Refused,
 }
 
 /// One log of a read that has ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Part<R> {
-    /// Which.
+    /// The log.
     pub log: LogId,
-    /// What it had to be worth.
+    /// The requirement.
     pub need: Need,
-    /// What became of it.
+    /// The result.
     pub verdict: Verdict,
-    /// Its way.
+    /// The routing steps.
     pub hops: Vec<Hop>,
-    /// Who answered, how far it had the log, and what it gave; nothing for a refused read.
+    /// The sender that answered, its watermark, and the content of the answer; none for a refused read.
     pub answer: Option<(Rank, Watermark, R)>,
 }
 
 /// A read that has ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Ended<R> {
-    /// How.
+    /// The outcome.
     pub outcome: Outcome,
-    /// At which level.
+    /// The level.
     pub level: Level,
-    /// All of its logs.
+    /// The logs of the read.
     pub parts: Vec<Part<R>>,
-    /// What the next read of this session must not be older than. It was empty, and stays so, at other levels.
+    /// The token for the next read of this session. It is empty at levels other than `session`.
     pub token: Token,
-    /// The same without the logs that are lost, for a client that goes on without them; if some are, and the token did
-    /// not overflow.
+    /// The same token without the lost logs, for a client that continues without them; none if no log is lost
+    /// or the token overflowed.
     pub without_lost: Option<Token>,
 }
 
-/// More logs than [`MAX_LOGS`] may hold rows.
+/// More logs than [`MAX_LOGS`] may contain matching rows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{0} logs may hold rows, where {MAX_LOGS} are the most: ask for ids, or a shorter time")]
 pub struct TooManyLogs(pub usize);
 
 impl<R: Clone> Read<R> {
-    /// Begins one at a plan's level over the logs that may hold rows, and all that the token names. It ends after
-    /// `within` microseconds, or [`ANSWER_WITHIN`] if that is less.
+    /// Begins a read at a plan's level over the logs that may contain matching rows, and all logs that the
+    /// token names. It ends after `within` microseconds, or after [`ANSWER_WITHIN`] if that is less.
     ///
     /// # Errors
-    /// There are too many.
+    /// There are too many logs.
     pub fn begin(
         plan: &Plan,
         token: Token,
@@ -202,19 +204,19 @@
         })
     }
 
-    /// When it wants to go on without an answer; nothing if it has ended.
+    /// When [`Read::step`] has to be called next without an answer; none if the read has ended.
     pub fn due(&self) -> Option<Micros> {
         let open = self.legs.values().filter(|leg| leg.verdict.is_none());
         open.map(|leg| leg.asked.map(|asked| asked.1).or(leg.rests).unwrap_or(0).min(self.end)).min()
     }
 
-    /// Whether all is known that will be.
+    /// Whether all logs have a result.
     pub fn is_over(&self) -> bool {
         self.legs.values().all(|leg| leg.verdict.is_some())
     }
 
-    /// Goes on: whoever did not answer in time is routed round. What comes back is to be asked for, one question per
-    /// sender.
+    /// Advances the read: senders that did not answer in time are routed around. Returns the requests to
+    /// send, one per sender.
     pub fn step(&mut self, now: Micros, world: &RouteContext<'_>) -> Vec<Ask> {
         let mut asks: BTreeMap<Rank, Ask> = BTreeMap::new();
         let number = &mut self.asks;
@@ -231,7 +233,8 @@
             }
             if leg.rests.take().is_some() {
                 leg.rested = true;
-                // What can't change any more is kept: another life of the owner, and how far the owner had its log.
+                // Replies that cannot change any more are retained: another generation of the owner, and the
+                // owner's watermark of its log.
                 leg.said.retain(|rank, said| {
                     *rank == log.owner && matches!(said, HolderReply::Over | HolderReply::Has(_))
                 });
@@ -269,9 +272,9 @@
         asks.into_values().collect()
     }
 
-    /// A sender has answered a question for one of its logs, however late: what it states, and its rows. `shown` is the
-    /// greatest number of a change that may be in them, or be the reason that something is not, which may be beyond the
-    /// position that it states; 0 if it looked at nothing of the tenant's.
+    /// Handles a sender's reply to a request for one of its logs, however late: the reply and its rows.
+    /// `shown` is the greatest number of a change that may be in the rows, or may be the reason that a row is
+    /// missing; it may be beyond the stated watermark, and is 0 if no entry of the tenant was examined.
     pub fn answered(
         &mut self,
         (from, number): (Rank, u32),
@@ -281,15 +284,15 @@
     ) {
         let asks = self.asks;
         let Some(leg) = self.legs.get_mut(&log) else { return };
-        // Whatever becomes of the answer here: its rows may be shown for another log that came with it.
+        // Counts even if the answer is not used: its rows may be shown for another log that came with it.
         leg.shown = leg.shown.max(shown);
         if leg.verdict.is_some() {
             return;
         }
         leg.asked.take_if(|asked| asked.2 == number);
         if stated == HolderReply::Over && from == log.owner && leg.over.is_none() {
-            // Others may have got more of it since they answered, but get nothing more from now on: they are asked
-            // again, so that what is told as lost is.
+            // Other senders may have received more of the log since they answered, but receive nothing more
+            // from now on: they are asked again, so that only what is really lost is reported as lost.
             leg.said.clear();
             leg.over = Some(asks);
         }
@@ -297,7 +300,7 @@
             HolderReply::Has(reached) => Some(reached).filter(|reached| leg.need.met(log, from, *reached)),
             _ => None,
         };
-        // What was less before the owner's word may be more since.
+        // An insufficient reply from before the owner's may be sufficient by now.
         let old = from != log.owner && leg.over.is_some_and(|over| number <= over);
         if reached.is_none() && old {
             return;
@@ -312,26 +315,26 @@
         }
     }
 
-    /// With the rows of logs that were asked for came those of another one, up to this number.
+    /// Rows of another log, up to this number, came with those of the requested logs.
     pub fn record_shown(&mut self, log: LogId, shown: u64) {
         if self.level == Level::Session {
             self.came.observe(log, shown);
         }
     }
 
-    /// It has read as much as it may: what is open counts as late.
+    /// The read has used up its allowance: logs without a result count as late.
     pub fn cut(&mut self) {
         for leg in self.legs.values_mut().filter(|leg| leg.verdict.is_none()) {
             leg.ends(Verdict::Late, Hop { route: Route::Late, reason: Reason::Cut });
         }
     }
 
-    /// What it has come to, once it is over.
+    /// The result of the read, once it is over.
     pub fn ended(self) -> Ended<R> {
         let kept = |leg: &Leg<R>| matches!(leg.verdict, Some(Verdict::Kept | Verdict::NotTouched));
         let outcome = match self.otherwise {
             _ if self.legs.values().all(kept) => Outcome::Kept,
-            // The nearest there is is all that this level promises.
+            // This level promises no more than the nearest data.
             _ if self.level == Level::Any => Outcome::Less,
             Fallback::TellStale => Outcome::Less,
             Fallback::Refuse => Outcome::Refused,
@@ -343,8 +346,8 @@
         for (log, leg) in self.legs {
             let answer = leg.best.filter(|_| outcome != Outcome::Refused);
             if outcome != Outcome::Refused && leg.shown > 0 && self.level == Level::Session {
-                // All that it was shown, beyond what it asked for and beyond what the sender has without gaps. What was
-                // filtered out counts, since its absence was shown.
+                // Everything that was shown counts, even beyond the request and beyond the position up to
+                // which the sender is complete; also what was filtered out, since its absence was shown.
                 let upto = answer.as_ref().map_or(0, |(_, reached, _)| reached.upto);
                 token.observe(log, leg.shown.max(upto));
             }
@@ -365,7 +368,7 @@
         self.hops(hop);
     }
 
-    /// The first ones and the last one are kept.
+    /// Keeps the first steps and the last one.
     fn hops(&mut self, hop: Hop) {
         self.hops.truncate(MAX_ASKS);
         self.hops.push(hop);
--- a/src/plans/token.rs
+++ b/src/plans/token.rs
@@ -1,9 +1,11 @@
-//! Session tokens: what a session's next read must not be older than, as a position in each log that the session has
-//! written to or read from (version vectors as session guarantees use them: Terry and others, 1994). A token is the
-//! client's to carry. It says nothing of who holds what, so that it stays good over owners, restarts and takeovers.
+//! Session tokens: what a session's next read must not be older than, as a position in each log that the
+//! session has written to or read from (version vectors as used for session guarantees: Terry and others,
+//! 1994). The client carries the token. It does not say which sender holds what, so it stays valid across
+//! changes of owner, restarts and takeovers.
 //!
-//! It is bounded: [`MAX_LOGS`] logs are named, those with the least names. What does not fit is not forgotten: the
-//! token then says that it overflowed, and a log that it does not name is read at its owner only.
+//! Its size is bounded: it names at most [`MAX_LOGS`] logs, those with the smallest names. Positions that do
+//! not fit are not ignored: the token then states that it overflowed, and a log that it does not name is read
+//! at its owner only.
 
 use std::collections::BTreeMap;
 
@@ -15,23 +17,23 @@
 use crate::error_code::CodedError;
 use crate::status::{Generation, LogId, Rank};
 
-/// Logs that a token names at most.
+/// Maximum number of logs that a token names.
 pub const MAX_LOGS: usize = 128;
-/// Characters of a token's text at most, so that it fits into one header.
+/// Maximum length of a token's text, so that it fits into one header.
 pub const MAX_TOKEN_LEN: usize = (HEAD + MAX_LOGS * ENTRY).div_ceil(3) * 4;
-/// The version that is written, and the only one that is read.
+/// The version that is written, and the only one that is accepted.
 pub const VERSION: u8 = 1;
 
 /// Version, flags, tier, length of the rest, checksum.
 const HEAD: usize = 1 + 1 + 4 + 2 + 4;
-/// Bytes of a log at most: a rank and a position in postcard's form, and a life as it is.
+/// Maximum size of a log, bytes: a rank and a position as postcard varints, and a generation in fixed size.
 const ENTRY: usize = 3 + 8 + 10;
 const OVERFLOWED: u8 = 1;
 
-/// A log as it is written: owner, life, position.
+/// A log in encoded form: owner, generation, position.
 type Written = (Rank, [u8; 8], u64);
 
-/// Why a text is no token. Nothing is lost by it: the client still has what it sent.
+/// Why a text is not a valid token. Nothing is lost: the client still has what it sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum TokenError {
     /// It is longer than any token.
@@ -43,15 +45,15 @@
     /// Its end is missing.
     #[error("a token that was cut off: {there} of {said} bytes")]
     Truncated {
-        /// Bytes that are there,
+        /// Bytes received.
         there: usize,
-        /// and as many as it says.
+        /// Bytes expected by its header.
         said: usize,
     },
-    /// Another version wrote it.
+    /// It has another version.
     #[error("a token of version {0}, where {VERSION} is read")]
     Version(u8),
-    /// Another tier's.
+    /// It belongs to another tier.
     #[error("a token of another tier")]
     Foreign,
     /// Its checksum or its form is wrong.
@@ -60,7 +62,7 @@
 }
 
 impl TokenError {
-    /// A stable name.
+    /// The stable error code.
     pub fn code(self) -> &'static str {
         CodedError::code(&self)
     }
@@ -80,7 +82,7 @@
     Corrupt => "token_spoilt", "have the client send the token as it got it";
 } }
 
-/// What a session must not be shown less than.
+/// The positions below which a session's reads must not fall.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize)]
 pub struct Token {
     seen: BTreeMap<LogId, u64>,
@@ -88,7 +90,7 @@
 }
 
 impl Token {
-    /// That all changes of a log up to a number were seen. 0 is none.
+    /// Records that all changes of a log up to a number were seen. 0 for none.
     pub fn observe(&mut self, log: LogId, upto: u64) {
         if upto == 0 {
             return;
@@ -98,7 +100,8 @@
         self.bound();
     }
 
-    /// Both together: the greater position of each log. Commutative, associative, idempotent, at the bound too.
+    /// Merges another token: the greater position of each log. Commutative, associative, idempotent, also at
+    /// the maximum size.
     pub fn merge(&mut self, other: &Self) {
         for (log, upto) in &other.seen {
             let known = self.seen.entry(*log).or_default();
@@ -108,8 +111,8 @@
         self.bound();
     }
 
-    /// Keeps those with the least names. What was left out once would be left out of all that it is merged into, so
-    /// that the position of a log that is named is always the greatest that was seen.
+    /// Keeps the logs with the smallest names. A log that was dropped once would be dropped from every token
+    /// that this one is merged into, so the position of a named log is always the greatest that was seen.
     fn bound(&mut self) {
         while self.seen.len() > MAX_LOGS {
             self.seen.pop_last();
@@ -117,41 +120,41 @@
         }
     }
 
-    /// Up to where a log was seen, as far as it is named.
+    /// The position up to which a log was seen, if it is named.
     pub fn upto(&self, log: LogId) -> Option<u64> {
         self.seen.get(&log).copied()
     }
 
-    /// More was seen than is named: a log that is not is read at its owner only.
+    /// Whether more was seen than is named: a log that is not named is read at its owner only.
     pub fn overflowed(&self) -> bool {
         self.overflowed
     }
 
-    /// The logs that are named, with their positions.
+    /// The named logs, with their positions.
     pub fn logs(&self) -> impl Iterator<Item = (LogId, u64)> {
         self.seen.iter().map(|(log, upto)| (*log, *upto))
     }
 
-    /// Whether it asks for nothing.
+    /// Whether it requires nothing.
     pub fn is_empty(&self) -> bool {
         self.seen.is_empty() && !self.overflowed
     }
 
-    /// Whether whoever is shown no less than this is shown no less than the other.
+    /// Whether reads that meet this token also meet the other one.
     pub fn covers(&self, other: &Self) -> bool {
         let upto = |log: LogId| self.upto(log).or(self.overflowed.then_some(u64::MAX)).unwrap_or(0);
         (self.overflowed || !other.overflowed) && other.logs().all(|(log, seen)| upto(log) >= seen)
     }
 
-    /// Without some logs: what a client goes on with that was told of a loss and takes it. None if it overflowed: with
-    /// room again, a log that was left out before could come back with a lesser position.
+    /// The token without some logs, for a client that was informed of a loss and accepts it. None if it
+    /// overflowed: with free entries, a log that was dropped before could come back with a smaller position.
     pub fn without(&self, logs: &[LogId]) -> Option<Self> {
         let mut token = self.clone();
         token.seen.retain(|log, _| !logs.contains(log));
         (!self.overflowed).then_some(token)
     }
 
-    /// As a header's value, of [`MAX_TOKEN_LEN`] characters at most.
+    /// Encodes it as a header value of at most [`MAX_TOKEN_LEN`] characters.
     pub fn text(&self, tier: u32) -> String {
         let written = |(log, upto): (&LogId, &u64)| (log.owner, log.generation.0.to_le_bytes(), *upto);
         let mut body = Vec::with_capacity(self.seen.len() * ENTRY);
@@ -159,23 +162,23 @@
             let entry: Written = entry;
             match postcard::to_stdvec(&entry) {
                 Ok(bytes) => body.extend(bytes),
-                // Nothing can keep it from being written; were there something, no reader would take it for less.
+                // Encoding cannot fail; if it did, no reader would accept the result as a smaller token.
                 Err(_) => body.push(0xff),
             }
         }
         let mut bytes = vec![VERSION, u8::from(self.overflowed) * OVERFLOWED];
         bytes.extend(tier.to_le_bytes());
-        // No more than `MAX_LOGS * ENTRY`.
+        // At most `MAX_LOGS * ENTRY`.
         bytes.extend((body.len() as u16).to_le_bytes());
         bytes.extend(checksum(&bytes, &body).to_le_bytes());
         bytes.extend(body);
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// Reads a header's value, as [`Token::text`] writes it for the same tier.
+    /// Decodes a header value as written by [`Token::text`] for the same tier.
     ///
     /// # Errors
-    /// Tells what is wrong with it; it is taken whole or not at all.
+    /// What is wrong with it; a token is accepted as a whole or not at all.
     pub fn read(text: &str, tier: u32) -> Result<Self, TokenError> {
         if text.len() > MAX_TOKEN_LEN {
             return Err(TokenError::Long(text.len()));
@@ -212,7 +215,8 @@
             }
             seen.insert(log, upto);
         }
-        // What overflowed is full: else a log that was left out could come back with a lesser position.
+        // A token that overflowed names the maximum number of logs: otherwise a log that was dropped could
+        // come back with a smaller position.
         let overflowed = head[1] == OVERFLOWED;
         if overflowed && seen.len() < MAX_LOGS {
             return Err(TokenError::Corrupt);
--- a/tests/plans.rs
+++ b/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Tokens, routes, reads and limits of plans, each by itself.
+//! Unit tests of tokens, routes, reads and limits of plans.
 
 use std::collections::BTreeMap;
 
@@ -26,7 +26,7 @@
 }
 
 fn any_token() -> impl Strategy<Value = Token> {
-    // Around the bound, and far from it; few lives, so that logs meet.
+    // Around the maximum size, and far from it; few generations, so that logs coincide.
     let few = prop::collection::vec((0..9u16, 0..3u64, 1..9u64), 0..9);
     let many = prop::collection::vec((0..80u16, 0..2u64, 1..u64::MAX), 0..200);
     prop_oneof![few, many].prop_map(|logs| token(&logs))
@@ -39,7 +39,8 @@
 }
 
 proptest! {
-    /// Guards sessions whose reads come back in any order, or twice, at the bound too.
+    /// Guards against a session token that depends on the order or repetition of reads, also at its maximum
+    /// size.
     #[test]
     fn tokens_merge_as_a_join(a in any_token(), b in any_token(), c in any_token()) {
         prop_assert_eq!(merged(&a, &b), merged(&b, &a));
@@ -53,7 +54,8 @@
         prop_assert!(both.logs().count() <= MAX_LOGS);
     }
 
-    /// Guards against a token that a header, a proxy or a client has changed: it is taken whole or not at all.
+    /// Guards against a token that a header, a proxy or a client has changed: it is accepted as a whole or
+    /// not at all.
     #[test]
     fn a_token_is_read_as_it_was_written_or_not(a in any_token(), at in any::<prop::sample::Index>(), with in 0..64u8) {
         let text = a.text(TIER);
@@ -89,7 +91,7 @@
     assert_eq!(Token::read(&text, TIER + 1).err().map(TokenError::code), Some("token_foreign"));
 }
 
-/// Guards against a lesser position that comes in where a token that overflowed has room again.
+/// Guards against a smaller position that enters a token that overflowed and has free entries again.
 #[test]
 fn what_overflowed_asks_for_more_and_never_for_less() {
     let mut full = Token::default();
@@ -101,7 +103,7 @@
     assert_eq!(full.without(&[log(0, 1)]), None);
     let read = Token::read(&full.text(TIER), TIER);
     assert_eq!(read.as_ref(), Ok(&full));
-    // A replica is not enough for it, however far it is; its owner is.
+    // No replica is sufficient for it, however advanced; its owner is.
     let mut tier = Tier::new(&[(left_out, 1, 99), (left_out, left_out.owner, 3)]);
     tier.size = 200;
     let ended = tier.read(&plan(Level::Session), &full, &[left_out]);
@@ -117,7 +119,8 @@
     Plan { level, ..Plan::default() }
 }
 
-/// A tier as it is and as it is held for, by log and sender. Time goes on only while somebody is silent.
+/// A tier with the actual data and the hints about it, by log and sender. Time advances only while a sender
+/// is silent.
 struct Tier {
     has: BTreeMap<(LogId, Rank), u64>,
     hints: BTreeMap<(LogId, Rank), u64>,
@@ -125,7 +128,7 @@
     states: BTreeMap<Rank, State>,
     costs: BTreeMap<Rank, u64>,
     silent: Vec<Rank>,
-    /// A log's owner has begun another life.
+    /// Logs whose owner has started another generation.
     over: Vec<LogId>,
     empty: Option<Watermark>,
     own: Rank,
@@ -133,7 +136,7 @@
     as_of: Micros,
     asks: Vec<Ask>,
     took: Micros,
-    /// A sender gets so far after a while.
+    /// From this time on a sender holds the log up to this number.
     later: Option<(Micros, LogId, Rank, u64)>,
 }
 
@@ -232,7 +235,7 @@
     ended.parts.first().and_then(|part| part.hops.first()).map(|hop| (hop.route, hop.reason))
 }
 
-/// Guards the order of routes, row by row.
+/// Guards the order of routes, case by case.
 #[test]
 fn of_those_that_can_keep_the_level_the_cheapest_is_asked() {
     let id = log(0, 1);
@@ -240,7 +243,7 @@
     let tier = || Tier::new(&[(id, 0, 9), (id, 1, 5), (id, 2, 7), (id, 3, 4), (id, 9, 4)]);
     let session = plan(Level::Session);
     let route = |mut tier: Tier| first(&tier.read(&session, &needs, &[id]));
-    // Alike in cost: a near one.
+    // At equal cost, a sender of the same zone.
     assert_eq!(route(tier()), Some((Route::Owner(0), Reason::Cheapest)));
     let mut dear = tier();
     dear.costs = [(0, 500), (1, 20), (2, 30), (3, 1)].into();
@@ -267,7 +270,7 @@
     assert_eq!(route(old_summary), Some((Route::Owner(0), Reason::Cheapest)));
 }
 
-/// Guards rows against hints: what counts is the position that comes with them.
+/// Guards against answers decided by hints: what counts is the watermark that comes with the rows.
 #[test]
 fn a_hint_that_is_wrong_costs_a_detour() {
     let id = log(0, 1);
@@ -279,7 +282,7 @@
     assert_eq!(tier.asks.iter().map(|ask| ask.to).collect::<Vec<_>>(), [1, 2, 0]);
     assert_eq!(ended.parts[0].answer.as_ref().map(|answer| (answer.0, answer.1.upto)), Some((0, 9)));
     assert_eq!(ended.token, token(&[(0, 1, 9)]), "what was shown beyond the token is in the next one");
-    // Whom the view has for dead is asked in the end: it may be wrong, too.
+    // A sender that the view holds to be dead is asked in the end: the view may be wrong, too.
     tier.states = [(0, State::Dead)].into();
     assert_eq!(tier.read(&plan(Level::Session), &token(&[(0, 1, 5)]), &[id]).outcome, Outcome::Kept);
 }
@@ -322,7 +325,7 @@
     assert_eq!(ended.token, token(&[(0, 1, 5)]), "less was shown, and the token asks for no less");
 }
 
-/// Guards the difference between what may come and what can't.
+/// Guards the distinction between what may still arrive and what cannot.
 #[test]
 fn lost_is_told_apart_from_late() {
     let id = log(0, 1);
@@ -336,7 +339,7 @@
     let ended = tier().read(&plan(Level::Session), &needs, &[id]);
     assert_eq!((ended.outcome, verdict(&ended)), (Outcome::Refused, vec![Verdict::Lost, Verdict::Kept]));
     assert_eq!((ended.token, ended.without_lost), (needs.clone(), Some(token(&[(4, 1, 2)]))));
-    // Who is not heard may have it.
+    // A sender that does not answer may have it.
     let mut silent = tier();
     silent.silent = vec![2];
     let ended = silent.read(&plan(Level::Session), &needs, &[id]);
@@ -345,7 +348,7 @@
     let mut kept = tier();
     kept.has.insert((id, 2), 5);
     assert_eq!(kept.read(&plan(Level::Session), &needs, &[id]).outcome, Outcome::Kept);
-    // The owner, in the log's own life, has less: nobody else writes it.
+    // The owner, in the log's own generation, has less: no other sender writes it.
     let mut owner = Tier::new(&[(id, 0, 4)]);
     let ended = owner.read(&plan(Level::Session), &token(&[(0, 1, 5)]), &[id]);
     assert_eq!(verdict(&ended), [Verdict::Lost]);
@@ -377,9 +380,9 @@
     assert_eq!(plans.admit("bank", Some("x!"), TIER, NOW), Err(Denied::Token(TokenError::Text)));
     let mut admitted = |at| (0..30).filter(|_| plans.admit("bank", Some(&text), TIER, at).is_ok()).count();
     assert_eq!([admitted(NOW), admitted(NOW + 500_000), admitted(NOW + 9_000_000)], [10, 5, 10]);
-    // A clock that steps back keeps nobody out for longer than a burst.
+    // A clock that steps back blocks no tenant for longer than a burst.
     assert_eq!([admitted(NOW - 50_000_000), admitted(NOW - 49_000_000)], [0, 10]);
-    // Old tokens stay good over a change of plans, and what is under way keeps its plan.
+    // Old tokens stay valid over a change of plans, and reads in progress keep their plan.
     plans.adopt([("bank".to_owned(), plan(Level::Any))].into());
     assert!(matches!(plans.admit("bank", Some(&text), TIER, NOW), Err(Denied::NoSession { .. })));
     plans.adopt(config);
@@ -404,11 +407,11 @@
         others.is_some_and(|c| c.less == 50 && c.late == 50 && c.asked == 100 && c.denied > 0),
         "{others:?}"
     );
-    // Who is at rest gives its place away.
+    // An idle tenant frees its entry.
     assert!(plans.admit("new", None, TIER, NOW + 10_000_000).is_ok());
 }
 
-/// Guards monotonic reads: rows of a log that has its answer already may be shown with those of another one.
+/// Guards monotonic reads: rows of a log that already has its answer may be shown with those of another log.
 #[test]
 fn what_came_with_a_later_answer_counts_for_the_session() {
     let log = LogId { owner: 1, generation: Generation(7) };
--- a/tests/plans_model.rs
+++ b/tests/plans_model.rs
@@ -1,6 +1,7 @@
-//! Reads of sessions, checked exhaustively within bounds by a model checker: the very core that ships routes them,
-//! checks their answers and merges their tokens, over small logs and replicas, with every order of deliveries, losses,
-//! lapses, crashes with and without the folder, stops, splits and adoptions that the bounds allow.
+//! Session reads, checked exhaustively within bounds by a model checker. The production code routes the
+//! reads, checks their answers and merges their tokens, over small logs and replicas, with every order of
+//! deliveries, losses, timeouts, crashes with and without the folder, stops, partitions and adoptions that
+//! the bounds allow.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -15,11 +16,11 @@
 use myrtleyard::status::{Generation, LogId, Positions, Rank, Watermark};
 use stateright::{Checker, Model, Property};
 
-/// All reads begin then, by a clock of their own: when they do makes no difference.
+/// All reads begin at this time, by a clock of their own: the time of their start makes no difference.
 const BEGIN: Micros = 60_000_000;
 const SESSIONS: usize = 2;
 
-/// Changes by their numbers, bit by bit.
+/// Changes by their numbers, one bit each.
 type Mask = u16;
 
 fn bit(number: u64) -> Mask {
@@ -42,7 +43,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 struct Held {
     mask: Mask,
-    /// The highest number that it was told of.
+    /// The highest number that it received.
     told: u64,
 }
 
@@ -51,10 +52,10 @@
     down: bool,
     stopped: bool,
     life: u64,
-    /// What its folder has of its own log, and the last number that it has given.
+    /// The changes of its own log in its folder, and the last number that it has assigned.
     kept: Mask,
     last: u64,
-    /// What it has of others' logs, in memory.
+    /// The logs of others that it holds in memory.
     copies: BTreeMap<LogId, Held>,
     adopts: BTreeMap<LogId, Adopted>,
 }
@@ -100,7 +101,7 @@
     at: Rank,
     now: Micros,
     core: Read<Mask>,
-    /// What it must not be older than, and must not go back behind: what the session knew when it began.
+    /// The lower bounds for the read: what the session knew when the read began.
     wrote: BTreeMap<LogId, Mask>,
     saw: BTreeMap<LogId, Mask>,
 }
@@ -120,16 +121,16 @@
     senders: Vec<Sender>,
     sessions: Vec<Session>,
     passed: BTreeSet<Passed>,
-    /// One side of a split.
+    /// One side of a partition, one bit per sender.
     side: u8,
     lives: u64,
     left: Bounds,
-    /// What was found, by name.
+    /// Names of the violations found.
     found: BTreeSet<&'static str>,
     ended: BTreeSet<Ended>,
 }
 
-/// A session's read that has ended, how, and what it found of each log.
+/// A session's read that has ended: its outcome, and the verdict for each log.
 type Ended = (usize, Outcome, Vec<(LogId, Verdict)>);
 
 impl fmt::Debug for Tier {
@@ -142,7 +143,7 @@
 enum Act {
     Write(usize),
     Begin(usize, Rank),
-    /// A read's clock goes to when it wants to go on.
+    /// Advances a read's clock to the time at which it is due.
     Lapse(usize),
     Deliver(Passed),
     Lose(Passed),
@@ -153,17 +154,17 @@
     Go(Rank),
     Split(u8),
     Heal,
-    /// A cover takes over from a sender.
+    /// A backup takes over from a sender.
     Adopt(Rank),
 }
 
-/// How often each may happen.
+/// How often each event may happen.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 struct Bounds {
     writes: usize,
     reads: usize,
     losses: usize,
-    /// Lapses while an answer is under way.
+    /// Timeouts while an answer is in flight.
     lapses: usize,
     crashes: usize,
     stops: usize,
@@ -171,29 +172,29 @@
     adoptions: usize,
 }
 
-/// What hints say.
+/// The content of hints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Hints {
     None,
-    /// As it is at the moment.
+    /// The current state.
     True,
-    /// That everybody has everything, and whoever is there is dead.
+    /// Every sender has everything, and those that are up are dead.
     Wrong,
 }
 
-/// What is planted, to see whether it is found.
+/// A fault that is planted to check that it is found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
-    /// A replica claims the highest number that it has got, with gaps below.
+    /// A replica claims the highest number that it has received, with gaps below.
     EarlyClaim,
-    /// A sender that has lost its folder goes on in its life, at its number.
+    /// A sender that has lost its folder continues its generation and numbers.
     OutlivesFolder,
-    /// Clients merge tokens by the lesser position.
+    /// Clients merge tokens by the smaller position.
     LesserMerge,
-    /// An adopter claims what one cover was told of, before the other one's facts are there.
+    /// An adopter claims what was sent to one backup before it has the log records of the other.
     EarlyAdopter,
-    /// A replica shows what it has beyond the position that it claims, and does not say so.
+    /// A replica shows what it has beyond the position that it claims, and does not report it.
     HidesBeyond,
 }
 
@@ -202,7 +203,7 @@
     bounds: Bounds,
     hints: Hints,
     fault: Fault,
-    /// Sessions that write.
+    /// Number of sessions that write.
     writers: usize,
 }
 
@@ -216,7 +217,7 @@
         LogId { owner, generation: Generation(tier.senders[usize::from(owner)].life) }
     }
 
-    /// What a sender states of a log, and shows.
+    /// What a sender states about a log, and shows of it.
     fn states(&self, tier: &Tier, rank: Rank, log: LogId, need: Need) -> (HolderReply, Mask) {
         let sender = &tier.senders[usize::from(rank)];
         let has = |number: u64, mask: Mask| (HolderReply::Has(Watermark { upto: number, as_of: 1 }), mask);
@@ -238,13 +239,13 @@
         }
         match adopted.upto() {
             Some(number) => has(number.max(claimed), copy.mask),
-            // What it has for sure it may tell; that it has no more, it may not.
+            // It may state what it certainly has, but not that it has no more.
             None if need.met(log, rank, Watermark { upto: claimed, as_of: 1 }) => has(claimed, copy.mask),
             None => (HolderReply::NotYet, 0),
         }
     }
 
-    /// Up to which number what it shows goes.
+    /// The greatest number that the shown changes reach.
     fn shows(&self, stated: HolderReply, shown: Mask) -> u64 {
         match stated {
             HolderReply::Has(reached) if self.fault == Fault::HidesBeyond => {
@@ -254,7 +255,7 @@
         }
     }
 
-    /// All logs that there ever were and somebody knows of, with those who may hold them.
+    /// All logs that ever existed and that a sender or token knows of, with the senders that may hold them.
     fn logs(&self, tier: &Tier) -> Vec<Log> {
         let mut ids: BTreeSet<LogId> = (0..self.size as Rank).map(|rank| Self::log(tier, rank)).collect();
         ids.extend(tier.senders.iter().flat_map(|sender| sender.copies.keys().copied()));
@@ -295,7 +296,7 @@
         (self.hints != Hints::None).then_some(facts)
     }
 
-    /// Lets a read go on, and takes it down if it is over.
+    /// Advances a read, and removes it if it is over.
     fn step(&self, tier: &mut Tier, session: usize) {
         let Some(mut reading) = tier.sessions[session].reading.take() else { return };
         let own = reading.at;
@@ -316,7 +317,7 @@
             cost: &|rank, _| u64::from(rank != own),
             busy: &|_| false,
         };
-        // What is asked of this sender is answered at once.
+        // Requests to this sender are answered at once.
         loop {
             let asks = reading.core.step(reading.now, &world);
             let (own_asks, others): (Vec<_>, Vec<_>) = asks.into_iter().partition(|ask| ask.to == own);
@@ -336,7 +337,7 @@
             }
         }
         if reading.core.is_over() {
-            // What still comes of it is nobody's.
+            // Messages of the read that are still in flight are dropped.
             let read = Some((session, tier.sessions[session].reads));
             tier.passed.retain(|passed| passed.read() != read);
             self.over(tier, session, reading);
@@ -345,7 +346,7 @@
         }
     }
 
-    /// Holds a read that has ended against what its session knew, without looking at its token.
+    /// Compares a read that has ended with what its session knew, without using its token.
     fn over(&self, tier: &mut Tier, session: usize, reading: Reading) {
         let Reading { core, wrote, saw, .. } = reading;
         let ended = core.ended();
@@ -461,7 +462,7 @@
         }
     }
 
-    /// Nothing of this read can arrive: only its own clock moves it on.
+    /// No message of this read can arrive: only its own clock advances it.
     fn silent(tier: &Tier, session: usize) -> bool {
         let read = Some((session, tier.sessions[session].reads));
         !tier.passed.iter().any(|passed| passed.read() == read && Self::reachable(tier, passed))
@@ -470,7 +471,7 @@
     fn start(&self, tier: &mut Tier, rank: Rank) {
         let sender = &mut tier.senders[usize::from(rank)];
         sender.down = false;
-        // A new process's first datagram ends the channels of the one before.
+        // A new process's first datagram ends the channels of the previous one.
         let old = |passed: &Passed| match passed {
             Passed::Change(from, ..) | Passed::MembershipView(from, ..) => *from == rank,
             _ => false,
@@ -478,7 +479,7 @@
         tier.passed.retain(|passed| !old(passed));
     }
 
-    /// Everybody is there and reachable, what is lost is sent again, and all reads come to their end.
+    /// Makes all senders available and reachable, resends what was lost, and completes all reads.
     fn calm(&self, tier: &mut Tier) -> bool {
         tier.side = 0;
         for rank in 0..self.size as Rank {
@@ -517,7 +518,8 @@
         false
     }
 
-    /// After a calm, each session reads at another sender: what is there is shown, and what is not is told as lost.
+    /// After recovery, each session reads at another sender: existing changes are shown, and missing ones
+    /// reported as lost.
     fn calm_reads(&self, before: &Tier) -> bool {
         let mut tier = before.clone();
         if !self.calm(&mut tier) {
@@ -550,7 +552,7 @@
         let covers = self.covers(log.owner);
         let other = if rank == covers.0 { covers.1 } else { covers.0 };
         let copy = tier.senders[usize::from(other)].copies.get(&log).cloned().unwrap_or_default();
-        // Who is asked answers with what it has when it does; the question itself is left out here.
+        // The backup answers with what it has at that time; the request itself is not modelled.
         if !tier.senders[usize::from(other)].down {
             tier.passed.insert(Passed::MembershipView(other, rank, log, copy.mask, copy.told));
         }
@@ -603,7 +605,7 @@
             if Self::reachable(tier, passed) {
                 acts.push(Act::Deliver(passed.clone()));
             }
-            // A question or an answer that is lost is one that never comes, which lapses allow for.
+            // A lost request or answer is one that never arrives, which timeouts cover.
             if left.losses > 0 && passed.read().is_none() {
                 acts.push(Act::Lose(passed.clone()));
             }
@@ -754,7 +756,7 @@
     }
 }
 
-/// What each run may spend: writes, reads, and some of what goes wrong.
+/// The bounds of each run: writes, reads, and some of the faults.
 fn narrow() -> [Bounds; 5] {
     let some = Bounds { writes: 1, reads: 1, ..Bounds::default() };
     [
@@ -776,7 +778,8 @@
     sound(4, 2, &[Bounds { writes: 2, reads: 1, ..Bounds::default() }]);
 }
 
-/// The same within wider bounds: `cargo test --release --test plans_model -- --ignored --nocapture --test-threads 1`.
+/// The same within wider bounds: `cargo test --release --test plans_model -- --ignored --nocapture
+/// --test-threads 1`.
 #[test]
 #[ignore = "takes many minutes"]
 fn nor_within_wider_bounds() {
@@ -792,7 +795,7 @@
     sound(4, 2, &[Bounds { crashes: 1, reads: 1, ..some }, Bounds { splits: 1, reads: 1, ..some }]);
 }
 
-/// The checker is no good if it finds nothing: each of these planted faults is.
+/// Guards against a model that finds nothing: each of these planted faults must be found.
 #[test]
 fn planted_faults_are_found() {
     let some = Bounds { writes: 2, reads: 1, ..Bounds::default() };
@@ -806,7 +809,7 @@
     }
 }
 
-/// It takes two reads to show: about 150,000 states.
+/// This needs two reads: about 150,000 states.
 #[test]
 #[ignore = "takes minutes in a debug build"]
 fn what_is_shown_beyond_a_position_and_not_told_is_found() {
