--- a/src/plans/adopted.rs
+++ b/src/plans/adopted.rs
@@ -23,32 +23,32 @@
 /// The adoption of a log, from the reports of its two backups.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Adopted {
-    told: BTreeMap<Rank, ReplicaNumbers>,
-    covers: Option<(Rank, Rank)>,
+    reports: BTreeMap<Rank, ReplicaNumbers>,
+    backups: Option<(Rank, Rank)>,
 }
 
 impl Adopted {
     /// An adoption of a log with these backups.
-    pub fn new(covers: (Rank, Rank)) -> Self {
-        Self { told: BTreeMap::new(), covers: Some(covers) }
+    pub fn new(backups: (Rank, Rank)) -> Self {
+        Self { reports: BTreeMap::new(), backups: Some(backups) }
     }
 
     /// A backup has reported all that it knows. Its earlier reports still hold.
-    pub fn report(&mut self, cover: Rank, known: ReplicaNumbers) {
-        if self.covers.is_some_and(|covers| cover == covers.0 || cover == covers.1) {
-            let held = self.told.entry(cover).or_default();
-            held.upto = held.upto.max(known.upto);
-            held.beyond.extend(known.beyond);
-            while held.beyond.len() > MAX_BEYOND {
-                held.beyond.pop_last();
+    pub fn report(&mut self, backup: Rank, known: ReplicaNumbers) {
+        if self.backups.is_some_and(|backups| backup == backups.0 || backup == backups.1) {
+            let report = self.reports.entry(backup).or_default();
+            report.upto = report.upto.max(known.upto);
+            report.beyond.extend(known.beyond);
+            while report.beyond.len() > MAX_BEYOND {
+                report.beyond.pop_last();
             }
         }
     }
 
     /// The number up to which the adopter has all changes; none until both backups have reported.
     pub fn upto(&self) -> Option<u64> {
-        let (one, other) = self.covers?;
-        let (one, other) = (self.told.get(&one)?, self.told.get(&other)?);
+        let (one, other) = self.backups?;
+        let (one, other) = (self.reports.get(&one)?, self.reports.get(&other)?);
         let mut upto = one.upto.max(other.upto);
         while let Some(next) = upto.checked_add(1)
             && (one.beyond.contains(&next) || other.beyond.contains(&next))
--- a/src/plans/limits.rs
+++ b/src/plans/limits.rs
@@ -37,7 +37,7 @@
     #[error("{0}")]
     Token(#[from] TokenError),
     /// The tenant's reads of this second at this sender are used up.
-    #[error("plan {plan} allows {reads_per_s} reads a second; the next one in {after_ms} ms")]
+    #[error("plan {plan} allows {reads_per_s} reads per second; retry in {after_ms} ms")]
     Rate {
         /// The plan by its key in the section `plans`.
         plan: String,
@@ -47,7 +47,10 @@
         after_ms: u64,
     },
     /// The tenant's budget of this minute for the whole fleet is used up or leased to other senders.
-    #[error("the {what} of this minute that plan {plan} allows are used up or lent; again in {after_ms} ms")]
+    #[error(
+        "the {what} that plan {plan} allows in this minute are used up or leased to other senders; \
+         retry in {after_ms} ms"
+    )]
     Later {
         /// The plan by its key in the section `plans`.
         plan: String,
@@ -67,7 +70,7 @@
         allowed: u32,
     },
     /// It may read more bytes than are allowed in a whole minute.
-    #[error("the read may take {most} bytes, and plan {plan} allows {allowed} a minute")]
+    #[error("the read may take {most} bytes, and plan {plan} allows {allowed} per minute")]
     Bytes {
         /// The plan by its key in the section `plans`.
         plan: String,
@@ -99,7 +102,8 @@
 }
 
 coded_error! { Denied {
-    NoSession => "plan_no_session", "read without a token, or give the tenant a plan with level session and send SIGHUP";
+    NoSession => "plan_no_session",
+        "read without a token, or give the tenant a plan with level session and send SIGHUP";
     Rate => "plan_rate", "have the tenant read less often, or raise reads_per_s and send SIGHUP";
     Later => "plan_later", "wait for again_ms, or raise queries_per_min or bytes_per_min and send SIGHUP";
     Shards => "plan_shards", "ask for ids or a shorter time, or raise shards and send SIGHUP";
@@ -209,7 +213,7 @@
     }
 
     fn charge(&mut self, tenant: &str, reads_per_s: u32, now: Micros) -> Result<(), Micros> {
-        let each = (BURST / Micros::from(reads_per_s.max(1))).max(1);
+        let interval = (BURST / Micros::from(reads_per_s.max(1))).max(1);
         if !self.full_at.contains_key(tenant) && self.full_at.len() >= MAX_TENANTS {
             // Idle tenants need no entry.
             self.full_at.retain(|_, full_at| *full_at > now);
@@ -218,7 +222,7 @@
         let full_at = self.full_at.entry(if known { tenant } else { OTHERS }.to_owned()).or_default();
         // A clock that stepped back must not block a tenant for longer than a burst.
         *full_at = (*full_at).clamp(now, now.saturating_add(BURST));
-        let after = full_at.saturating_add(each);
+        let after = full_at.saturating_add(interval);
         if after > now.saturating_add(BURST) {
             return Err(after - now - BURST);
         }
--- a/src/plans/route.rs
+++ b/src/plans/route.rs
@@ -103,7 +103,7 @@
 
 impl Need {
     /// Whether a stated watermark meets the requirement. This is the proof; hints are checked by
-    /// [`Need::hoped`].
+    /// [`Need::may_meet`].
     pub fn met(self, log: LogId, from: Rank, reached: Watermark) -> bool {
         match self {
             Self::Any => true,
@@ -113,7 +113,7 @@
         }
     }
 
-    fn hoped(self, log: LogId, holder: &Holder) -> bool {
+    fn may_meet(self, log: LogId, holder: &Holder) -> bool {
         self.met(log, holder.rank, holder.reached)
     }
 }
@@ -164,14 +164,14 @@
     OnlyOwner,
     /// The token overflowed and does not name this log.
     Overflowed,
-    /// The owner could not answer, and this sender has taken over.
+    /// The owner could not answer, and the sender asked has taken over.
     TookOver,
     /// It is suspect, starting, gone according to the membership view, or overloaded, but no better sender is
     /// left.
     LastResort,
     /// It was behind, and may have caught up.
     CatchUp,
-    /// The log's generation has ended: this sender may hold what remains.
+    /// The log's generation has ended: the sender asked may hold what remains.
     Remains,
     /// All senders were asked, and are behind or silent.
     Behind,
@@ -187,27 +187,29 @@
 
 /// The health of a sender; smaller is better.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Standing {
-    Well,
+enum Health {
+    Healthy,
     Strained,
     Suspect,
-    Away,
+    Unreachable,
 }
 
-fn standing(world: &RouteContext<'_>, rank: Rank, now: Micros) -> Standing {
-    if rank == world.own {
-        return Standing::Well;
+fn health(context: &RouteContext<'_>, rank: Rank, now: Micros) -> Health {
+    if rank == context.own {
+        return Health::Healthy;
     }
-    let Some(facts) = world.facts else {
-        return if (world.busy)(rank) { Standing::Strained } else { Standing::Well };
+    let Some(facts) = context.facts else {
+        return if (context.busy)(rank) { Health::Strained } else { Health::Healthy };
     };
-    let Some(fact) = facts.members.get(usize::from(rank)) else { return Standing::Away };
-    match fact.state {
-        State::Alive if now < fact.since.saturating_add(STARTING) || (world.busy)(rank) => Standing::Strained,
-        State::Alive => Standing::Well,
-        State::Joining => Standing::Strained,
-        State::Suspect => Standing::Suspect,
-        State::Dead | State::Left => Standing::Away,
+    let Some(member) = facts.members.get(usize::from(rank)) else { return Health::Unreachable };
+    match member.state {
+        State::Alive if now < member.since.saturating_add(STARTING) || (context.busy)(rank) => {
+            Health::Strained
+        }
+        State::Alive => Health::Healthy,
+        State::Joining => Health::Strained,
+        State::Suspect => Health::Suspect,
+        State::Dead | State::Left => Health::Unreachable,
     }
 }
 
@@ -225,56 +227,56 @@
 }
 
 /// All senders that may hold the log, including its owner, each once.
-fn holders(log: LogId, world: &RouteContext<'_>) -> Vec<Holder> {
+fn holders(log: LogId, context: &RouteContext<'_>) -> Vec<Holder> {
     let none = Watermark { upto: 0, as_of: 0 };
     let mut all: BTreeMap<Rank, Holder> = BTreeMap::new();
     all.insert(log.owner, Holder { rank: log.owner, role: Role::Owner, reached: none });
-    let known = world.logs.iter().find(|known| known.id == log);
+    let known = context.logs.iter().find(|known| known.id == log);
     for holder in known.into_iter().flat_map(|known| &known.holders).take(MAX_HOLDERS) {
         let role = if holder.rank == log.owner { Role::Owner } else { holder.role };
         all.insert(holder.rank, Holder { role, ..*holder });
     }
-    if let Some(reached) = world.here.get(&log) {
-        let role = if world.own == log.owner { Role::Owner } else { Role::Replica };
-        let here = all.entry(world.own).or_insert(Holder { rank: world.own, role, reached: *reached });
+    if let Some(reached) = context.here.get(&log) {
+        let role = if context.own == log.owner { Role::Owner } else { Role::Replica };
+        let here = all.entry(context.own).or_insert(Holder { rank: context.own, role, reached: *reached });
         here.reached = *reached;
     }
     all.into_values().collect()
 }
 
 /// Chooses where a log is read next.
-pub fn route(log: LogId, progress: Progress<'_>, world: &RouteContext<'_>, now: Micros) -> (Route, Reason) {
-    let Progress { need, replies: said, again, until } = progress;
-    let empty = world.logs.iter().find(|known| known.id == log).and_then(|known| known.empty);
+pub fn route(log: LogId, progress: Progress<'_>, context: &RouteContext<'_>, now: Micros) -> (Route, Reason) {
+    let Progress { need, replies, again, until } = progress;
+    let empty = context.logs.iter().find(|known| known.id == log).and_then(|known| known.empty);
     // `Need::All` can only be met by the owner itself.
     if need != Need::All && empty.is_some_and(|empty| need.met(log, log.owner, empty)) {
         return (Route::NotTouched, Reason::Summary);
     }
-    let all = holders(log, world);
-    let left: Vec<&Holder> = all.iter().filter(|holder| !said.contains_key(&holder.rank)).collect();
+    let all = holders(log, context);
+    let left: Vec<&Holder> = all.iter().filter(|holder| !replies.contains_key(&holder.rank)).collect();
     let price = |holder: &&&Holder| {
-        let near = world.facts.and_then(|facts| facts.members.get(usize::from(holder.rank)));
-        let far = holder.rank != world.own && !near.is_some_and(|fact| fact.same_zone);
-        (standing(world, holder.rank, now), (world.cost)(holder.rank, log), far, holder.rank)
+        let member = context.facts.and_then(|facts| facts.members.get(usize::from(holder.rank)));
+        let far = holder.rank != context.own && !member.is_some_and(|member| member.same_zone);
+        (health(context, holder.rank, now), (context.cost)(holder.rank, log), far, holder.rank)
     };
-    let well = |holder: &&&Holder| standing(world, holder.rank, now) <= Standing::Well;
+    let healthy = |holder: &&&Holder| health(context, holder.rank, now) <= Health::Healthy;
     let to = |holder: &Holder, reason| {
         let route = match holder.role {
-            _ if holder.rank == world.own => Route::Here,
+            _ if holder.rank == context.own => Route::Here,
             Role::Owner => Route::Owner(holder.rank),
             Role::Adopter => Route::Adopter(holder.rank),
             Role::Replica => Route::At(holder.rank),
         };
         (route, reason)
     };
-    let hoped = |holder: &&&Holder| need.hoped(log, holder);
+    let may_meet = |holder: &&&Holder| need.may_meet(log, holder);
     // A sender that is known to hold nothing of the log cannot answer for it at any level.
     let holds = |holder: &&&Holder| holder.reached.upto > 0 || holder.reached.as_of > 0;
-    if let Some(cheapest) = left.iter().filter(hoped).filter(holds).filter(well).min_by_key(price) {
+    if let Some(cheapest) = left.iter().filter(may_meet).filter(holds).filter(healthy).min_by_key(price) {
         let reason = if need == Need::All { Reason::Overflowed } else { Reason::Cheapest };
         return to(cheapest, reason);
     }
-    let reachable = |holder: &&&Holder| standing(world, holder.rank, now) < Standing::Away;
+    let reachable = |holder: &&&Holder| health(context, holder.rank, now) < Health::Unreachable;
     if let Some(owner) = left.iter().filter(|h| h.role == Role::Owner).find(reachable) {
         let reason = if need == Need::All { Reason::Overflowed } else { Reason::OnlyOwner };
         return to(owner, reason);
@@ -282,19 +284,19 @@
     if let Some(adopter) = left.iter().filter(|h| h.role == Role::Adopter).min_by_key(price) {
         return to(adopter, Reason::TookOver);
     }
-    if let Some(doubtful) = left.iter().filter(hoped).filter(holds).min_by_key(price) {
+    if let Some(doubtful) = left.iter().filter(may_meet).filter(holds).min_by_key(price) {
         return to(doubtful, Reason::LastResort);
     }
     if let Some(owner) = left.iter().find(|holder| holder.role == Role::Owner) {
         return to(owner, Reason::LastResort);
     }
-    let over = said.get(&log.owner) == Some(&HolderReply::Over);
+    let over = replies.get(&log.owner) == Some(&HolderReply::Over);
     // The most advanced sender first: hints may be outdated.
     let furthest = |holder: &&&Holder| (u64::MAX - holder.reached.upto, price(holder));
     if let Some(behind) = left.iter().filter(|_| over || again || need == Need::Any).min_by_key(furthest) {
         return to(behind, if over { Reason::Remains } else { Reason::CatchUp });
     }
-    if lost(log, need, said, &all) {
+    if lost(log, need, replies, &all) {
         (Route::Lost, Reason::Gone)
     } else if now < until {
         (Route::Wait(until), Reason::Behind)
@@ -306,15 +308,15 @@
 /// Whether the needed changes are lost for good. Either the owner replied that it is in another generation,
 /// and all others that may hold the log have replied since then that they have less; or the owner, in the
 /// log's own generation, has less. A sender without a reply may still hold them.
-fn lost(log: LogId, need: Need, said: &BTreeMap<Rank, HolderReply>, all: &[Holder]) -> bool {
-    if matches!(need, Need::Any | Need::Since(_)) && said.get(&log.owner) != Some(&HolderReply::Over) {
+fn lost(log: LogId, need: Need, replies: &BTreeMap<Rank, HolderReply>, all: &[Holder]) -> bool {
+    if matches!(need, Need::Any | Need::Since(_)) && replies.get(&log.owner) != Some(&HolderReply::Over) {
         return false;
     }
-    match said.get(&log.owner) {
+    match replies.get(&log.owner) {
         Some(HolderReply::Has(_)) => true,
         Some(HolderReply::Over) => all.iter().all(|holder| {
-            let said = said.get(&holder.rank);
-            matches!(said, Some(HolderReply::Has(_) | HolderReply::Over | HolderReply::Nothing))
+            let replies = replies.get(&holder.rank);
+            matches!(replies, Some(HolderReply::Has(_) | HolderReply::Over | HolderReply::Nothing))
         }),
         _ => false,
     }
--- a/src/plans/session.rs
+++ b/src/plans/session.rs
@@ -65,17 +65,17 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Leg<R> {
+struct LogState<R> {
     need: Need,
     /// The replies since the last pause.
-    said: BTreeMap<Rank, HolderReply>,
+    replies: BTreeMap<Rank, HolderReply>,
     /// The sender that was asked, until when its answer is waited for, and the number of the request.
     asked: Option<(Rank, Micros, u32)>,
     /// Number of the last request before the owner replied that the generation has ended.
-    over: Option<u32>,
+    asks_before_over: Option<u32>,
     /// When it is tried again.
-    rests: Option<Micros>,
-    rested: bool,
+    retry_at: Option<Micros>,
+    retried: bool,
     asks: usize,
     hops: Vec<Hop>,
     /// The most advanced answer, with its rows.
@@ -91,13 +91,13 @@
     level: Level,
     otherwise: Fallback,
     token: Token,
-    until: Micros,
+    wait_until: Micros,
     end: Micros,
     /// Number of requests so far.
     asks: u32,
     /// Positions shown of logs that were not requested.
-    came: Token,
-    legs: BTreeMap<LogId, Leg<R>>,
+    shown_elsewhere: Token,
+    states: BTreeMap<LogId, LogState<R>>,
 }
 
 /// The outcome of a read.
@@ -145,7 +145,10 @@
 
 /// More logs than [`MAX_LOGS`] may contain matching rows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("{0} logs may hold rows, where {MAX_LOGS} are the most: ask for ids, or a shorter time")]
+#[error(
+    "{0} logs may contain matching rows, more than the maximum of {MAX_LOGS}: \
+     query by ids or a shorter time range"
+)]
 pub struct TooManyLogs(pub usize);
 
 impl<R: Clone> Read<R> {
@@ -171,13 +174,13 @@
                 None => Need::Any,
             },
         };
-        let leg = |log: LogId| Leg {
+        let state = |log: LogId| LogState {
             need: need(log),
-            said: BTreeMap::new(),
+            replies: BTreeMap::new(),
             asked: None,
-            over: None,
-            rests: None,
-            rested: false,
+            asks_before_over: None,
+            retry_at: None,
+            retried: false,
             asks: 0,
             hops: Vec::new(),
             best: None,
@@ -185,10 +188,10 @@
             verdict: None,
         };
         let named = token.logs().map(|(log, _)| log);
-        let legs: BTreeMap<LogId, Leg<R>> =
-            logs.into_iter().chain(named).map(|log| (log, leg(log))).collect();
-        if legs.len() > MAX_LOGS {
-            return Err(TooManyLogs(legs.len()));
+        let states: BTreeMap<LogId, LogState<R>> =
+            logs.into_iter().chain(named).map(|log| (log, state(log))).collect();
+        if states.len() > MAX_LOGS {
+            return Err(TooManyLogs(states.len()));
         }
         let end = now.saturating_add(within.min(ANSWER_WITHIN));
         let until = now.saturating_add(Micros::from(plan.wait_ms) * 1000).min(end);
@@ -196,65 +199,69 @@
             level: plan.level,
             otherwise: plan.otherwise,
             token,
-            until,
+            wait_until: until,
             end,
             asks: 0,
-            came: Token::default(),
-            legs,
+            shown_elsewhere: Token::default(),
+            states,
         })
     }
 
     /// When [`Read::step`] has to be called next without an answer; none if the read has ended.
     pub fn due(&self) -> Option<Micros> {
-        let open = self.legs.values().filter(|leg| leg.verdict.is_none());
-        open.map(|leg| leg.asked.map(|asked| asked.1).or(leg.rests).unwrap_or(0).min(self.end)).min()
+        let open = self.states.values().filter(|state| state.verdict.is_none());
+        open.map(|state| state.asked.map(|asked| asked.1).or(state.retry_at).unwrap_or(0).min(self.end)).min()
     }
 
     /// Whether all logs have a result.
     pub fn is_over(&self) -> bool {
-        self.legs.values().all(|leg| leg.verdict.is_some())
+        self.states.values().all(|state| state.verdict.is_some())
     }
 
     /// Advances the read: senders that did not answer in time are routed around. Returns the requests to
     /// send, one per sender.
-    pub fn step(&mut self, now: Micros, world: &RouteContext<'_>) -> Vec<Ask> {
+    pub fn step(&mut self, now: Micros, context: &RouteContext<'_>) -> Vec<Ask> {
         let mut asks: BTreeMap<Rank, Ask> = BTreeMap::new();
         let number = &mut self.asks;
-        for (log, leg) in self.legs.iter_mut().filter(|leg| leg.1.verdict.is_none()) {
-            if let Some((rank, ..)) = leg.asked.take_if(|asked| asked.1 <= now) {
-                leg.said.insert(rank, HolderReply::Silent);
+        for (log, state) in self.states.iter_mut().filter(|state| state.1.verdict.is_none()) {
+            if let Some((rank, ..)) = state.asked.take_if(|asked| asked.1 <= now) {
+                state.replies.insert(rank, HolderReply::Silent);
             }
             if now >= self.end {
-                leg.ends(Verdict::Late, Hop { route: Route::Late, reason: Reason::TimeUp });
+                state.finish(Verdict::Late, Hop { route: Route::Late, reason: Reason::TimeUp });
                 continue;
             }
-            if leg.asked.is_some() || leg.rests.is_some_and(|rests| now < rests) {
+            if state.asked.is_some() || state.retry_at.is_some_and(|retry_at| now < retry_at) {
                 continue;
             }
-            if leg.rests.take().is_some() {
-                leg.rested = true;
+            if state.retry_at.take().is_some() {
+                state.retried = true;
                 // Replies that cannot change any more are retained: another generation of the owner, and the
                 // owner's watermark of its log.
-                leg.said.retain(|rank, said| {
-                    *rank == log.owner && matches!(said, HolderReply::Over | HolderReply::Has(_))
+                state.replies.retain(|rank, replies| {
+                    *rank == log.owner && matches!(replies, HolderReply::Over | HolderReply::Has(_))
                 });
             }
-            let progress =
-                Progress { need: leg.need, replies: &leg.said, again: leg.rested, until: self.until };
-            let (route, reason) = route(*log, progress, world, now);
+            let progress = Progress {
+                need: state.need,
+                replies: &state.replies,
+                again: state.retried,
+                until: self.wait_until,
+            };
+            let (route, reason) = route(*log, progress, context, now);
             let hop = Hop { route, reason };
             match route {
-                Route::NotTouched => leg.ends(Verdict::NotTouched, hop),
-                Route::Lost => leg.ends(Verdict::Lost, hop),
-                Route::Late => leg.ends(Verdict::Late, hop),
+                Route::NotTouched => state.finish(Verdict::NotTouched, hop),
+                Route::Lost => state.finish(Verdict::Lost, hop),
+                Route::Late => state.finish(Verdict::Late, hop),
                 Route::Wait(until) => {
-                    leg.hops(hop);
-                    leg.rests = Some(now.saturating_add(PAUSE).min(until));
+                    state.add_hop(hop);
+                    state.retry_at = Some(now.saturating_add(PAUSE).min(until));
                 }
                 Route::Here | Route::At(_) | Route::Owner(_) | Route::Adopter(_) => {
-                    let Some(to) = route.asks(world.own) else { continue };
-                    if leg.asks == MAX_ASKS {
-                        leg.ends(Verdict::Late, Hop { route: Route::Late, reason: Reason::Often });
+                    let Some(to) = route.asks(context.own) else { continue };
+                    if state.asks == MAX_ASKS {
+                        state.finish(Verdict::Late, Hop { route: Route::Late, reason: Reason::Often });
                         continue;
                     }
                     let by = now.saturating_add(ASK_WITHIN).min(self.end);
@@ -262,10 +269,10 @@
                         *number += 1;
                         Ask { number: *number, to, logs: Vec::new(), by }
                     });
-                    leg.asks += 1;
-                    leg.asked = Some((to, by, ask.number));
-                    leg.hops(hop);
-                    ask.logs.push((*log, leg.need));
+                    state.asks += 1;
+                    state.asked = Some((to, by, ask.number));
+                    state.add_hop(hop);
+                    ask.logs.push((*log, state.need));
                 }
             }
         }
@@ -283,93 +290,93 @@
         (shown, rows): (u64, R),
     ) {
         let asks = self.asks;
-        let Some(leg) = self.legs.get_mut(&log) else { return };
+        let Some(state) = self.states.get_mut(&log) else { return };
         // Counts even if the answer is not used: its rows may be shown for another log that came with it.
-        leg.shown = leg.shown.max(shown);
-        if leg.verdict.is_some() {
+        state.shown = state.shown.max(shown);
+        if state.verdict.is_some() {
             return;
         }
-        leg.asked.take_if(|asked| asked.2 == number);
-        if stated == HolderReply::Over && from == log.owner && leg.over.is_none() {
+        state.asked.take_if(|asked| asked.2 == number);
+        if stated == HolderReply::Over && from == log.owner && state.asks_before_over.is_none() {
             // Other senders may have received more of the log since they answered, but receive nothing more
             // from now on: they are asked again, so that only what is really lost is reported as lost.
-            leg.said.clear();
-            leg.over = Some(asks);
+            state.replies.clear();
+            state.asks_before_over = Some(asks);
         }
         let reached = match stated {
-            HolderReply::Has(reached) => Some(reached).filter(|reached| leg.need.met(log, from, *reached)),
+            HolderReply::Has(reached) => Some(reached).filter(|reached| state.need.met(log, from, *reached)),
             _ => None,
         };
         // An insufficient reply from before the owner's may be sufficient by now.
-        let old = from != log.owner && leg.over.is_some_and(|over| number <= over);
+        let old = from != log.owner && state.asks_before_over.is_some_and(|over| number <= over);
         if reached.is_none() && old {
             return;
         }
-        leg.said.insert(from, stated);
+        state.replies.insert(from, stated);
         let HolderReply::Has(told) = stated else { return };
-        if reached.is_some() || leg.best.as_ref().is_none_or(|best| best.1.upto < told.upto) {
-            leg.best = Some((from, told, rows));
+        if reached.is_some() || state.best.as_ref().is_none_or(|best| best.1.upto < told.upto) {
+            state.best = Some((from, told, rows));
         }
         if reached.is_some() {
-            leg.verdict = Some(Verdict::Kept);
+            state.verdict = Some(Verdict::Kept);
         }
     }
 
     /// Rows of another log, up to this number, came with those of the requested logs.
     pub fn record_shown(&mut self, log: LogId, shown: u64) {
         if self.level == Level::Session {
-            self.came.observe(log, shown);
+            self.shown_elsewhere.observe(log, shown);
         }
     }
 
     /// The read has used up its allowance: logs without a result count as late.
     pub fn cut(&mut self) {
-        for leg in self.legs.values_mut().filter(|leg| leg.verdict.is_none()) {
-            leg.ends(Verdict::Late, Hop { route: Route::Late, reason: Reason::Cut });
+        for state in self.states.values_mut().filter(|state| state.verdict.is_none()) {
+            state.finish(Verdict::Late, Hop { route: Route::Late, reason: Reason::Cut });
         }
     }
 
     /// The result of the read, once it is over.
     pub fn ended(self) -> Ended<R> {
-        let kept = |leg: &Leg<R>| matches!(leg.verdict, Some(Verdict::Kept | Verdict::NotTouched));
+        let kept = |state: &LogState<R>| matches!(state.verdict, Some(Verdict::Kept | Verdict::NotTouched));
         let outcome = match self.otherwise {
-            _ if self.legs.values().all(kept) => Outcome::Kept,
+            _ if self.states.values().all(kept) => Outcome::Kept,
             // This level promises no more than the nearest data.
             _ if self.level == Level::Any => Outcome::Less,
             Fallback::TellStale => Outcome::Less,
             Fallback::Refuse => Outcome::Refused,
         };
-        let lost = self.legs.iter().filter(|leg| leg.1.verdict == Some(Verdict::Lost));
-        let lost: Vec<LogId> = lost.map(|leg| *leg.0).collect();
+        let lost = self.states.iter().filter(|state| state.1.verdict == Some(Verdict::Lost));
+        let lost: Vec<LogId> = lost.map(|state| *state.0).collect();
         let mut token = self.token;
-        let mut parts = Vec::with_capacity(self.legs.len());
-        for (log, leg) in self.legs {
-            let answer = leg.best.filter(|_| outcome != Outcome::Refused);
-            if outcome != Outcome::Refused && leg.shown > 0 && self.level == Level::Session {
+        let mut parts = Vec::with_capacity(self.states.len());
+        for (log, state) in self.states {
+            let answer = state.best.filter(|_| outcome != Outcome::Refused);
+            if outcome != Outcome::Refused && state.shown > 0 && self.level == Level::Session {
                 // Everything that was shown counts, even beyond the request and beyond the position up to
                 // which the sender is complete; also what was filtered out, since its absence was shown.
                 let upto = answer.as_ref().map_or(0, |(_, reached, _)| reached.upto);
-                token.observe(log, leg.shown.max(upto));
+                token.observe(log, state.shown.max(upto));
             }
-            let verdict = leg.verdict.unwrap_or(Verdict::Late);
-            parts.push(Part { log, need: leg.need, verdict, hops: leg.hops, answer });
+            let verdict = state.verdict.unwrap_or(Verdict::Late);
+            parts.push(Part { log, need: state.need, verdict, hops: state.hops, answer });
         }
         if outcome != Outcome::Refused {
-            token.merge(&self.came);
+            token.merge(&self.shown_elsewhere);
         }
         let without_lost = if lost.is_empty() { None } else { token.without(&lost) };
         Ended { outcome, level: self.level, parts, token, without_lost }
     }
 }
 
-impl<R> Leg<R> {
-    fn ends(&mut self, verdict: Verdict, hop: Hop) {
+impl<R> LogState<R> {
+    fn finish(&mut self, verdict: Verdict, hop: Hop) {
         self.verdict = Some(verdict);
-        self.hops(hop);
+        self.add_hop(hop);
     }
 
     /// Keeps the first steps and the last one.
-    fn hops(&mut self, hop: Hop) {
+    fn add_hop(&mut self, hop: Hop) {
         self.hops.truncate(MAX_ASKS);
         self.hops.push(hop);
     }
--- a/src/plans/token.rs
+++ b/src/plans/token.rs
@@ -37,27 +37,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum TokenError {
     /// It is longer than any token.
-    #[error("a token of {0} characters, where {MAX_TOKEN_LEN} are the most")]
+    #[error("session token of {0} characters exceeds the maximum of {MAX_TOKEN_LEN}")]
     Long(usize),
     /// It is not base64url without padding.
-    #[error("a token that is not base64url")]
+    #[error("session token is not base64url")]
     Text,
     /// Its end is missing.
-    #[error("a token that was cut off: {there} of {said} bytes")]
+    #[error("session token is truncated: {received} of {expected} bytes")]
     Truncated {
         /// Bytes received.
-        there: usize,
+        received: usize,
         /// Bytes expected by its header.
-        said: usize,
+        expected: usize,
     },
     /// It has another version.
-    #[error("a token of version {0}, where {VERSION} is read")]
+    #[error("session token has version {0}, this sender reads version {VERSION}")]
     Version(u8),
     /// It belongs to another tier.
-    #[error("a token of another tier")]
+    #[error("session token belongs to another tier")]
     Foreign,
     /// Its checksum or its form is wrong.
-    #[error("a token that was changed on its way")]
+    #[error("session token is corrupt: wrong checksum or form")]
     Corrupt,
 }
 
@@ -74,12 +74,13 @@
 }
 
 coded_error! { TokenError {
-    Long => "token_long", "see whether something between the client and the sender shortens or joins headers";
-    Text => "token_text", "have the client send the token as it got it";
-    Truncated => "token_cut", "see whether something between the client and the sender shortens or joins headers";
+    Long => "token_long", "check whether a proxy between the client and the sender shortens or joins headers";
+    Text => "token_text", "have the client send the token unchanged";
+    Truncated => "token_cut",
+        "check whether a proxy between the client and the sender shortens or joins headers";
     Version => "token_version", "finish the roll-out, so that all senders read it";
-    Foreign => "token_foreign", "send the client to its own tier, or have it begin a new session here";
-    Corrupt => "token_spoilt", "have the client send the token as it got it";
+    Foreign => "token_foreign", "send the client to its own tier, or have it start a new session here";
+    Corrupt => "token_spoilt", "have the client send the token unchanged";
 } }
 
 /// The positions below which a session's reads must not fall.
@@ -97,7 +98,7 @@
         }
         let known = self.seen.entry(log).or_default();
         *known = upto.max(*known);
-        self.bound();
+        self.enforce_limit();
     }
 
     /// Merges another token: the greater position of each log. Commutative, associative, idempotent, also at
@@ -108,12 +109,12 @@
             *known = (*upto).max(*known);
         }
         self.overflowed |= other.overflowed;
-        self.bound();
+        self.enforce_limit();
     }
 
     /// Keeps the logs with the smallest names. A log that was dropped once would be dropped from every token
     /// that this one is merged into, so the position of a named log is always the greatest that was seen.
-    fn bound(&mut self) {
+    fn enforce_limit(&mut self) {
         while self.seen.len() > MAX_LOGS {
             self.seen.pop_last();
             self.overflowed = true;
@@ -184,17 +185,17 @@
             return Err(TokenError::Long(text.len()));
         }
         let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| TokenError::Text)?;
-        let version = *bytes.first().ok_or(TokenError::Truncated { there: 0, said: HEAD })?;
+        let version = *bytes.first().ok_or(TokenError::Truncated { received: 0, expected: HEAD })?;
         if version != VERSION {
             return Err(TokenError::Version(version));
         }
         let Some((head, body)) = bytes.split_at_checked(HEAD) else {
-            return Err(TokenError::Truncated { there: bytes.len(), said: HEAD });
+            return Err(TokenError::Truncated { received: bytes.len(), expected: HEAD });
         };
         let (head, sum) = head.split_at(HEAD - 4);
-        let said = usize::from(u16::from_le_bytes([head[6], head[7]]));
-        if body.len() < said {
-            return Err(TokenError::Truncated { there: bytes.len(), said: HEAD + said });
+        let expected = usize::from(u16::from_le_bytes([head[6], head[7]]));
+        if body.len() < expected {
+            return Err(TokenError::Truncated { received: bytes.len(), expected: HEAD + expected });
         }
         if checksum(head, body).to_le_bytes() != sum || head[1] & !OVERFLOWED != 0 {
             return Err(TokenError::Corrupt);
@@ -205,10 +206,10 @@
         let mut seen = BTreeMap::new();
         let mut rest = body;
         while !rest.is_empty() {
-            let ((owner, life, upto), next): (Written, _) =
+            let ((owner, generation, upto), next): (Written, _) =
                 postcard::take_from_bytes(rest).map_err(|_| TokenError::Corrupt)?;
             rest = next;
-            let log = LogId { owner, generation: Generation(u64::from_le_bytes(life)) };
+            let log = LogId { owner, generation: Generation(u64::from_le_bytes(generation)) };
             let next = seen.last_key_value().is_none_or(|(last, _)| *last < log);
             if !next || upto == 0 || seen.len() == MAX_LOGS {
                 return Err(TokenError::Corrupt);
--- a/tests/plans.rs
+++ b/tests/plans.rs
@@ -15,13 +15,13 @@
 const TIER: u32 = 77;
 const NOW: Micros = 100_000_000;
 
-fn log(owner: Rank, life: u64) -> LogId {
-    LogId { owner, generation: Generation(life) }
+fn log(owner: Rank, generation: u64) -> LogId {
+    LogId { owner, generation: Generation(generation) }
 }
 
 fn token(logs: &[(Rank, u64, u64)]) -> Token {
     let mut token = Token::default();
-    logs.iter().for_each(|(owner, life, upto)| token.observe(log(*owner, *life), *upto));
+    logs.iter().for_each(|(owner, generation, upto)| token.observe(log(*owner, *generation), *upto));
     token
 }
 
@@ -42,7 +42,11 @@
     /// Guards against a session token that depends on the order or repetition of reads, also at its maximum
     /// size.
     #[test]
-    fn tokens_merge_as_a_join(a in any_token(), b in any_token(), c in any_token()) {
+    fn merging_tokens_is_commutative_associative_and_idempotent(
+        a in any_token(),
+        b in any_token(),
+        c in any_token(),
+    ) {
         prop_assert_eq!(merged(&a, &b), merged(&b, &a));
         prop_assert_eq!(merged(&merged(&a, &b), &c), merged(&a, &merged(&b, &c)));
         prop_assert_eq!(merged(&a, &a), a.clone());
@@ -57,7 +61,11 @@
     /// Guards against a token that a header, a proxy or a client has changed: it is accepted as a whole or
     /// not at all.
     #[test]
-    fn a_token_is_read_as_it_was_written_or_not(a in any_token(), at in any::<prop::sample::Index>(), with in 0..64u8) {
+    fn changed_token_is_read_as_written_or_rejected(
+        a in any_token(),
+        at in any::<prop::sample::Index>(),
+        with in 0..64u8,
+    ) {
         let text = a.text(TIER);
         prop_assert!(text.len() <= MAX_TOKEN_LEN);
         prop_assert_eq!(Token::read(&text, TIER), Ok(a));
@@ -73,13 +81,13 @@
     }
 
     #[test]
-    fn any_text_is_turned_down_or_read(text in ".{0,200}") {
+    fn any_text_is_rejected_or_read_as_a_token(text in ".{0,200}") {
         prop_assert!(Token::read(&text, TIER).is_err());
     }
 }
 
 #[test]
-fn each_unreadable_token_is_told_by_its_kind() {
+fn each_kind_of_invalid_token_has_its_code() {
     let text = token(&[(1, 2, 3)]).text(TIER);
     let kind = |text: &str| Token::read(text, TIER).err().map(TokenError::code);
     assert_eq!(kind(&"A".repeat(MAX_TOKEN_LEN + 1)), Some("token_long"));
@@ -93,7 +101,7 @@
 
 /// Guards against a smaller position that enters a token that overflowed and has free entries again.
 #[test]
-fn what_overflowed_asks_for_more_and_never_for_less() {
+fn overflowed_token_requires_the_owner_and_never_a_smaller_position() {
     let mut full = Token::default();
     (0..=MAX_LOGS as u16).for_each(|owner| full.observe(log(owner, 1), 9));
     let left_out = log(MAX_LOGS as u16, 1);
@@ -209,7 +217,7 @@
             if read.is_over() {
                 break;
             }
-            let quiet = asks.iter().all(|ask| self.silent.contains(&ask.to));
+            let all_silent = asks.iter().all(|ask| self.silent.contains(&ask.to));
             for ask in &asks {
                 for (log, _) in ask.logs.iter().filter(|_| !self.silent.contains(&ask.to)) {
                     let stated = match self.has.get(&(*log, ask.to)) {
@@ -221,7 +229,7 @@
                 }
             }
             self.asks.extend(asks);
-            if quiet {
+            if all_silent {
                 now = read.due().unwrap_or(now).max(now);
             }
         }
@@ -237,7 +245,7 @@
 
 /// Guards the order of routes, case by case.
 #[test]
-fn of_those_that_can_keep_the_level_the_cheapest_is_asked() {
+fn route_takes_the_cheapest_sender_that_meets_the_level() {
     let id = log(0, 1);
     let needs = token(&[(0, 1, 5)]);
     let tier = || Tier::new(&[(id, 0, 9), (id, 1, 5), (id, 2, 7), (id, 3, 4), (id, 9, 4)]);
@@ -272,7 +280,7 @@
 
 /// Guards against answers decided by hints: what counts is the watermark that comes with the rows.
 #[test]
-fn a_hint_that_is_wrong_costs_a_detour() {
+fn wrong_hint_causes_only_a_detour() {
     let id = log(0, 1);
     let mut tier = Tier::new(&[(id, 0, 9), (id, 1, 4)]);
     tier.hints = [((id, 1), 1_000), ((id, 2), 1_000)].into();
@@ -288,7 +296,7 @@
 }
 
 #[test]
-fn a_silent_sender_is_routed_round() {
+fn silent_sender_is_routed_around() {
     let id = log(0, 1);
     let mut tier = Tier::new(&[(id, 0, 9), (id, 1, 9)]);
     (tier.costs, tier.silent) = ([(1, 1)].into(), vec![1]);
@@ -297,7 +305,7 @@
 }
 
 #[test]
-fn a_replica_that_lags_is_waited_for_up_to_the_plan() {
+fn lagging_replica_is_waited_for_up_to_wait_ms() {
     let id = log(0, 1);
     let lagging = || {
         let mut tier = Tier::new(&[(id, 0, 9), (id, 1, 4)]);
@@ -327,7 +335,7 @@
 
 /// Guards the distinction between what may still arrive and what cannot.
 #[test]
-fn lost_is_told_apart_from_late() {
+fn lost_logs_are_distinguished_from_late_ones() {
     let id = log(0, 1);
     let needs = token(&[(0, 1, 5), (4, 1, 2)]);
     let tier = || {
@@ -355,7 +363,7 @@
 }
 
 #[test]
-fn bounded_reads_are_not_older_and_any_reads_are_told_with_what_there_is() {
+fn bounded_reads_respect_staleness_and_any_reads_return_what_exists() {
     let id = log(0, 1);
     let bounded = Plan { staleness_ms: 100, ..plan(Level::Bounded) };
     let mut tier = Tier::new(&[(id, 0, 9), (id, 1, 4)]);
@@ -369,7 +377,7 @@
 }
 
 #[test]
-fn sessions_are_the_plans_that_have_them_and_rates_hold() {
+fn reads_are_admitted_by_session_level_and_rate() {
     let session = Plan { level: Level::Session, reads_per_s: 10, ..Plan::default() };
     let config: Config = [("bank".to_owned(), session), ("default".to_owned(), plan(Level::Any))].into();
     let mut plans = Plans::new(config.clone());
@@ -393,7 +401,7 @@
 }
 
 #[test]
-fn tenants_are_bounded_and_the_rest_shares_one_place() {
+fn tenants_beyond_the_maximum_share_one_entry() {
     let mut plans = Plans::new([("default".to_owned(), Plan { reads_per_s: 1, ..Plan::default() })].into());
     for tenant in 0..MAX_TENANTS + 50 {
         let admitted = plans.admit(&format!("t{tenant}"), None, TIER, NOW).is_ok();
@@ -413,7 +421,7 @@
 
 /// Guards monotonic reads: rows of a log that already has its answer may be shown with those of another log.
 #[test]
-fn what_came_with_a_later_answer_counts_for_the_session() {
+fn rows_shown_with_a_later_answer_count_for_the_session() {
     let log = LogId { owner: 1, generation: Generation(7) };
     let plan = Plan { level: Level::Session, ..Plan::default() };
     let Ok(mut read) = Read::begin(&plan, Token::default(), [log], NOW, ANSWER_WITHIN) else {
--- a/tests/plans_model.rs
+++ b/tests/plans_model.rs
@@ -41,29 +41,29 @@
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-struct Held {
+struct ReplicaLog {
     mask: Mask,
     /// The highest number that it received.
-    told: u64,
+    highest: u64,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 struct Sender {
     down: bool,
     stopped: bool,
-    life: u64,
+    generation: u64,
     /// The changes of its own log in its folder, and the last number that it has assigned.
-    kept: Mask,
+    persisted: Mask,
     last: u64,
     /// The logs of others that it holds in memory.
-    copies: BTreeMap<LogId, Held>,
+    replicas: BTreeMap<LogId, ReplicaLog>,
     adopts: BTreeMap<LogId, Adopted>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Passed {
+enum Message {
     Change(Rank, Rank, LogId, u64),
-    MembershipView(Rank, Rank, LogId, Mask, u64),
+    ReplicaRecords(Rank, Rank, LogId, Mask, u64),
     Asked {
         read: (usize, usize),
         number: u32,
@@ -80,10 +80,10 @@
     },
 }
 
-impl Passed {
+impl Message {
     fn link(&self) -> (Rank, Rank) {
         match self {
-            Self::Change(from, to, ..) | Self::MembershipView(from, to, ..) => (*from, *to),
+            Self::Change(from, to, ..) | Self::ReplicaRecords(from, to, ..) => (*from, *to),
             Self::Asked { from, to, .. } | Self::Answered { from, to, .. } => (*from, *to),
         }
     }
@@ -97,7 +97,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Reading {
+struct ActiveRead {
     at: Rank,
     now: Micros,
     core: Read<Mask>,
@@ -113,17 +113,17 @@
     saw: BTreeMap<LogId, Mask>,
     writes: usize,
     reads: usize,
-    reading: Option<Reading>,
+    reading: Option<ActiveRead>,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct Tier {
     senders: Vec<Sender>,
     sessions: Vec<Session>,
-    passed: BTreeSet<Passed>,
+    in_flight: BTreeSet<Message>,
     /// One side of a partition, one bit per sender.
     side: u8,
-    lives: u64,
+    next_generation: u64,
     left: Bounds,
     /// Names of the violations found.
     found: BTreeSet<&'static str>,
@@ -135,7 +135,7 @@
 
 impl fmt::Debug for Tier {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?}\n{:?}\n{:?} {:?}", self.senders, self.sessions, self.passed, self.found)
+        write!(f, "{:?}\n{:?}\n{:?} {:?}", self.senders, self.sessions, self.in_flight, self.found)
     }
 }
 
@@ -144,9 +144,9 @@
     Write(usize),
     Begin(usize, Rank),
     /// Advances a read's clock to the time at which it is due.
-    Lapse(usize),
-    Deliver(Passed),
-    Lose(Passed),
+    Timeout(usize),
+    Deliver(Message),
+    Lose(Message),
     /// With its folder, or without.
     Crash(Rank, bool),
     Start(Rank),
@@ -165,7 +165,7 @@
     reads: usize,
     losses: usize,
     /// Timeouts while an answer is in flight.
-    lapses: usize,
+    timeouts: usize,
     crashes: usize,
     stops: usize,
     splits: usize,
@@ -191,14 +191,14 @@
     /// A sender that has lost its folder continues its generation and numbers.
     OutlivesFolder,
     /// Clients merge tokens by the smaller position.
-    LesserMerge,
+    SmallerMerge,
     /// An adopter claims what was sent to one backup before it has the log records of the other.
     EarlyAdopter,
     /// A replica shows what it has beyond the position that it claims, and does not report it.
     HidesBeyond,
 }
 
-struct Checked {
+struct TierModel {
     size: usize,
     bounds: Bounds,
     hints: Hints,
@@ -207,14 +207,14 @@
     writers: usize,
 }
 
-impl Checked {
-    fn covers(&self, owner: Rank) -> (Rank, Rank) {
+impl TierModel {
+    fn backups(&self, owner: Rank) -> (Rank, Rank) {
         let rank = |n: usize| ((usize::from(owner) + n) % self.size) as Rank;
         (rank(1), rank(2))
     }
 
     fn log(tier: &Tier, owner: Rank) -> LogId {
-        LogId { owner, generation: Generation(tier.senders[usize::from(owner)].life) }
+        LogId { owner, generation: Generation(tier.senders[usize::from(owner)].generation) }
     }
 
     /// What a sender states about a log, and shows of it.
@@ -222,25 +222,25 @@
         let sender = &tier.senders[usize::from(rank)];
         let has = |number: u64, mask: Mask| (HolderReply::Has(Watermark { upto: number, as_of: 1 }), mask);
         if rank == log.owner {
-            return if log.generation.0 == sender.life {
-                has(sender.last, sender.kept)
+            return if log.generation.0 == sender.generation {
+                has(sender.last, sender.persisted)
             } else {
                 (HolderReply::Over, 0)
             };
         }
-        let Some(copy) = sender.copies.get(&log) else { return (HolderReply::Nothing, 0) };
+        let Some(replica) = sender.replicas.get(&log) else { return (HolderReply::Nothing, 0) };
         let claimed = match self.fault {
-            Fault::EarlyClaim => greatest(copy.mask),
-            _ => prefix(copy.mask),
+            Fault::EarlyClaim => greatest(replica.mask),
+            _ => prefix(replica.mask),
         };
-        let Some(adopted) = sender.adopts.get(&log) else { return has(claimed, copy.mask) };
+        let Some(adopted) = sender.adopts.get(&log) else { return has(claimed, replica.mask) };
         if self.fault == Fault::EarlyAdopter {
-            return has(copy.told, copy.mask);
+            return has(replica.highest, replica.mask);
         }
         match adopted.upto() {
-            Some(number) => has(number.max(claimed), copy.mask),
+            Some(number) => has(number.max(claimed), replica.mask),
             // It may state what it certainly has, but not that it has no more.
-            None if need.met(log, rank, Watermark { upto: claimed, as_of: 1 }) => has(claimed, copy.mask),
+            None if need.met(log, rank, Watermark { upto: claimed, as_of: 1 }) => has(claimed, replica.mask),
             None => (HolderReply::NotYet, 0),
         }
     }
@@ -258,7 +258,7 @@
     /// All logs that ever existed and that a sender or token knows of, with the senders that may hold them.
     fn logs(&self, tier: &Tier) -> Vec<Log> {
         let mut ids: BTreeSet<LogId> = (0..self.size as Rank).map(|rank| Self::log(tier, rank)).collect();
-        ids.extend(tier.senders.iter().flat_map(|sender| sender.copies.keys().copied()));
+        ids.extend(tier.senders.iter().flat_map(|sender| sender.replicas.keys().copied()));
         ids.extend(tier.sessions.iter().flat_map(|session| session.token.logs().map(|log| log.0)));
         let holder = |id: LogId, rank: Rank| {
             let adopts = tier.senders[usize::from(rank)].adopts.contains_key(&id);
@@ -271,14 +271,14 @@
             Holder { rank, role, reached }
         };
         let known = |id: LogId| {
-            let covers = self.covers(id.owner);
-            let holders = [id.owner, covers.0, covers.1].map(|rank| holder(id, rank)).to_vec();
+            let backups = self.backups(id.owner);
+            let holders = [id.owner, backups.0, backups.1].map(|rank| holder(id, rank)).to_vec();
             Log { id, holders, empty: None }
         };
         ids.into_iter().map(known).collect()
     }
 
-    fn facts(&self, tier: &Tier, own: Rank) -> Option<MembershipView> {
+    fn view(&self, tier: &Tier, own: Rank) -> Option<MembershipView> {
         let member = |sender: &Sender| {
             let dead = match self.hints {
                 Hints::Wrong => !sender.down,
@@ -292,8 +292,8 @@
             }
         };
         let members = tier.senders.iter().map(member).collect();
-        let facts = MembershipView { own, members, isolated: false, minority: false };
-        (self.hints != Hints::None).then_some(facts)
+        let view = MembershipView { own, members, isolated: false, minority: false };
+        (self.hints != Hints::None).then_some(view)
     }
 
     /// Advances a read, and removes it if it is over.
@@ -301,7 +301,7 @@
         let Some(mut reading) = tier.sessions[session].reading.take() else { return };
         let own = reading.at;
         let logs = self.logs(tier);
-        let facts = self.facts(tier, own);
+        let view = self.view(tier, own);
         let here: Positions = logs
             .iter()
             .filter_map(|log| match self.states(tier, own, log.id, Need::Any).0 {
@@ -312,7 +312,7 @@
         let world = RouteContext {
             own,
             here: &here,
-            facts: facts.as_ref(),
+            facts: view.as_ref(),
             logs: &logs,
             cost: &|rank, _| u64::from(rank != own),
             busy: &|_| false,
@@ -324,7 +324,7 @@
             for ask in others {
                 let read = (session, tier.sessions[session].reads);
                 let (number, to, logs) = (ask.number, ask.to, ask.logs);
-                tier.passed.insert(Passed::Asked { read, number, from: own, to, logs });
+                tier.in_flight.insert(Message::Asked { read, number, from: own, to, logs });
             }
             if own_asks.is_empty() {
                 break;
@@ -339,7 +339,7 @@
         if reading.core.is_over() {
             // Messages of the read that are still in flight are dropped.
             let read = Some((session, tier.sessions[session].reads));
-            tier.passed.retain(|passed| passed.read() != read);
+            tier.in_flight.retain(|message| message.read() != read);
             self.over(tier, session, reading);
         } else {
             tier.sessions[session].reading = Some(reading);
@@ -347,8 +347,8 @@
     }
 
     /// Compares a read that has ended with what its session knew, without using its token.
-    fn over(&self, tier: &mut Tier, session: usize, reading: Reading) {
-        let Reading { core, wrote, saw, .. } = reading;
+    fn over(&self, tier: &mut Tier, session: usize, reading: ActiveRead) {
+        let ActiveRead { core, wrote, saw, .. } = reading;
         let ended = core.ended();
         let mut shown: BTreeMap<LogId, Mask> = BTreeMap::new();
         for part in &ended.parts {
@@ -357,9 +357,9 @@
             let needed = if let Need::Upto(number) = part.need { upto(number) } else { 0 };
             let has = |rank: Rank| {
                 let sender = &tier.senders[usize::from(rank)];
-                let own = rank == part.log.owner && sender.life == part.log.generation.0;
-                let copy = sender.copies.get(&part.log).map(|copy| copy.mask);
-                own.then_some(sender.kept).or(copy).is_some_and(|mask| mask & needed == needed)
+                let own = rank == part.log.owner && sender.generation == part.log.generation.0;
+                let replica = sender.replicas.get(&part.log).map(|replica| replica.mask);
+                own.then_some(sender.persisted).or(replica).is_some_and(|mask| mask & needed == needed)
             };
             if part.verdict == Verdict::Lost && (0..self.size as Rank).any(has) {
                 tier.found.insert("lost");
@@ -390,12 +390,12 @@
     fn merge(&self, session: &mut Session, token: &Token) {
         let before = session.token.clone();
         session.token.merge(token);
-        if self.fault == Fault::LesserMerge {
-            let mut lesser = Token::default();
+        if self.fault == Fault::SmallerMerge {
+            let mut smaller = Token::default();
             for (log, upto) in session.token.logs() {
-                lesser.observe(log, before.upto(log).unwrap_or(upto).min(token.upto(log).unwrap_or(upto)));
+                smaller.observe(log, before.upto(log).unwrap_or(upto).min(token.upto(log).unwrap_or(upto)));
             }
-            session.token = lesser;
+            session.token = smaller;
         }
     }
 
@@ -407,42 +407,42 @@
         known.reads += 1;
         let Ok(core) = Read::begin(&plan, known.token.clone(), logs, BEGIN, ANSWER_WITHIN) else { return };
         let (wrote, saw) = (known.wrote.clone(), known.saw.clone());
-        known.reading = Some(Reading { at, now: BEGIN, core, wrote, saw });
+        known.reading = Some(ActiveRead { at, now: BEGIN, core, wrote, saw });
         self.step(tier, session);
     }
 
-    fn reachable(tier: &Tier, passed: &Passed) -> bool {
-        let (from, to) = passed.link();
+    fn reachable(tier: &Tier, message: &Message) -> bool {
+        let (from, to) = message.link();
         let side = |rank: Rank| tier.side >> rank & 1;
         let to_there = &tier.senders[usize::from(to)];
         side(from) == side(to) && !to_there.down && !to_there.stopped
     }
 
-    fn deliver(&self, tier: &mut Tier, passed: Passed) {
-        tier.passed.remove(&passed);
-        match passed {
-            Passed::Change(_, to, log, number) => {
-                let copy = tier.senders[usize::from(to)].copies.entry(log).or_default();
-                copy.mask |= bit(number);
-                copy.told = copy.told.max(number);
+    fn deliver(&self, tier: &mut Tier, message: Message) {
+        tier.in_flight.remove(&message);
+        match message {
+            Message::Change(_, to, log, number) => {
+                let replica = tier.senders[usize::from(to)].replicas.entry(log).or_default();
+                replica.mask |= bit(number);
+                replica.highest = replica.highest.max(number);
             }
-            Passed::MembershipView(from, to, log, mask, told) => {
+            Message::ReplicaRecords(from, to, log, mask, highest) => {
                 let sender = &mut tier.senders[usize::from(to)];
                 let Some(adopted) = sender.adopts.get_mut(&log) else { return };
                 adopted.report(from, known(mask));
-                let copy = sender.copies.entry(log).or_default();
-                copy.mask |= mask;
-                copy.told = copy.told.max(told);
+                let replica = sender.replicas.entry(log).or_default();
+                replica.mask |= mask;
+                replica.highest = replica.highest.max(highest);
             }
-            Passed::Asked { read, number, from, to, logs } => {
+            Message::Asked { read, number, from, to, logs } => {
                 let answer = |(log, need): (LogId, Need)| {
                     let (stated, shown) = self.states(tier, to, log, need);
                     (log, stated, shown)
                 };
                 let logs = logs.into_iter().map(answer).collect();
-                tier.passed.insert(Passed::Answered { read, number, from: to, to: from, logs });
+                tier.in_flight.insert(Message::Answered { read, number, from: to, to: from, logs });
             }
-            Passed::Answered { read: (session, serial), number, from, logs, .. } => {
+            Message::Answered { read: (session, serial), number, from, logs, .. } => {
                 if tier.sessions[session].reads != serial {
                     return;
                 }
@@ -455,7 +455,7 @@
         }
     }
 
-    fn lapse(&self, tier: &mut Tier, session: usize) {
+    fn time_out(&self, tier: &mut Tier, session: usize) {
         if let Some(reading) = &mut tier.sessions[session].reading {
             reading.now = reading.core.due().unwrap_or(reading.now).max(reading.now);
             self.step(tier, session);
@@ -465,22 +465,22 @@
     /// No message of this read can arrive: only its own clock advances it.
     fn silent(tier: &Tier, session: usize) -> bool {
         let read = Some((session, tier.sessions[session].reads));
-        !tier.passed.iter().any(|passed| passed.read() == read && Self::reachable(tier, passed))
+        !tier.in_flight.iter().any(|message| message.read() == read && Self::reachable(tier, message))
     }
 
     fn start(&self, tier: &mut Tier, rank: Rank) {
         let sender = &mut tier.senders[usize::from(rank)];
         sender.down = false;
         // A new process's first datagram ends the channels of the previous one.
-        let old = |passed: &Passed| match passed {
-            Passed::Change(from, ..) | Passed::MembershipView(from, ..) => *from == rank,
+        let old = |message: &Message| match message {
+            Message::Change(from, ..) | Message::ReplicaRecords(from, ..) => *from == rank,
             _ => false,
         };
-        tier.passed.retain(|passed| !old(passed));
+        tier.in_flight.retain(|message| !old(message));
     }
 
     /// Makes all senders available and reachable, resends what was lost, and completes all reads.
-    fn calm(&self, tier: &mut Tier) -> bool {
+    fn recover(&self, tier: &mut Tier) -> bool {
         tier.side = 0;
         for rank in 0..self.size as Rank {
             tier.senders[usize::from(rank)].stopped = false;
@@ -489,28 +489,28 @@
             }
         }
         for rank in 0..self.size as Rank {
-            let (log, covers) = (Self::log(tier, rank), self.covers(rank));
+            let (log, backups) = (Self::log(tier, rank), self.backups(rank));
             let sender = &tier.senders[usize::from(rank)];
             for number in 1..=sender.last {
-                if sender.kept & bit(number) != 0 {
-                    for cover in [covers.0, covers.1] {
-                        tier.passed.insert(Passed::Change(rank, cover, log, number));
+                if sender.persisted & bit(number) != 0 {
+                    for backup in [backups.0, backups.1] {
+                        tier.in_flight.insert(Message::Change(rank, backup, log, number));
                     }
                 }
             }
             let adopted: Vec<LogId> = sender.adopts.keys().copied().collect();
             for log in adopted {
-                self.ask_facts(tier, rank, log);
+                self.request_records(tier, rank, log);
             }
         }
         for _ in 0..400 {
-            let next = tier.passed.iter().find(|passed| Self::reachable(tier, passed)).cloned();
-            if let Some(passed) = next {
-                self.deliver(tier, passed);
+            let next = tier.in_flight.iter().find(|message| Self::reachable(tier, message)).cloned();
+            if let Some(message) = next {
+                self.deliver(tier, message);
             } else if let Some(session) =
                 (0..SESSIONS).find(|session| tier.sessions[*session].reading.is_some())
             {
-                self.lapse(tier, session);
+                self.time_out(tier, session);
             } else {
                 return true;
             }
@@ -520,22 +520,22 @@
 
     /// After recovery, each session reads at another sender: existing changes are shown, and missing ones
     /// reported as lost.
-    fn calm_reads(&self, before: &Tier) -> bool {
+    fn recovered_reads(&self, before: &Tier) -> bool {
         let mut tier = before.clone();
-        if !self.calm(&mut tier) {
+        if !self.recover(&mut tier) {
             return false;
         }
         (0..SESSIONS).all(|session| {
             let mut tier = tier.clone();
             tier.ended.clear();
             self.begin(&mut tier, session, ((session + 2) % self.size) as Rank);
-            let over = self.calm(&mut tier);
+            let over = self.recover(&mut tier);
             let clean = tier.found == before.found;
-            over && clean && tier.ended.iter().all(|(_, _, parts)| self.as_it_is(&tier, session, parts))
+            over && clean && tier.ended.iter().all(|(_, _, parts)| self.matches_state(&tier, session, parts))
         })
     }
 
-    fn as_it_is(&self, tier: &Tier, session: usize, parts: &[(LogId, Verdict)]) -> bool {
+    fn matches_state(&self, tier: &Tier, session: usize, parts: &[(LogId, Verdict)]) -> bool {
         let has = |log: LogId, rank: Rank| {
             let needed = upto(tier.sessions[session].token.upto(log).unwrap_or(0));
             let (stated, shown) = self.states(tier, rank, log, Need::Any);
@@ -548,13 +548,13 @@
         })
     }
 
-    fn ask_facts(&self, tier: &mut Tier, rank: Rank, log: LogId) {
-        let covers = self.covers(log.owner);
-        let other = if rank == covers.0 { covers.1 } else { covers.0 };
-        let copy = tier.senders[usize::from(other)].copies.get(&log).cloned().unwrap_or_default();
+    fn request_records(&self, tier: &mut Tier, rank: Rank, log: LogId) {
+        let backups = self.backups(log.owner);
+        let other = if rank == backups.0 { backups.1 } else { backups.0 };
+        let replica = tier.senders[usize::from(other)].replicas.get(&log).cloned().unwrap_or_default();
         // The backup answers with what it has at that time; the request itself is not modelled.
         if !tier.senders[usize::from(other)].down {
-            tier.passed.insert(Passed::MembershipView(other, rank, log, copy.mask, copy.told));
+            tier.in_flight.insert(Message::ReplicaRecords(other, rank, log, replica.mask, replica.highest));
         }
     }
 }
@@ -563,18 +563,18 @@
     ReplicaNumbers { upto: prefix(mask), beyond: (1..16).filter(|number| mask & bit(*number) != 0).collect() }
 }
 
-impl Model for Checked {
+impl Model for TierModel {
     type State = Tier;
     type Action = Act;
 
     fn init_states(&self) -> Vec<Tier> {
-        let sender = |rank: usize| Sender { life: rank as u64 + 1, ..Sender::default() };
+        let sender = |rank: usize| Sender { generation: rank as u64 + 1, ..Sender::default() };
         vec![Tier {
             senders: (0..self.size).map(sender).collect(),
             sessions: vec![Session::default(); SESSIONS],
-            passed: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
             side: 0,
-            lives: self.size as u64 + 1,
+            next_generation: self.size as u64 + 1,
             left: self.bounds,
             found: BTreeSet::new(),
             ended: BTreeSet::new(),
@@ -594,20 +594,21 @@
                     acts.extend(at.map(|rank| Act::Begin(session, rank as Rank)));
                 }
                 Some(reading)
-                    if there(usize::from(reading.at)) && (left.lapses > 0 || Self::silent(tier, session)) =>
+                    if there(usize::from(reading.at))
+                        && (left.timeouts > 0 || Self::silent(tier, session)) =>
                 {
-                    acts.push(Act::Lapse(session));
+                    acts.push(Act::Timeout(session));
                 }
                 _ => {}
             }
         }
-        for passed in &tier.passed {
-            if Self::reachable(tier, passed) {
-                acts.push(Act::Deliver(passed.clone()));
+        for message in &tier.in_flight {
+            if Self::reachable(tier, message) {
+                acts.push(Act::Deliver(message.clone()));
             }
             // A lost request or answer is one that never arrives, which timeouts cover.
-            if left.losses > 0 && passed.read().is_none() {
-                acts.push(Act::Lose(passed.clone()));
+            if left.losses > 0 && message.read().is_none() {
+                acts.push(Act::Lose(message.clone()));
             }
         }
         if tier.side != 0 {
@@ -642,13 +643,13 @@
             Act::Write(session) => {
                 tier.left.writes -= 1;
                 let owner = session as Rank;
-                let (log, covers) = (Self::log(&tier, owner), self.covers(owner));
+                let (log, backups) = (Self::log(&tier, owner), self.backups(owner));
                 let sender = &mut tier.senders[session];
                 sender.last += 1;
                 let number = sender.last;
-                sender.kept |= bit(number);
-                for cover in [covers.0, covers.1] {
-                    tier.passed.insert(Passed::Change(owner, cover, log, number));
+                sender.persisted |= bit(number);
+                for backup in [backups.0, backups.1] {
+                    tier.in_flight.insert(Message::Change(owner, backup, log, number));
                 }
                 let mut token = Token::default();
                 token.observe(log, number);
@@ -659,35 +660,35 @@
                 tier.left.reads -= 1;
                 self.begin(&mut tier, session, at);
             }
-            Act::Lapse(session) => {
+            Act::Timeout(session) => {
                 if !Self::silent(&tier, session) {
-                    tier.left.lapses -= 1;
+                    tier.left.timeouts -= 1;
                 }
-                self.lapse(&mut tier, session);
+                self.time_out(&mut tier, session);
             }
-            Act::Deliver(passed) => self.deliver(&mut tier, passed),
-            Act::Lose(passed) => {
+            Act::Deliver(message) => self.deliver(&mut tier, message),
+            Act::Lose(message) => {
                 tier.left.losses -= 1;
-                tier.passed.remove(&passed);
+                tier.in_flight.remove(&message);
             }
-            Act::Crash(rank, kept) => {
+            Act::Crash(rank, persisted) => {
                 tier.left.crashes -= 1;
                 let sender = &mut tier.senders[usize::from(rank)];
                 sender.down = true;
-                sender.copies.clear();
+                sender.replicas.clear();
                 sender.adopts.clear();
-                if !kept {
-                    sender.kept = 0;
+                if !persisted {
+                    sender.persisted = 0;
                     if self.fault != Fault::OutlivesFolder {
                         sender.last = 0;
-                        sender.life = tier.lives;
-                        tier.lives += 1;
+                        sender.generation = tier.next_generation;
+                        tier.next_generation += 1;
                     }
                 }
                 for (number, session) in tier.sessions.iter_mut().enumerate() {
                     if session.reading.take_if(|reading| reading.at == rank).is_some() {
                         let read = Some((number, session.reads));
-                        tier.passed.retain(|passed| passed.read() != read);
+                        tier.in_flight.retain(|message| message.read() != read);
                     }
                 }
             }
@@ -704,16 +705,16 @@
             Act::Heal => tier.side = 0,
             Act::Adopt(owner) => {
                 tier.left.adoptions -= 1;
-                let (log, covers) = (Self::log(&tier, owner), self.covers(owner));
-                let sender = &mut tier.senders[usize::from(covers.0)];
+                let (log, backups) = (Self::log(&tier, owner), self.backups(owner));
+                let sender = &mut tier.senders[usize::from(backups.0)];
                 if sender.down || sender.stopped {
                     return None;
                 }
-                let copy = sender.copies.entry(log).or_default();
-                let mut adopted = Adopted::new(covers);
-                adopted.report(covers.0, known(copy.mask));
+                let replica = sender.replicas.entry(log).or_default();
+                let mut adopted = Adopted::new(backups);
+                adopted.report(backups.0, known(replica.mask));
                 sender.adopts.insert(log, adopted);
-                self.ask_facts(&mut tier, covers.0, log);
+                self.request_records(&mut tier, backups.0, log);
             }
         }
         (tier != *before).then_some(tier)
@@ -725,15 +726,18 @@
                 !tier.found.contains("older") && !tier.found.contains("token")
             }),
             Property::always("no session goes back", |_, tier: &Tier| !tier.found.contains("back")),
-            Property::always("what is told as lost is", |_, tier: &Tier| !tier.found.contains("lost")),
-            Property::always("in a calm every read ends, as it is", |model: &Checked, tier: &Tier| {
-                model.calm_reads(tier)
+            Property::always("only lost changes are reported as lost", |_, tier: &Tier| {
+                !tier.found.contains("lost")
             }),
+            Property::always(
+                "after recovery every read ends with what exists",
+                |model: &TierModel, tier: &Tier| model.recovered_reads(tier),
+            ),
         ]
     }
 }
 
-fn explore(model: Checked) -> (usize, Vec<&'static str>) {
+fn explore(model: TierModel) -> (usize, Vec<&'static str>) {
     let expected = model.fault != Fault::None;
     let checker = model.checker().threads(4).spawn_bfs().join();
     let mut found: Vec<_> = checker.discoveries().into_keys().collect();
@@ -749,7 +753,7 @@
     for bounds in each.iter().copied() {
         for hints in [Hints::None, Hints::True, Hints::Wrong] {
             let began = std::time::Instant::now();
-            let (states, found) = explore(Checked { size, bounds, hints, fault: Fault::None, writers });
+            let (states, found) = explore(TierModel { size, bounds, hints, fault: Fault::None, writers });
             println!("{size} senders, {hints:?}: {states} states in {:?}, {bounds:?}", began.elapsed());
             assert!(found.is_empty() && states > 100, "{found:?} in {states} states");
         }
@@ -762,19 +766,19 @@
     [
         Bounds { writes: 2, losses: 1, ..some },
         Bounds { crashes: 1, ..some },
-        Bounds { stops: 1, lapses: 1, ..some },
+        Bounds { stops: 1, timeouts: 1, ..some },
         Bounds { splits: 1, ..some },
         Bounds { adoptions: 1, losses: 1, ..some },
     ]
 }
 
 #[test]
-fn sessions_read_their_writes_and_do_not_go_back_at_three_senders() {
+fn three_senders_give_read_your_writes_and_monotonic_reads() {
     sound(3, 1, &narrow());
 }
 
 #[test]
-fn nor_at_four_senders_with_two_that_are_written_at() {
+fn four_senders_with_two_writers_give_read_your_writes_and_monotonic_reads() {
     sound(4, 2, &[Bounds { writes: 2, reads: 1, ..Bounds::default() }]);
 }
 
@@ -782,10 +786,10 @@
 /// --test-threads 1`.
 #[test]
 #[ignore = "takes many minutes"]
-fn nor_within_wider_bounds() {
+fn wider_bounds_give_read_your_writes_and_monotonic_reads() {
     let some = Bounds { writes: 1, reads: 2, ..Bounds::default() };
     let wide = [
-        Bounds { writes: 2, lapses: 1, ..some },
+        Bounds { writes: 2, timeouts: 1, ..some },
         Bounds { crashes: 1, ..some },
         Bounds { crashes: 1, adoptions: 1, reads: 1, ..some },
         Bounds { splits: 1, losses: 1, reads: 1, ..some },
@@ -797,12 +801,12 @@
 
 /// Guards against a model that finds nothing: each of these planted faults must be found.
 #[test]
-fn planted_faults_are_found() {
+fn model_checker_finds_planted_faults() {
     let some = Bounds { writes: 2, reads: 1, ..Bounds::default() };
     for (fault, bounds, name) in [
         (Fault::EarlyClaim, some, "no read is older than its token"),
         (Fault::OutlivesFolder, Bounds { crashes: 1, writes: 1, ..some }, "no read is older than its token"),
-        (Fault::LesserMerge, Bounds { ..some }, "no read is older than its token"),
+        (Fault::SmallerMerge, Bounds { ..some }, "no read is older than its token"),
         (Fault::EarlyAdopter, Bounds { adoptions: 1, ..some }, "no read is older than its token"),
     ] {
         found(fault, bounds, name);
@@ -812,13 +816,13 @@
 /// This needs two reads: about 150,000 states.
 #[test]
 #[ignore = "takes minutes in a debug build"]
-fn what_is_shown_beyond_a_position_and_not_told_is_found() {
+fn model_checker_finds_unreported_changes_beyond_a_position() {
     let bounds = Bounds { writes: 2, reads: 2, ..Bounds::default() };
     found(Fault::HidesBeyond, bounds, "no session goes back");
 }
 
 fn found(fault: Fault, bounds: Bounds, name: &str) {
-    let (states, found) = explore(Checked { size: 3, bounds, hints: Hints::True, fault, writers: 1 });
+    let (states, found) = explore(TierModel { size: 3, bounds, hints: Hints::True, fault, writers: 1 });
     println!("{fault:?}: {found:?} in {states} states");
     assert!(found.contains(&name), "{fault:?}: {found:?} in {states} states");
 }
