--- a/src/plans/route.rs
+++ b/src/plans/route.rs
@@ -315,8 +315,8 @@
     match replies.get(&log.owner) {
         Some(HolderReply::Has(_)) => true,
         Some(HolderReply::Over) => all.iter().all(|holder| {
-            let replies = replies.get(&holder.rank);
-            matches!(replies, Some(HolderReply::Has(_) | HolderReply::Over | HolderReply::Nothing))
+            let reply = replies.get(&holder.rank);
+            matches!(reply, Some(HolderReply::Has(_) | HolderReply::Over | HolderReply::Nothing))
         }),
         _ => false,
     }
--- a/src/plans/session.rs
+++ b/src/plans/session.rs
@@ -238,8 +238,8 @@
                 state.retried = true;
                 // Replies that cannot change any more are retained: another generation of the owner, and the
                 // owner's watermark of its log.
-                state.replies.retain(|rank, replies| {
-                    *rank == log.owner && matches!(replies, HolderReply::Over | HolderReply::Has(_))
+                state.replies.retain(|rank, reply| {
+                    *rank == log.owner && matches!(reply, HolderReply::Over | HolderReply::Has(_))
                 });
             }
             let progress = Progress {
