--- a/examples/status_cost.rs
+++ b/examples/status_cost.rs
@@ -1,5 +1,5 @@
-//! What the status index costs the loop that delivers: each hand-in, call and end, with what is written of it, and a
-//! query's slice. `cargo run --release --example status_cost`
+//! Measures the cost of the status index in the event loop: each submission, call and end with what is
+//! written for it, and the slices of a query. `cargo run --release --example status_cost`
 
 use std::time::Instant;
 
@@ -12,7 +12,7 @@
 
 fn main() {
     let room = 8_000_000;
-    let mut log = Log::new(0, Generation(1), Segments::memory(room), 600_000_000, 0);
+    let mut log = Log::new(0, Generation(1), Segments::max_log_bytes(room), 600_000_000, 0);
     let mut segments = Segments::new(room, 0, 1);
     segments.begin(&mut log, []);
     let (messages, mut longest, begun) = (200_000u64, 0, Instant::now());
--- a/src/plans/session.rs
+++ b/src/plans/session.rs
@@ -1,8 +1,9 @@
-//! One read, from its plan to its end: each log that may hold rows is routed, asked for, and its answer checked against
-//! what the read has to be worth. An answer that is worth less is no answer: the log is routed anew, a bounded number of
-//! times. Rows and the position that proves them come and go together.
+//! One read, from its plan to its end: each log that may contain matching rows is routed and requested, and
+//! each answer is checked against the requirement of the read. An insufficient answer does not count: the log
+//! is routed again, a bounded number of times. Rows and the watermark that proves them are always handled
+//! together.
 //!
-//! A read keeps the plan that it began with. It ends within [`ANSWER_WITHIN`], whatever happens.
+//! A read keeps the plan with which it began. It ends within [`ANSWER_WITHIN`] in any case.
 
 use std::collections::BTreeMap;
 
@@ -14,144 +15,148 @@
 use crate::interface::Micros;
 use crate::status::{LogId, Rank, Watermark};
 
-/// From the beginning of a read to its end at most, microseconds. Its answer is due within 1 s.
+/// Maximum duration of a read, microseconds. Its answer is due within 1 s.
 pub const ANSWER_WITHIN: Micros = 800_000;
-/// Who has not answered after so long is routed round, microseconds.
+/// A sender that has not answered after this time is routed around, microseconds.
 pub const ASK_WITHIN: Micros = 150_000;
-/// How long a log that can't be read yet rests before it is looked at again, microseconds.
+/// Delay before a log that cannot be read yet is tried again, microseconds.
 pub const PAUSE: Micros = 40_000;
-/// Times that one log is asked for at most.
+/// Maximum number of requests for one log.
 pub const MAX_ASKS: usize = 24;
-/// Logs that one read touches at most.
+/// Maximum number of logs that one read touches.
 pub const MAX_LOGS: usize = 4_096;
 
-/// Something to be done for a read.
+/// A request that a read has to send.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Ask {
-    /// Its number in this read, which its answer comes with.
+    /// Its number within the read, which the answer repeats.
     pub number: u32,
-    /// Whom to ask; this sender too.
+    /// The sender to ask; may be this one.
     pub to: Rank,
-    /// For these logs, and what each must be worth.
+    /// The logs to read, with the requirement for each.
     pub logs: Vec<(LogId, Need)>,
-    /// Until when its answer is waited for.
+    /// How long its answer is waited for.
     pub by: Micros,
 }
 
-/// A step of a log's way.
+/// A step in the routing of a log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 pub struct Hop {
-    /// Where it went,
+    /// The route.
     #[serde(flatten)]
     pub route: Route,
-    /// and why.
+    /// The reason for it.
     pub reason: Reason,
 }
 
-/// What became of one log.
+/// The result of reading one log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// It was read, and is worth what it has to be.
+    /// It was read, and the answer meets the requirement.
     Kept,
-    /// Nothing is in it.
+    /// It contains no matching row.
     NotTouched,
-    /// Nobody can reach the need in time; somebody may later.
+    /// No sender can meet the requirement in time; one may later.
     Late,
-    /// Nobody ever will: the owner began another life, and nobody kept what is needed.
+    /// The requirement can never be met: the owner started another generation, and no sender holds the needed
+    /// changes.
     Lost,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Leg<R> {
+struct LogState<R> {
     need: Need,
-    /// What those asked have said, since the last rest.
-    said: BTreeMap<Rank, HolderReply>,
-    /// Who is asked, until when, and by which question.
+    /// The replies since the last pause.
+    replies: BTreeMap<Rank, HolderReply>,
+    /// The sender that was asked, until when its answer is waited for, and the number of the request.
     asked: Option<(Rank, Micros, u32)>,
-    /// The last question from before the owner said that its life is over.
-    over: Option<u32>,
-    /// When it is looked at again.
-    rests: Option<Micros>,
-    rested: bool,
+    /// Number of the last request before the owner replied that the generation has ended.
+    asks_before_over: Option<u32>,
+    /// When it is tried again.
+    retry_at: Option<Micros>,
+    retried: bool,
     asks: usize,
     hops: Vec<Hop>,
-    /// The furthest answer, with its rows.
+    /// The most advanced answer, with its rows.
     best: Option<(Rank, Watermark, R)>,
     /// The greatest number that any answer may have shown: rows of several logs may have come together.
     shown: u64,
     verdict: Option<Verdict>,
 }
 
-/// A read under way. `R` is what an answer has for one log.
+/// A read in progress. `R` is the content of an answer for one log.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Read<R> {
     level: Level,
     otherwise: Fallback,
     token: Token,
-    until: Micros,
+    wait_until: Micros,
     end: Micros,
-    /// Questions so far.
+    /// Number of requests so far.
     asks: u32,
-    /// Seen in logs that were not asked for.
-    came: Token,
-    legs: BTreeMap<LogId, Leg<R>>,
+    /// Positions shown of logs that were not requested.
+    shown_elsewhere: Token,
+    states: BTreeMap<LogId, LogState<R>>,
 }
 
-/// How a read has ended.
+/// The outcome of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// All of it is worth what the plan says.
+    /// All of it meets the plan.
     Kept,
-    /// There is less, and it is told what.
+    /// It is less than the plan requires; the answer says what is missing.
     Less,
-    /// Nothing is shown; it is told why.
+    /// Nothing is shown; the answer says why.
     Refused,
 }
 
 /// One log of a read that has ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Part<R> {
-    /// Which.
+    /// The log.
     pub log: LogId,
-    /// What it had to be worth.
+    /// The requirement.
     pub need: Need,
-    /// What became of it.
+    /// The result.
     pub verdict: Verdict,
-    /// Its way.
+    /// The routing steps.
     pub hops: Vec<Hop>,
-    /// Who answered, how far it had the log, and what it gave; nothing for a refused read.
+    /// The sender that answered, its watermark, and the content of the answer; none for a refused read.
     pub answer: Option<(Rank, Watermark, R)>,
 }
 
 /// A read that has ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Ended<R> {
-    /// How.
+    /// The outcome.
     pub outcome: Outcome,
-    /// At which level.
+    /// The level.
     pub level: Level,
-    /// All of its logs.
+    /// The logs of the read.
     pub parts: Vec<Part<R>>,
-    /// What the next read of this session must not be older than. It was empty, and stays so, at other levels.
+    /// The token for the next read of this session. It is empty at levels other than `session`.
     pub token: Token,
-    /// The same without the logs that are lost, for a client that goes on without them; if some are, and the token did
-    /// not overflow.
+    /// The same token without the lost logs, for a client that continues without them; none if no log is lost
+    /// or the token overflowed.
     pub without_lost: Option<Token>,
 }
 
-/// More logs than [`MAX_LOGS`] may hold rows.
+/// More logs than [`MAX_LOGS`] may contain matching rows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("{0} logs may hold rows, where {MAX_LOGS} are the most: ask for ids, or a shorter time")]
+#[error(
+    "{0} logs may contain matching rows, more than the maximum of {MAX_LOGS}: \
+     query by ids or a shorter time range"
+)]
 pub struct TooManyLogs(pub usize);
 
 impl<R: Clone> Read<R> {
-    /// Begins one at a plan's level over the logs that may hold rows, and all that the token names. It ends after
-    /// `within` microseconds, or [`ANSWER_WITHIN`] if that is less.
+    /// Begins a read at a plan's level over the logs that may contain matching rows, and all logs that the
+    /// token names. It ends after `within` microseconds, or after [`ANSWER_WITHIN`] if that is less.
     ///
     /// # Errors
-    /// There are too many.
+    /// There are too many logs.
     pub fn begin(
         plan: &Plan,
         token: Token,
@@ -169,13 +174,13 @@
                 None => Need::Any,
             },
         };
-        let leg = |log: LogId| Leg {
+        let state = |log: LogId| LogState {
             need: need(log),
-            said: BTreeMap::new(),
+            replies: BTreeMap::new(),
             asked: None,
-            over: None,
-            rests: None,
-            rested: false,
+            asks_before_over: None,
+            retry_at: None,
+            retried: false,
             asks: 0,
             hops: Vec::new(),
             best: None,
@@ -183,10 +188,10 @@
             verdict: None,
         };
         let named = token.logs().map(|(log, _)| log);
-        let legs: BTreeMap<LogId, Leg<R>> =
-            logs.into_iter().chain(named).map(|log| (log, leg(log))).collect();
-        if legs.len() > MAX_LOGS {
-            return Err(TooManyLogs(legs.len()));
+        let states: BTreeMap<LogId, LogState<R>> =
+            logs.into_iter().chain(named).map(|log| (log, state(log))).collect();
+        if states.len() > MAX_LOGS {
+            return Err(TooManyLogs(states.len()));
         }
         let end = now.saturating_add(within.min(ANSWER_WITHIN));
         let until = now.saturating_add(Micros::from(plan.wait_ms) * 1000).min(end);
@@ -194,64 +199,69 @@
             level: plan.level,
             otherwise: plan.otherwise,
             token,
-            until,
+            wait_until: until,
             end,
             asks: 0,
-            came: Token::default(),
-            legs,
+            shown_elsewhere: Token::default(),
+            states,
         })
     }
 
-    /// When it wants to go on without an answer; nothing if it has ended.
+    /// When [`Read::step`] has to be called next without an answer; none if the read has ended.
     pub fn due(&self) -> Option<Micros> {
-        let open = self.legs.values().filter(|leg| leg.verdict.is_none());
-        open.map(|leg| leg.asked.map(|asked| asked.1).or(leg.rests).unwrap_or(0).min(self.end)).min()
+        let open = self.states.values().filter(|state| state.verdict.is_none());
+        open.map(|state| state.asked.map(|asked| asked.1).or(state.retry_at).unwrap_or(0).min(self.end)).min()
     }
 
-    /// Whether all is known that will be.
+    /// Whether all logs have a result.
     pub fn is_over(&self) -> bool {
-        self.legs.values().all(|leg| leg.verdict.is_some())
+        self.states.values().all(|state| state.verdict.is_some())
     }
 
-    /// Goes on: whoever did not answer in time is routed round. What comes back is to be asked for, one question per
-    /// sender.
-    pub fn step(&mut self, now: Micros, world: &RouteContext<'_>) -> Vec<Ask> {
+    /// Advances the read: senders that did not answer in time are routed around. Returns the requests to
+    /// send, one per sender.
+    pub fn step(&mut self, now: Micros, context: &RouteContext<'_>) -> Vec<Ask> {
         let mut asks: BTreeMap<Rank, Ask> = BTreeMap::new();
         let number = &mut self.asks;
-        for (log, leg) in self.legs.iter_mut().filter(|leg| leg.1.verdict.is_none()) {
-            if let Some((rank, ..)) = leg.asked.take_if(|asked| asked.1 <= now) {
-                leg.said.insert(rank, HolderReply::Silent);
+        for (log, state) in self.states.iter_mut().filter(|state| state.1.verdict.is_none()) {
+            if let Some((rank, ..)) = state.asked.take_if(|asked| asked.1 <= now) {
+                state.replies.insert(rank, HolderReply::Silent);
             }
             if now >= self.end {
-                leg.ends(Verdict::Late, Hop { route: Route::Late, reason: Reason::TimeUp });
+                state.finish(Verdict::Late, Hop { route: Route::Late, reason: Reason::TimeUp });
                 continue;
             }
-            if leg.asked.is_some() || leg.rests.is_some_and(|rests| now < rests) {
+            if state.asked.is_some() || state.retry_at.is_some_and(|retry_at| now < retry_at) {
                 continue;
             }
-            if leg.rests.take().is_some() {
-                leg.rested = true;
-                // What can't change any more is kept: another life of the owner, and how far the owner had its log.
-                leg.said.retain(|rank, said| {
-                    *rank == log.owner && matches!(said, HolderReply::Over | HolderReply::Has(_))
+            if state.retry_at.take().is_some() {
+                state.retried = true;
+                // Replies that cannot change any more are retained: another generation of the owner, and the
+                // owner's watermark of its log.
+                state.replies.retain(|rank, reply| {
+                    *rank == log.owner && matches!(reply, HolderReply::Over | HolderReply::Has(_))
                 });
             }
-            let progress =
-                Progress { need: leg.need, replies: &leg.said, again: leg.rested, until: self.until };
-            let (route, reason) = route(*log, progress, world, now);
+            let progress = Progress {
+                need: state.need,
+                replies: &state.replies,
+                again: state.retried,
+                until: self.wait_until,
+            };
+            let (route, reason) = route(*log, progress, context, now);
             let hop = Hop { route, reason };
             match route {
-                Route::NotTouched => leg.ends(Verdict::NotTouched, hop),
-                Route::Lost => leg.ends(Verdict::Lost, hop),
-                Route::Late => leg.ends(Verdict::Late, hop),
+                Route::NotTouched => state.finish(Verdict::NotTouched, hop),
+                Route::Lost => state.finish(Verdict::Lost, hop),
+                Route::Late => state.finish(Verdict::Late, hop),
                 Route::Wait(until) => {
-                    leg.hops(hop);
-                    leg.rests = Some(now.saturating_add(PAUSE).min(until));
+                    state.add_hop(hop);
+                    state.retry_at = Some(now.saturating_add(PAUSE).min(until));
                 }
                 Route::Here | Route::At(_) | Route::Owner(_) | Route::Adopter(_) => {
-                    let Some(to) = route.asks(world.own) else { continue };
-                    if leg.asks == MAX_ASKS {
-                        leg.ends(Verdict::Late, Hop { route: Route::Late, reason: Reason::Often });
+                    let Some(to) = route.asks(context.own) else { continue };
+                    if state.asks == MAX_ASKS {
+                        state.finish(Verdict::Late, Hop { route: Route::Late, reason: Reason::Often });
                         continue;
                     }
                     let by = now.saturating_add(ASK_WITHIN).min(self.end);
@@ -259,19 +269,19 @@
                         *number += 1;
                         Ask { number: *number, to, logs: Vec::new(), by }
                     });
-                    leg.asks += 1;
-                    leg.asked = Some((to, by, ask.number));
-                    leg.hops(hop);
-                    ask.logs.push((*log, leg.need));
+                    state.asks += 1;
+                    state.asked = Some((to, by, ask.number));
+                    state.add_hop(hop);
+                    ask.logs.push((*log, state.need));
                 }
             }
         }
         asks.into_values().collect()
     }
 
-    /// A sender has answered a question for one of its logs, however late: what it states, and its rows. `shown` is the
-    /// greatest number of a change that may be in them, or be the reason that something is not, which may be beyond the
-    /// position that it states; 0 if it looked at nothing of the tenant's.
+    /// Handles a sender's reply to a request for one of its logs, however late: the reply and its rows.
+    /// `shown` is the greatest number of a change that may be in the rows, or may be the reason that a row is
+    /// missing; it may be beyond the stated watermark, and is 0 if no entry of the tenant was examined.
     pub fn answered(
         &mut self,
         (from, number): (Rank, u32),
@@ -280,93 +290,93 @@
         (shown, rows): (u64, R),
     ) {
         let asks = self.asks;
-        let Some(leg) = self.legs.get_mut(&log) else { return };
-        // Whatever becomes of the answer here: its rows may be shown for another log that came with it.
-        leg.shown = leg.shown.max(shown);
-        if leg.verdict.is_some() {
+        let Some(state) = self.states.get_mut(&log) else { return };
+        // Counts even if the answer is not used: its rows may be shown for another log that came with it.
+        state.shown = state.shown.max(shown);
+        if state.verdict.is_some() {
             return;
         }
-        leg.asked.take_if(|asked| asked.2 == number);
-        if stated == HolderReply::Over && from == log.owner && leg.over.is_none() {
-            // Others may have got more of it since they answered, but get nothing more from now on: they are asked
-            // again, so that what is told as lost is.
-            leg.said.clear();
-            leg.over = Some(asks);
+        state.asked.take_if(|asked| asked.2 == number);
+        if stated == HolderReply::Over && from == log.owner && state.asks_before_over.is_none() {
+            // Other senders may have received more of the log since they answered, but receive nothing more
+            // from now on: they are asked again, so that only what is really lost is reported as lost.
+            state.replies.clear();
+            state.asks_before_over = Some(asks);
         }
         let reached = match stated {
-            HolderReply::Has(reached) => Some(reached).filter(|reached| leg.need.met(log, from, *reached)),
+            HolderReply::Has(reached) => Some(reached).filter(|reached| state.need.met(log, from, *reached)),
             _ => None,
         };
-        // What was less before the owner's word may be more since.
-        let old = from != log.owner && leg.over.is_some_and(|over| number <= over);
+        // An insufficient reply from before the owner's may be sufficient by now.
+        let old = from != log.owner && state.asks_before_over.is_some_and(|over| number <= over);
         if reached.is_none() && old {
             return;
         }
-        leg.said.insert(from, stated);
+        state.replies.insert(from, stated);
         let HolderReply::Has(told) = stated else { return };
-        if reached.is_some() || leg.best.as_ref().is_none_or(|best| best.1.upto < told.upto) {
-            leg.best = Some((from, told, rows));
+        if reached.is_some() || state.best.as_ref().is_none_or(|best| best.1.upto < told.upto) {
+            state.best = Some((from, told, rows));
         }
         if reached.is_some() {
-            leg.verdict = Some(Verdict::Kept);
+            state.verdict = Some(Verdict::Kept);
         }
     }
 
-    /// With the rows of logs that were asked for came those of another one, up to this number.
+    /// Rows of another log, up to this number, came with those of the requested logs.
     pub fn record_shown(&mut self, log: LogId, shown: u64) {
         if self.level == Level::Session {
-            self.came.observe(log, shown);
+            self.shown_elsewhere.observe(log, shown);
         }
     }
 
-    /// It has read as much as it may: what is open counts as late.
+    /// The read has used up its allowance: logs without a result count as late.
     pub fn cut(&mut self) {
-        for leg in self.legs.values_mut().filter(|leg| leg.verdict.is_none()) {
-            leg.ends(Verdict::Late, Hop { route: Route::Late, reason: Reason::Cut });
+        for state in self.states.values_mut().filter(|state| state.verdict.is_none()) {
+            state.finish(Verdict::Late, Hop { route: Route::Late, reason: Reason::Cut });
         }
     }
 
-    /// What it has come to, once it is over.
+    /// The result of the read, once it is over.
     pub fn ended(self) -> Ended<R> {
-        let kept = |leg: &Leg<R>| matches!(leg.verdict, Some(Verdict::Kept | Verdict::NotTouched));
+        let kept = |state: &LogState<R>| matches!(state.verdict, Some(Verdict::Kept | Verdict::NotTouched));
         let outcome = match self.otherwise {
-            _ if self.legs.values().all(kept) => Outcome::Kept,
-            // The nearest there is is all that this level promises.
+            _ if self.states.values().all(kept) => Outcome::Kept,
+            // This level promises no more than the nearest data.
             _ if self.level == Level::Any => Outcome::Less,
             Fallback::TellStale => Outcome::Less,
             Fallback::Refuse => Outcome::Refused,
         };
-        let lost = self.legs.iter().filter(|leg| leg.1.verdict == Some(Verdict::Lost));
-        let lost: Vec<LogId> = lost.map(|leg| *leg.0).collect();
+        let lost = self.states.iter().filter(|state| state.1.verdict == Some(Verdict::Lost));
+        let lost: Vec<LogId> = lost.map(|state| *state.0).collect();
         let mut token = self.token;
-        let mut parts = Vec::with_capacity(self.legs.len());
-        for (log, leg) in self.legs {
-            let answer = leg.best.filter(|_| outcome != Outcome::Refused);
-            if outcome != Outcome::Refused && leg.shown > 0 && self.level == Level::Session {
-                // All that it was shown, beyond what it asked for and beyond what the sender has without gaps. What was
-                // filtered out counts, since its absence was shown.
+        let mut parts = Vec::with_capacity(self.states.len());
+        for (log, state) in self.states {
+            let answer = state.best.filter(|_| outcome != Outcome::Refused);
+            if outcome != Outcome::Refused && state.shown > 0 && self.level == Level::Session {
+                // Everything that was shown counts, even beyond the request and beyond the position up to
+                // which the sender is complete; also what was filtered out, since its absence was shown.
                 let upto = answer.as_ref().map_or(0, |(_, reached, _)| reached.upto);
-                token.observe(log, leg.shown.max(upto));
+                token.observe(log, state.shown.max(upto));
             }
-            let verdict = leg.verdict.unwrap_or(Verdict::Late);
-            parts.push(Part { log, need: leg.need, verdict, hops: leg.hops, answer });
+            let verdict = state.verdict.unwrap_or(Verdict::Late);
+            parts.push(Part { log, need: state.need, verdict, hops: state.hops, answer });
         }
         if outcome != Outcome::Refused {
-            token.merge(&self.came);
+            token.merge(&self.shown_elsewhere);
         }
         let without_lost = if lost.is_empty() { None } else { token.without(&lost) };
         Ended { outcome, level: self.level, parts, token, without_lost }
     }
 }
 
-impl<R> Leg<R> {
-    fn ends(&mut self, verdict: Verdict, hop: Hop) {
+impl<R> LogState<R> {
+    fn finish(&mut self, verdict: Verdict, hop: Hop) {
         self.verdict = Some(verdict);
-        self.hops(hop);
+        self.add_hop(hop);
     }
 
-    /// The first ones and the last one are kept.
-    fn hops(&mut self, hop: Hop) {
+    /// Keeps the first steps and the last one.
+    fn add_hop(&mut self, hop: Hop) {
         self.hops.truncate(MAX_ASKS);
         self.hops.push(hop);
     }
--- a/src/status/query.rs
+++ b/src/status/query.rs
@@ -1,61 +1,62 @@
-//! Queries over the whole tier. The sender that is asked reads what it holds itself and asks others for the rest: for
-//! each owner the best server of its route, after a while the next one. Answers join by message, so that it does not
-//! matter who answers twice. Reading goes in slices, and ends at a deadline with what there is.
+//! Queries over the whole tier. The sender that receives a query reads the logs that it holds itself and
+//! sends sub-queries for the rest: for each owner it asks the best server of the route and, after a delay,
+//! the next one. Answers are joined by message, so it does not matter if two servers answer for the same log.
+//! Reading proceeds in slices and ends at a deadline with what has been read by then.
 //!
-//! A part that was cut at its limit tells up to which place it is whole; the answer ends at the least of those places,
-//! and says where to go on.
+//! A partial result that was truncated at its limit states up to which place it is complete. The answer ends
+//! at the smallest of those places and states where to continue.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use serde::{Deserialize, Serialize};
 
 use super::log::Log;
-use super::shards::{Key, Table, begins, key_of, size_of};
+use super::shards::{Key, Table, key_of, scan_start, size_of};
 use super::store::Store;
 use super::{Entry, LogId, MAX_IDS, MAX_ROWS, Query, Rank, State, Watermark};
 use crate::interface::Micros;
 
-/// A query takes so long at most: management answers are due within 1 s.
+/// Maximum time of a query: management answers are due within 1 s.
 pub const MAX_QUERY_TIME: Micros = 800_000;
-/// A server that has not answered for so long is not waited for alone: the route's next one is asked too.
+/// If a server has not answered after this time, the next one of the route is asked as well.
 pub const HEDGE: Micros = 200_000;
-/// Kept of the deadline for the way back.
-const MARGIN: Micros = 40_000;
-/// Entries that are looked at in a turn at most, for all queries together.
+/// Part of the deadline reserved for the way back of the answer.
+const RETURN_MARGIN: Micros = 40_000;
+/// Maximum number of entries examined in one turn, for all queries together.
 pub const MAX_ENTRIES_PER_TURN: usize = 2_048;
-/// Own queries at a time at most.
+/// Maximum number of own queries at a time.
 pub const MAX_RUNNING: usize = 32;
-/// Queries of other senders at a time at most.
+/// Maximum number of queries of other senders at a time.
 pub const MAX_SERVING: usize = 64;
-/// Servers that one query waits for at a time at most.
-const MAX_OUT: usize = 32;
-/// Servers of one owner that are tried at most.
+/// Maximum number of servers that one query waits for at a time.
+const MAX_PENDING: usize = 32;
+/// Maximum number of servers tried for one owner.
 const MAX_SERVERS: usize = 4;
-/// Bytes of rows in one message, about.
-const PIECE: usize = 32 * 1024;
-/// An entry without an end is told as unknown so long after its deadline.
-const OVERDUE: Micros = 30_000_000;
+/// Approximate size of the rows in one message, bytes.
+const RESULT_BYTES: usize = 32 * 1024;
+/// An entry without an end is reported as unknown this long after its deadline.
+const UNKNOWN_AFTER: Micros = 30_000_000;
 
-/// Who serves whose logs: for each owner the senders to ask, the best first; this sender may be one of them.
+/// For each owner the senders to ask for its logs, best first; this sender may be one of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Routes(pub BTreeMap<Rank, Vec<Rank>>);
 
-/// Why a query is not taken.
+/// Why a query is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum QueryRejected {
-    /// Too many ids.
-    #[error("{0} ids are asked for, over {MAX_IDS}")]
+    /// The query names too many ids.
+    #[error("the query names {0} ids, more than the maximum of {MAX_IDS}")]
     Ids(usize),
-    /// The limit is none.
-    #[error("a limit of {0} is not between 1 and {MAX_ROWS}")]
+    /// The row limit is out of bounds.
+    #[error("the query limit {0} is not between 1 and {MAX_ROWS}")]
     Limit(u32),
-    /// Too many at a time.
-    #[error("{MAX_RUNNING} queries are under way")]
+    /// Too many queries are running.
+    #[error("{MAX_RUNNING} queries are already running")]
     Busy,
 }
 
 impl QueryRejected {
-    /// A stable name.
+    /// The stable error code.
     pub fn code(&self) -> &'static str {
         match self {
             Self::Ids(_) => "status-ids",
@@ -67,61 +68,62 @@
     /// What an operator can do.
     pub fn remedy(&self) -> &'static str {
         match self {
-            Self::Ids(_) => "ask for fewer at a time",
-            Self::Limit(_) => "set limit within its bounds, and go on with `after`",
-            Self::Busy => "ask again in a second, or another sender",
+            Self::Ids(_) => "name fewer ids in one query",
+            Self::Limit(_) => "set limit within its bounds, and continue with `after`",
+            Self::Busy => "retry in a second, or query another sender",
         }
     }
 }
 
-/// A query on its way to a server.
+/// A query sent to a server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubQuery {
-    /// The asker's number for it.
+    /// The query's number at the sender that asks.
     pub number: u64,
-    /// What is asked for.
+    /// The query.
     pub query: Query,
-    /// Whose logs.
+    /// The owners whose logs are read.
     pub owners: Vec<Rank>,
-    /// How long an answer is of use, microseconds.
+    /// For how long an answer is useful, microseconds.
     pub within: Micros,
 }
 
-/// One log, as far as a server has it.
+/// The state of a log at a server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogStatus {
-    /// Which.
+    /// The log.
     pub log: LogId,
-    /// All is there up to this.
+    /// The server holds all changes up to this watermark.
     pub reached: Watermark,
-    /// Its horizon.
+    /// Messages accepted before this time may have been dropped.
     pub known_since: Micros,
-    /// The greatest number of a change that may be in the rows, or be the reason that one is missing: a copy may have
-    /// newer entries than it has without gaps. 0 if no entry was looked at.
+    /// The greatest number of a change that may be in the rows, or may be the reason that a row is missing: a
+    /// replica may hold entries beyond the position up to which it is complete. 0 if no entry was examined.
     pub shown: u64,
-    /// Spans in which entries were looked at, entries, and their bytes.
+    /// Number of spans in which entries were examined, number of these entries, and their bytes.
     pub touched: (u32, u64, u64),
 }
 
-/// An answer of a server, in pieces.
+/// Part of a server's answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartialResult {
-    /// The asker's number.
+    /// The query's number at the sender that asks.
     pub number: u64,
-    /// Entries that may be wanted.
+    /// Entries that may match.
     pub rows: Vec<Entry>,
-    /// It is the last one, and says:
+    /// Present in the last part of the answer.
     pub end: Option<ResultEnd>,
 }
 
-/// What a server says with the last piece.
+/// What a server reports with the last part of its answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultEnd {
-    /// Which logs were read. An owner without one has none here.
+    /// The logs that were read; an owner without a log has none here.
     pub logs: Vec<LogStatus>,
-    /// Beyond this place rows may be missing.
-    pub whole_upto: Option<(Micros, String)>,
-    /// It had too much to do, and read nothing.
+    /// The place beyond which rows may be missing.
+    #[serde(rename = "whole_upto")]
+    pub complete_upto: Option<(Micros, String)>,
+    /// The server was too busy and read nothing.
     pub busy: bool,
 }
 
@@ -129,94 +131,94 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MissingReason {
-    /// Nobody who holds it answered in time.
+    /// No sender that holds it answered in time.
     NoAnswer,
-    /// Whoever answered holds nothing of it.
+    /// The senders that answered hold nothing of it.
     NotHeld,
-    /// Nobody is known to ask.
+    /// No server is known for it.
     NoServer,
 }
 
-/// Shards that are missing: one owner's.
+/// The missing shards of one owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Missing {
-    /// Whose.
+    /// The owner.
     pub owner: Rank,
     /// The first and the last span that the query could have touched.
     pub spans: (u32, u32),
-    /// Why.
+    /// The reason.
     pub why: MissingReason,
 }
 
-/// A log that is in an answer.
+/// A log that was read for an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct LogRead {
-    /// Which.
+    /// The log.
     pub log: LogId,
-    /// Who read it.
+    /// The sender that read it.
     pub server: Rank,
-    /// Up to which position.
+    /// The watermark up to which it was read.
     pub reached: Watermark,
-    /// Its horizon: what was taken on before may have been left out.
+    /// Messages accepted before this time may have been dropped.
     pub known_since: Micros,
-    /// The greatest number of a change that may have been shown; 0 if no entry was looked at.
+    /// The greatest number of a change that may have been shown; 0 if no entry was examined.
     pub shown: u64,
 }
 
-/// What a query really read, by link.
+/// What a query actually read, for one server and log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Touched {
-    /// Where.
+    /// The server.
     pub server: Rank,
-    /// Of which log.
+    /// The log.
     pub log: LogId,
-    /// Spans in which entries were looked at.
+    /// Number of spans in which entries were examined.
     pub shards: u32,
-    /// Entries looked at.
+    /// Number of entries examined.
     pub entries: u64,
     /// Their bytes.
     pub bytes: u64,
-    /// Bytes of the server's whole answer, told with its first log.
+    /// Bytes of the server's whole answer, given with its first log only.
     pub wire_bytes: u64,
-    /// From asking it to its last piece, microseconds.
+    /// Time from the sub-query to the last part of the answer, microseconds.
     pub took_us: Micros,
 }
 
-/// What came of a query.
+/// The answer to a query.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Answer {
-    /// Messages, by when they were taken on, then by id.
+    /// Messages, ordered by time of acceptance, then by id.
     pub rows: Vec<Entry>,
-    /// Where to go on, if there may be more.
+    /// Where to continue, if there may be more rows.
     pub next: Option<(Micros, String)>,
     /// Shards are missing, or something could not be read in time.
     pub partial: bool,
-    /// Owners that were asked for.
+    /// Number of owners whose logs the query needs.
     pub asked: usize,
-    /// Of them, those whose logs were read.
+    /// Of these, the number of owners whose logs were read.
     pub reached: usize,
-    /// The others.
+    /// The other owners.
     pub missing: Vec<Missing>,
-    /// What was read, with whose position.
+    /// The logs that were read, with server and watermark.
     pub logs: Vec<LogRead>,
-    /// What was taken on before this may be missing: the latest horizon of them all.
+    /// Messages accepted before this time may be missing: the latest horizon of all logs read.
     pub known_since: Micros,
-    /// Ids that were asked for and of which nothing is known; not that there never was such a message.
+    /// Requested ids of which nothing is known; this does not prove that no such message ever existed.
     pub not_known: Vec<String>,
-    /// What it cost.
+    /// What the query read.
     pub touched: Vec<Touched>,
-    /// From asking to this, microseconds.
+    /// Time from the query to this answer, microseconds.
     pub took_us: Micros,
 }
 
-/// All logs that are here.
+/// All logs held by this sender.
 #[derive(Debug, Clone, Copy)]
 pub struct LocalLogs<'a> {
-    /// The own one.
+    /// The own log.
     pub log: &'a Log,
-    /// Those of others.
+    /// Replicas of other senders' logs.
     pub store: &'a Store,
-    /// A shard's span.
+    /// The span of a shard, microseconds.
     pub span: Micros,
 }
 
@@ -230,93 +232,106 @@
         if id == self.log.id() {
             return Some(self.log.table());
         }
-        self.store.logs().get(&id).map(|copy| &copy.table)
+        self.store.logs().get(&id).map(|replica| &replica.table)
     }
 
-    fn holding(&self, id: LogId, now: Micros) -> Option<LogStatus> {
+    fn status(&self, id: LogId, now: Micros) -> Option<LogStatus> {
         let table = self.table(id)?;
         let own = id == self.log.id();
         let reached = if own { self.log.reached(now) } else { self.store.logs().get(&id)?.reached };
         Some(LogStatus { log: id, reached, known_since: table.known_since(), shown: 0, touched: (0, 0, 0) })
     }
 
-    /// With what may have been shown, once it has been read.
-    fn read(&self, holding: LogStatus) -> LogStatus {
-        let last = match self.store.logs().get(&holding.log) {
-            _ if holding.log == self.log.id() => self.log.last(),
-            copy => copy.map_or(holding.reached.upto, |copy| copy.cursor().max(copy.reached.upto)),
+    /// Adds the greatest number that may have been shown; called once the log has been read.
+    fn with_shown(&self, status: LogStatus) -> LogStatus {
+        let last = match self.store.logs().get(&status.log) {
+            _ if status.log == self.log.id() => self.log.last(),
+            replica => {
+                replica.map_or(status.reached.upto, |replica| replica.cursor().max(replica.reached.upto))
+            }
         };
-        LogStatus { shown: if holding.touched.1 > 0 { last } else { 0 }, ..holding }
+        LogStatus { shown: if status.touched.1 > 0 { last } else { 0 }, ..status }
     }
 }
 
-/// The log at hand, the place to go on from, and the spans of entries that were looked at.
-type At = (LogStatus, Option<(Micros, Key)>, BTreeSet<u32>);
+/// The current log, the place to continue from, and the spans of the entries examined.
+type ScanPosition = (LogStatus, Option<(Micros, Key)>, BTreeSet<u32>);
 
-/// Reading some logs that are here, in slices.
+/// Reads some of the logs held here, in slices.
 #[derive(Debug)]
 struct Scan {
     query: Query,
     waiting: VecDeque<LogId>,
-    at: Option<At>,
-    /// Ids that are still to be looked up in the log at hand.
-    ids: usize,
+    position: Option<ScanPosition>,
+    /// Number of ids already looked up in the current log.
+    ids_done: usize,
     found: BTreeMap<(Micros, Key), Entry>,
-    /// Rows found in the log at hand, and the place of the last.
-    here: usize,
-    last: Option<(Micros, String)>,
+    /// Number of rows found in the current log, and the place of the last one.
+    rows_in_log: usize,
+    last_row: Option<(Micros, String)>,
     logs: Vec<LogStatus>,
-    whole_upto: Option<(Micros, String)>,
+    complete_upto: Option<(Micros, String)>,
 }
 
-fn least(a: Option<(Micros, String)>, b: Option<(Micros, String)>) -> Option<(Micros, String)> {
+fn min_place(a: Option<(Micros, String)>, b: Option<(Micros, String)>) -> Option<(Micros, String)> {
     a.into_iter().chain(b).min()
 }
 
 impl Scan {
     fn new(query: Query, logs: impl IntoIterator<Item = LogId>) -> Self {
         let waiting: VecDeque<LogId> = logs.into_iter().collect();
-        let (at, ids, found) = (None, 0, BTreeMap::new());
-        Self { query, waiting, at, ids, found, here: 0, last: None, logs: Vec::new(), whole_upto: None }
+        let (position, ids_done, found) = (None, 0, BTreeMap::new());
+        Self {
+            query,
+            waiting,
+            position,
+            ids_done,
+            found,
+            rows_in_log: 0,
+            last_row: None,
+            logs: Vec::new(),
+            complete_upto: None,
+        }
     }
 
-    /// Goes on as far as the budget lasts; whether it is through.
+    /// Continues until the budget is used up; returns whether all logs have been read.
     fn step(&mut self, here: LocalLogs, now: Micros, budget: &mut usize) -> bool {
         loop {
             if *budget == 0 {
                 return false;
             }
-            if self.at.is_none() {
+            if self.position.is_none() {
                 let Some(next) = self.waiting.pop_front() else { return true };
-                // A log costs something even if it holds nothing.
+                // Even an empty log has a cost.
                 *budget -= 1;
-                // What is claimed is what holds now, before anything of it is read.
-                self.at = here.holding(next, now).map(|holding| (holding, None, BTreeSet::new()));
-                (self.ids, self.here, self.last) = (0, 0, None);
+                // The watermark is taken before anything of the log is read: it holds at this point.
+                self.position = here.status(next, now).map(|status| (status, None, BTreeSet::new()));
+                (self.ids_done, self.rows_in_log, self.last_row) = (0, 0, None);
                 continue;
             }
-            let Some((mut holding, from, mut spans)) = self.at.take() else { continue };
-            let Some(table) = here.table(holding.log) else { continue };
-            let (shards, entries, bytes) = &mut holding.touched;
-            let mut look = |entry: &Entry| {
+            let Some((mut status, from, mut spans)) = self.position.take() else { continue };
+            let Some(table) = here.table(status.log) else { continue };
+            let (shards, entries, bytes) = &mut status.touched;
+            let mut record = |entry: &Entry| {
                 *entries += 1;
                 *bytes += size_of(entry) as u64;
-                // Ids come in any order of time.
+                // Ids are in no order of time.
                 let span = u32::try_from(entry.taken_at / here.span.max(1)).unwrap_or(u32::MAX);
                 *shards += u32::from(spans.insert(span));
             };
             if !self.query.ids.is_empty() {
-                while let Some(id) = self.query.ids.get(self.ids).filter(|_| *budget > 0) {
+                while let Some(id) = self.query.ids.get(self.ids_done).filter(|_| *budget > 0) {
                     *budget -= 1;
-                    self.ids += 1;
-                    let held = table.get(&key_of(&self.query.tenant, id));
-                    if let Some(held) = held {
-                        // When a message was taken on never changes: out of the range nothing more is read of it.
-                        if (begins(&self.query)..self.query.to).contains(&held.entry.taken_at) {
-                            look(&held.entry);
+                    self.ids_done += 1;
+                    let row = table.get(&key_of(&self.query.tenant, id));
+                    if let Some(row) = row {
+                        // The time of acceptance never changes: outside the range, nothing more of the
+                        // message is read.
+                        if (scan_start(&self.query)..self.query.to).contains(&row.entry.taken_at) {
+                            record(&row.entry);
                         }
-                        // Whatever else is asked for: what is here is known. The filters come at the end.
-                        let entry = &held.entry;
+                        // The message is known here, whatever the filters say; they are applied at the end.
+                        let entry = &row.entry;
                         match self.found.get_mut(&(entry.taken_at, key_of(&entry.tenant, &entry.id))) {
                             Some(known) => known.join(entry),
                             None => {
@@ -326,23 +341,23 @@
                         }
                     }
                 }
-                if self.ids < self.query.ids.len() {
-                    self.at = Some((holding, from, spans));
+                if self.ids_done < self.query.ids.len() {
+                    self.position = Some((status, from, spans));
                     return false;
                 }
-                self.logs.push(here.read(holding));
+                self.logs.push(here.with_shown(status));
                 continue;
             }
-            let most = self.query.limit as usize;
+            let limit = self.query.limit as usize;
             let (found, query) = (&mut self.found, &self.query);
-            let (mut count, mut last, mut cut) = (self.here, self.last.take(), false);
+            let (mut count, mut last, mut truncated) = (self.rows_in_log, self.last_row.take(), false);
             let place = table.scan(query, from, budget, &mut |entry| {
-                look(entry);
+                record(entry);
                 if !query.may_want(entry) {
                     return true;
                 }
-                cut = count == most;
-                if cut {
+                truncated = count == limit;
+                if truncated {
                     return false;
                 }
                 count += 1;
@@ -354,111 +369,114 @@
                 }
                 true
             });
-            if cut {
-                // Rows of this log go no further than its last one.
-                self.whole_upto = least(self.whole_upto.take(), last.take());
+            if truncated {
+                // The rows of this log are complete only up to the last one.
+                self.complete_upto = min_place(self.complete_upto.take(), last.take());
             }
-            (self.here, self.last) = (count, last);
+            (self.rows_in_log, self.last_row) = (count, last);
             if let Some(place) = place {
-                self.at = Some((holding, Some(place), spans));
+                self.position = Some((status, Some(place), spans));
                 return false;
             }
-            self.logs.push(here.read(holding));
+            self.logs.push(here.with_shown(status));
         }
     }
 }
 
-/// An owner whose logs a query wants.
+/// The state of an owner whose logs a query needs.
 #[derive(Debug)]
-struct Wanted {
+struct OwnerState {
     servers: VecDeque<Rank>,
-    /// When the last one was asked.
-    asked: Option<Micros>,
+    /// When the last server was asked.
+    asked_at: Option<Micros>,
     tried: bool,
     answered: bool,
     reached: bool,
 }
 
-/// What is out at a server.
+/// A sub-query that a server has not answered yet.
 #[derive(Debug)]
-struct Out {
+struct PendingSubQuery {
     owners: Vec<Rank>,
     since: Micros,
     wire_bytes: u64,
-    /// They count once the last piece tells how far they go.
+    /// Counted only once the last part of the answer states the watermark.
     rows: Vec<Entry>,
 }
 
-/// A query that was asked here.
+/// A query received from a client of this sender.
 #[derive(Debug)]
-struct Running {
+struct RunningQuery {
     query: Query,
     begun: Micros,
     until: Micros,
-    owners: BTreeMap<Rank, Wanted>,
-    out: BTreeMap<Rank, Out>,
+    owners: BTreeMap<Rank, OwnerState>,
+    pending: BTreeMap<Rank, PendingSubQuery>,
     own: Vec<(Scan, Vec<Rank>)>,
     rows: BTreeMap<Key, Entry>,
-    whole_upto: Option<(Micros, String)>,
+    complete_upto: Option<(Micros, String)>,
     logs: Vec<LogRead>,
     touched: Vec<Touched>,
 }
 
-/// Another sender's query.
+/// A query of another sender.
 #[derive(Debug)]
-struct Serving {
+struct ServedQuery {
     asker: Rank,
     number: u64,
     until: Micros,
     scan: Scan,
 }
 
-/// What is to be told to another sender.
+/// A message of the query protocol between senders.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QueryMessage {
-    /// A query.
-    Ask(SubQuery),
-    /// Part of an answer.
-    Piece(PartialResult),
+    /// A sub-query.
+    #[serde(rename = "Ask")]
+    SubQuery(SubQuery),
+    /// A partial result.
+    #[serde(rename = "Piece")]
+    PartialResult(PartialResult),
 }
 
-/// All queries under way at a sender.
+/// All queries in progress at a sender.
 #[derive(Debug)]
 pub struct Queries {
     own: Rank,
     next: u64,
-    running: BTreeMap<u64, Running>,
-    serving: VecDeque<Serving>,
+    running: BTreeMap<u64, RunningQuery>,
+    serving: VecDeque<ServedQuery>,
     answers: Vec<(u64, Answer)>,
-    say: Vec<(Rank, QueryMessage)>,
+    outbox: Vec<(Rank, QueryMessage)>,
 }
 
 impl Queries {
-    /// None. Numbers begin at one drawn by chance, so that an answer to an earlier process is nobody's.
+    /// Starts without queries. Query numbers start at a random one, so that an answer meant for an earlier
+    /// process matches no query.
     pub fn new(own: Rank, seed: u64) -> Self {
         let (running, serving) = (BTreeMap::new(), VecDeque::new());
-        Self { own, next: seed, running, serving, answers: Vec::new(), say: Vec::new() }
+        Self { own, next: seed, running, serving, answers: Vec::new(), outbox: Vec::new() }
     }
 
-    /// Whether something is under way.
+    /// Whether a query is in progress.
     pub fn busy(&self) -> bool {
         !self.running.is_empty() || !self.serving.is_empty()
     }
 
-    /// Answers that are there.
+    /// Takes the finished answers.
     pub fn take_answers(&mut self) -> Vec<(u64, Answer)> {
         std::mem::take(&mut self.answers)
     }
 
-    /// What is to be sent.
+    /// Takes the messages to be sent.
     pub fn take_messages(&mut self) -> Vec<(Rank, QueryMessage)> {
-        std::mem::take(&mut self.say)
+        std::mem::take(&mut self.outbox)
     }
 
-    /// Takes a query that is to be answered within that time, [`MAX_QUERY_TIME`] at most.
+    /// Starts a query that is to be answered within `within`, at most [`MAX_QUERY_TIME`].
     ///
     /// # Errors
-    /// Says why it is not taken.
+    /// The reason why the query is rejected.
     pub fn ask(
         &mut self,
         now: Micros,
@@ -477,18 +495,18 @@
         }
         let wanted = |(owner, servers): (Rank, Vec<Rank>)| {
             let servers: VecDeque<Rank> = servers.into_iter().take(MAX_SERVERS).collect();
-            (owner, Wanted { servers, asked: None, tried: false, answered: false, reached: false })
+            (owner, OwnerState { servers, asked_at: None, tried: false, answered: false, reached: false })
         };
         self.next = self.next.wrapping_add(1);
-        let running = Running {
+        let running = RunningQuery {
             query,
             begun: now,
             until: now + within.min(MAX_QUERY_TIME),
             owners: routes.0.into_iter().map(wanted).collect(),
-            out: BTreeMap::new(),
+            pending: BTreeMap::new(),
             own: Vec::new(),
             rows: BTreeMap::new(),
-            whole_upto: None,
+            complete_upto: None,
             logs: Vec::new(),
             touched: Vec::new(),
         };
@@ -496,61 +514,70 @@
         Ok(self.next)
     }
 
-    /// Another sender asks. What it may cost is bounded; whoever asks beyond that is told so.
-    pub fn serve(&mut self, now: Micros, from: Rank, asked: SubQuery, here: LocalLogs) {
-        let SubQuery { number, mut query, owners, within } = asked;
+    /// Accepts another sender's sub-query. The cost is bounded: beyond the bound the sender is told that this
+    /// one is busy.
+    pub fn serve(&mut self, now: Micros, from: Rank, sub_query: SubQuery, here: LocalLogs) {
+        let SubQuery { number, mut query, owners, within } = sub_query;
         let sane = query.ids.len() <= MAX_IDS && (1..=MAX_ROWS).contains(&(query.limit as usize));
         if self.serving.len() >= MAX_SERVING || !sane {
-            let end = ResultEnd { logs: vec![], whole_upto: None, busy: true };
-            let piece = PartialResult { number, rows: vec![], end: Some(end) };
-            self.say.push((from, QueryMessage::Piece(piece)));
+            let end = ResultEnd { logs: vec![], complete_upto: None, busy: true };
+            let result = PartialResult { number, rows: vec![], end: Some(end) };
+            self.outbox.push((from, QueryMessage::PartialResult(result)));
             return;
         }
-        // Which state a message has shows only once all logs are joined.
+        // The state of a message is certain only once all logs are joined.
         query.states.clear();
         let owners: BTreeSet<Rank> = owners.into_iter().collect();
         let logs: Vec<LogId> = owners.into_iter().flat_map(|owner| here.of(owner)).collect();
         let until = now + within.min(MAX_QUERY_TIME);
-        self.serving.push_back(Serving { asker: from, number, until, scan: Scan::new(query, logs) });
+        self.serving.push_back(ServedQuery { asker: from, number, until, scan: Scan::new(query, logs) });
     }
 
-    /// Part of another sender's answer has come, in that many bytes.
-    pub fn receive_result(&mut self, now: Micros, from: Rank, piece: PartialResult, wire_bytes: u64) {
-        let Some(running) = self.running.get_mut(&piece.number) else { return };
-        let Some(out) = running.out.get_mut(&from) else { return };
-        out.wire_bytes += wire_bytes;
+    /// Handles a partial result of another sender, received in `wire_bytes` bytes.
+    pub fn receive_result(&mut self, now: Micros, from: Rank, result: PartialResult, wire_bytes: u64) {
+        let Some(running) = self.running.get_mut(&result.number) else { return };
+        let Some(pending) = running.pending.get_mut(&from) else { return };
+        pending.wire_bytes += wire_bytes;
         let query = &running.query;
-        // Nobody's answer makes a row of another tenant's message.
-        out.rows.extend(piece.rows.into_iter().filter(|entry| match query.ids.is_empty() {
+        // Rows of other tenants are dropped, whichever server sent them.
+        pending.rows.extend(result.rows.into_iter().filter(|entry| match query.ids.is_empty() {
             true => query.may_want(entry),
             false => query.tenant == entry.tenant && query.ids.contains(&entry.id),
         }));
-        let Some(end) = piece.end else { return };
-        let Some(Out { owners, since, wire_bytes, rows }) = running.out.remove(&from) else { return };
+        let Some(end) = result.end else { return };
+        let Some(PendingSubQuery { owners, since, wire_bytes, rows }) = running.pending.remove(&from) else {
+            return;
+        };
         if end.busy {
             // The next server is asked at once.
             let asked = running.owners.iter_mut().filter(|(owner, _)| owners.contains(owner));
-            asked.for_each(|(_, wanted)| wanted.asked = Some(0));
+            asked.for_each(|(_, state)| state.asked_at = Some(0));
             return;
         }
-        rows.into_iter().for_each(|entry| running.row(entry));
-        running.read(from, &owners, end.logs, end.whole_upto, (wire_bytes, now.saturating_sub(since)));
+        rows.into_iter().for_each(|entry| running.add_row(entry));
+        running.record_result(
+            from,
+            &owners,
+            end.logs,
+            end.complete_upto,
+            (wire_bytes, now.saturating_sub(since)),
+        );
     }
 
-    /// Goes on with all of them, within [`MAX_ENTRIES_PER_TURN`].
+    /// Advances all queries, within [`MAX_ENTRIES_PER_TURN`].
     pub fn step(&mut self, now: Micros, here: LocalLogs) {
         let mut budget = MAX_ENTRIES_PER_TURN;
         let numbers: Vec<u64> = self.running.keys().copied().collect();
-        // Each gets its part of the turn, so that a large one holds up nobody.
+        // Each query gets its share of the turn, so that a large one delays no other.
         let share = MAX_ENTRIES_PER_TURN / (numbers.len() + self.serving.len()).max(1);
         for number in numbers {
             let Some(running) = self.running.get_mut(&number) else { continue };
-            running.route(now, self.own, number, here, &mut self.say);
+            running.send_sub_queries(now, self.own, number, here, &mut self.outbox);
             let mut part = share.max(64).min(budget);
             budget -= part;
             running.scan(now, self.own, here, &mut part);
             budget += part;
-            if now >= running.until || running.through() {
+            if now >= running.until || running.is_done() {
                 let Some(running) = self.running.remove(&number) else { continue };
                 self.answers.push((number, running.finish(now, here.span)));
             }
@@ -559,35 +586,35 @@
             let Some(mut serving) = self.serving.pop_front() else { break };
             let mut part = share.max(64).min(budget);
             budget -= part;
-            let through = serving.scan.step(here, now, &mut part);
+            let done = serving.scan.step(here, now, &mut part);
             budget += part;
-            if through {
-                self.tell(serving);
+            if done {
+                self.send_result(serving);
             } else if now < serving.until {
                 self.serving.push_back(serving);
             }
         }
     }
 
-    fn tell(&mut self, serving: Serving) {
-        let Serving { asker, number, scan, .. } = serving;
+    fn send_result(&mut self, serving: ServedQuery) {
+        let ServedQuery { asker, number, scan, .. } = serving;
         let (mut rows, mut bytes) = (Vec::new(), 0);
         for entry in scan.found.into_values() {
             bytes += size_of(&entry);
             rows.push(entry);
-            if bytes >= PIECE {
-                let piece = PartialResult { number, rows: std::mem::take(&mut rows), end: None };
-                self.say.push((asker, QueryMessage::Piece(piece)));
+            if bytes >= RESULT_BYTES {
+                let result = PartialResult { number, rows: std::mem::take(&mut rows), end: None };
+                self.outbox.push((asker, QueryMessage::PartialResult(result)));
                 bytes = 0;
             }
         }
-        let end = Some(ResultEnd { logs: scan.logs, whole_upto: scan.whole_upto, busy: false });
-        self.say.push((asker, QueryMessage::Piece(PartialResult { number, rows, end })));
+        let end = Some(ResultEnd { logs: scan.logs, complete_upto: scan.complete_upto, busy: false });
+        self.outbox.push((asker, QueryMessage::PartialResult(PartialResult { number, rows, end })));
     }
 }
 
-impl Running {
-    fn row(&mut self, entry: Entry) {
+impl RunningQuery {
+    fn add_row(&mut self, entry: Entry) {
         let key = key_of(&entry.tenant, &entry.id);
         match self.rows.get_mut(&key) {
             Some(known) => known.join(&entry),
@@ -595,55 +622,56 @@
         }
     }
 
-    /// A server has told all that it has of some owners.
-    fn read(
+    /// Records that a server has read all that it holds of some owners.
+    fn record_result(
         &mut self,
         server: Rank,
         owners: &[Rank],
         logs: Vec<LogStatus>,
-        whole_upto: Option<(Micros, String)>,
+        complete_upto: Option<(Micros, String)>,
         (wire_bytes, took_us): (u64, Micros),
     ) {
-        self.whole_upto = least(self.whole_upto.take(), whole_upto);
+        self.complete_upto = min_place(self.complete_upto.take(), complete_upto);
         for owner in owners {
-            if let Some(wanted) = self.owners.get_mut(owner) {
-                wanted.answered = true;
-                // A copy of which nothing was claimed yet is on its way, and tells of no position.
-                let told = |holding: &LogStatus| server == *owner || holding.reached.as_of > 0;
-                wanted.reached |= logs.iter().any(|holding| holding.log.owner == *owner && told(holding));
+            if let Some(state) = self.owners.get_mut(owner) {
+                state.answered = true;
+                // A replica for which nothing has been claimed yet is still being filled and proves no
+                // position.
+                let proves = |status: &LogStatus| server == *owner || status.reached.as_of > 0;
+                state.reached |= logs.iter().any(|status| status.log.owner == *owner && proves(status));
             }
         }
-        for (n, holding) in logs.into_iter().enumerate() {
-            let LogStatus { log, reached, known_since, shown, touched: (shards, entries, bytes) } = holding;
+        for (n, status) in logs.into_iter().enumerate() {
+            let LogStatus { log, reached, known_since, shown, touched: (shards, entries, bytes) } = status;
             let wire_bytes = if n == 0 { wire_bytes } else { 0 };
             self.touched.push(Touched { server, log, shards, entries, bytes, wire_bytes, took_us });
             self.logs.push(LogRead { log, server, reached, known_since, shown });
         }
     }
 
-    /// Asks whoever is to be asked next.
-    fn route(
+    /// Sends the sub-queries that are due.
+    fn send_sub_queries(
         &mut self,
         now: Micros,
         own: Rank,
         number: u64,
         here: LocalLogs,
-        say: &mut Vec<(Rank, QueryMessage)>,
+        outbox: &mut Vec<(Rank, QueryMessage)>,
     ) {
         let mut ask: BTreeMap<Rank, Vec<Rank>> = BTreeMap::new();
-        let out = &self.out;
-        for (owner, wanted) in &mut self.owners {
-            if wanted.reached || wanted.asked.is_some_and(|at| now < at + HEDGE && !wanted.answered) {
+        let pending = &self.pending;
+        for (owner, state) in &mut self.owners {
+            if state.reached || state.asked_at.is_some_and(|at| now < at + HEDGE && !state.answered) {
                 continue;
             }
-            let Some(server) = wanted.servers.front().copied() else { continue };
-            let room = ask.contains_key(&server) || out.len() + ask.len() < MAX_OUT;
-            // One question to a server at a time: its answer names no owners.
-            if server != own && (!room || out.contains_key(&server)) {
+            let Some(server) = state.servers.front().copied() else { continue };
+            let has_capacity = ask.contains_key(&server) || pending.len() + ask.len() < MAX_PENDING;
+            // Only one sub-query to a server at a time: its answer names no owners.
+            if server != own && (!has_capacity || pending.contains_key(&server)) {
                 continue;
             }
-            wanted.servers.pop_front();
-            (wanted.asked, wanted.tried, wanted.answered) = (Some(now), true, false);
+            state.servers.pop_front();
+            (state.asked_at, state.tried, state.answered) = (Some(now), true, false);
             ask.entry(server).or_default().push(*owner);
         }
         for (server, owners) in ask {
@@ -653,10 +681,14 @@
                 self.own.push((Scan::new(query, logs), owners));
                 continue;
             }
-            let within = self.until.saturating_sub(now + MARGIN);
+            let within = self.until.saturating_sub(now + RETURN_MARGIN);
             let query = Query { states: Vec::new(), ..self.query.clone() };
-            say.push((server, QueryMessage::Ask(SubQuery { number, query, owners: owners.clone(), within })));
-            self.out.insert(server, Out { owners, since: now, wire_bytes: 0, rows: Vec::new() });
+            outbox.push((
+                server,
+                QueryMessage::SubQuery(SubQuery { number, query, owners: owners.clone(), within }),
+            ));
+            self.pending
+                .insert(server, PendingSubQuery { owners, since: now, wire_bytes: 0, rows: Vec::new() });
         }
     }
 
@@ -666,25 +698,31 @@
                 return;
             }
             let (scan, owners) = self.own.remove(0);
-            scan.found.into_values().for_each(|entry| self.row(entry));
-            self.read(own, &owners, scan.logs, scan.whole_upto, (0, now.saturating_sub(self.begun)));
+            scan.found.into_values().for_each(|entry| self.add_row(entry));
+            self.record_result(
+                own,
+                &owners,
+                scan.logs,
+                scan.complete_upto,
+                (0, now.saturating_sub(self.begun)),
+            );
         }
     }
 
-    fn through(&self) -> bool {
-        let through = |w: &Wanted| w.reached || w.servers.is_empty() && (w.answered || !w.tried);
-        self.own.is_empty() && self.owners.values().all(through)
+    fn is_done(&self) -> bool {
+        let done = |w: &OwnerState| w.reached || w.servers.is_empty() && (w.answered || !w.tried);
+        self.own.is_empty() && self.owners.values().all(done)
     }
 
     fn finish(self, now: Micros, span: Micros) -> Answer {
-        let Self { query, owners, rows, whole_upto, logs, touched, own, .. } = self;
+        let Self { query, owners, rows, complete_upto, logs, touched, own, .. } = self;
         let last_span = |at: Micros| u32::try_from(at / span.max(1)).unwrap_or(u32::MAX);
         let spans = (last_span(query.from), last_span(query.to.min(now)));
         let missing: Vec<Missing> = owners
             .iter()
-            .filter(|(_, wanted)| !wanted.reached)
-            .map(|(owner, wanted)| {
-                let why = match (wanted.tried, wanted.answered) {
+            .filter(|(_, state)| !state.reached)
+            .map(|(owner, state)| {
+                let why = match (state.tried, state.answered) {
                     (false, _) => MissingReason::NoServer,
                     (true, false) => MissingReason::NoAnswer,
                     (true, true) => MissingReason::NotHeld,
@@ -695,7 +733,7 @@
         let not_known = query.ids.iter().filter(|id| !rows.contains_key(&key_of(&query.tenant, id)));
         let not_known = not_known.cloned().collect();
         let overdue = |mut entry: Entry| {
-            if !entry.states.ended() && now > entry.deadline.saturating_add(OVERDUE) {
+            if !entry.states.ended() && now > entry.deadline.saturating_add(UNKNOWN_AFTER) {
                 entry.states = entry.states.with(State::Unknown);
             }
             entry
@@ -703,11 +741,11 @@
         let mut rows: Vec<Entry> =
             rows.into_values().map(overdue).filter(|entry| query.wants(entry)).collect();
         rows.sort_by(|a, b| (a.taken_at, &a.id).cmp(&(b.taken_at, &b.id)));
-        let whole = |entry: &Entry| {
-            whole_upto.as_ref().is_none_or(|(at, id)| (entry.taken_at, &entry.id) <= (*at, id))
+        let is_complete = |entry: &Entry| {
+            complete_upto.as_ref().is_none_or(|(at, id)| (entry.taken_at, &entry.id) <= (*at, id))
         };
-        rows.retain(whole);
-        let mut next = whole_upto.clone();
+        rows.retain(is_complete);
+        let mut next = complete_upto.clone();
         if rows.len() > query.limit as usize {
             rows.truncate(query.limit as usize);
             next = rows.last().map(|last| (last.taken_at, last.id.clone()));
@@ -716,7 +754,7 @@
             partial: !missing.is_empty() || !own.is_empty(),
             asked: owners.len(),
             reached: owners.len() - missing.len(),
-            known_since: logs.iter().map(|told| told.known_since).max().unwrap_or(0),
+            known_since: logs.iter().map(|log| log.known_since).max().unwrap_or(0),
             took_us: now.saturating_sub(self.begun),
             rows,
             next,
--- a/src/status/store.rs
+++ b/src/status/store.rs
@@ -1,5 +1,5 @@
-//! What is held of other senders' logs: each as far as it came, with the position up to which all is there. A lost
-//! life's log stays readable beside the one that followed it.
+//! Replicas of other senders' logs, each with the watermark up to which it is complete. The log of a lost
+//! generation stays readable beside that of the following one.
 
 use std::collections::BTreeMap;
 
@@ -9,149 +9,152 @@
 use super::{Change, LogId, Positions, Rank, Watermark};
 use crate::interface::Micros;
 
-/// Logs held at most; beyond it the one that was heard of the longest ago goes.
+/// Maximum number of logs held; beyond it the one that was updated least recently is dropped.
 pub const MAX_LOGS: usize = 128;
-/// Senders that tell of one log, at most.
+/// Maximum number of senders that send one log.
 const MAX_SOURCES: usize = 8;
-/// Entries that go for their age in one call at most.
-const AGED_AT_ONCE: usize = 64;
+/// Maximum number of entries that are expired in one call and log.
+const MAX_EXPIRED_PER_CALL: usize = 64;
 
-/// A piece of a log on its way to somebody who keeps it, in the order of numbers.
+/// Part of a log sent to a receiver, in the order of numbers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Of which log.
+    /// The log.
     pub log: LogId,
-    /// It goes on after this number: the receiver must have come as far.
+    /// The number that the batch follows: the receiver must have reached it.
     pub from: u64,
-    /// With it the receiver has come to this number.
+    /// The number that the receiver reaches with this batch.
     pub to: u64,
-    /// The sender's horizon.
+    /// Messages accepted before this time may have been dropped by the sender.
     pub known_since: Micros,
-    /// With it all is there up to this position.
+    /// The watermark that the receiver reaches with this batch.
     pub claim: Option<Watermark>,
-    /// Present states of messages whose last change lies between both.
+    /// Current states of the messages whose last change lies between both numbers.
     pub changes: Vec<Change>,
 }
 
-/// What a receiver says to a batch.
+/// A receiver's answer to a batch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BatchAck {
-    /// Of which log.
+    /// The log.
     pub log: LogId,
-    /// How far it has come.
+    /// The number that the receiver has reached.
     pub cursor: u64,
-    /// Up to where it has all.
+    /// The watermark up to which it holds all changes.
     pub reached: Watermark,
-    /// The batch did not fit on what is there, and was left.
+    /// The batch does not follow what the receiver holds, and was ignored.
     pub gap: bool,
 }
 
-/// One log as far as it is here.
+/// A replica of one log.
 #[derive(Debug)]
 pub struct Replica {
     /// Its entries.
     pub table: Table,
-    /// Each sender that told of it came to this number; between it and the position something may be missing. More
-    /// than one tells only of a life that is over.
+    /// The number that each sender of this log has reached; between it and the watermark changes may be
+    /// missing. Only a log of an ended generation has more than one sender.
     cursors: BTreeMap<Rank, u64>,
-    /// All is there up to this.
+    /// All changes up to this watermark are held.
     pub reached: Watermark,
-    /// When something of it came last.
-    pub heard: Micros,
+    /// When a batch for it was applied last.
+    pub updated_at: Micros,
 }
 
 impl Replica {
-    /// The last number that came.
+    /// The greatest number received.
     pub fn cursor(&self) -> u64 {
         self.cursors.values().copied().max().unwrap_or(0)
     }
 }
 
-/// All logs of others that are held here, bounded together.
+/// All replicas held here, with a common memory bound.
 #[derive(Debug)]
 pub struct Store {
     logs: BTreeMap<LogId, Replica>,
-    most: usize,
-    keep: Micros,
+    max_bytes: usize,
+    retention: Micros,
 }
 
 impl Store {
-    /// Nothing yet. `most` bytes of memory, ended entries for `keep` microseconds.
-    pub fn new(most: usize, keep: Micros) -> Self {
-        Self { logs: BTreeMap::new(), most, keep }
+    /// An empty store with `max_bytes` bytes of memory; ended entries are retained for `retention`
+    /// microseconds.
+    pub fn new(max_bytes: usize, retention: Micros) -> Self {
+        Self { logs: BTreeMap::new(), max_bytes, retention }
     }
 
-    /// The logs.
+    /// The replicas.
     pub fn logs(&self) -> &BTreeMap<LogId, Replica> {
         &self.logs
     }
 
-    /// How far each of them is here.
+    /// The watermark of each replica.
     pub fn positions(&self) -> Positions {
-        self.logs.iter().map(|(id, copy)| (*id, copy.reached)).collect()
+        self.logs.iter().map(|(id, replica)| (*id, replica.reached)).collect()
     }
 
-    /// One owner's logs, of whatever life.
+    /// The replicas of one owner's logs, of any generation.
     pub fn of(&self, owner: Rank) -> impl Iterator<Item = (&LogId, &Replica)> {
         self.logs.iter().filter(move |(id, _)| id.owner == owner)
     }
 
-    /// Takes a batch in, if it goes on where the log is here; the answer says how far it is then.
+    /// Applies a batch if it follows what is held; the acknowledgement states how far the replica is then.
     pub fn apply(&mut self, now: Micros, from: Rank, batch: Batch) -> BatchAck {
         if !self.logs.contains_key(&batch.log) && self.logs.len() >= MAX_LOGS {
-            let oldest = self.logs.iter().min_by_key(|(_, copy)| copy.heard).map(|(id, _)| *id);
+            let oldest = self.logs.iter().min_by_key(|(_, replica)| replica.updated_at).map(|(id, _)| *id);
             oldest.map(|oldest| self.logs.remove(&oldest));
         }
-        let copy = self.logs.entry(batch.log).or_insert_with(|| Replica {
+        let replica = self.logs.entry(batch.log).or_insert_with(|| Replica {
             table: Table::default(),
             cursors: BTreeMap::new(),
             reached: Watermark { upto: 0, as_of: 0 },
-            heard: now,
+            updated_at: now,
         });
-        if copy.cursors.len() >= MAX_SOURCES && !copy.cursors.contains_key(&from) {
-            copy.cursors.clear();
+        if replica.cursors.len() >= MAX_SOURCES && !replica.cursors.contains_key(&from) {
+            replica.cursors.clear();
         }
-        // What another sender told does not count here: both may have left out different things so far.
-        let cursor = copy.cursors.entry(from).or_insert(0);
+        // The cursors of other senders do not count here: each may have left out different changes so far.
+        let cursor = replica.cursors.entry(from).or_insert(0);
         let gap = batch.from > *cursor;
         if !gap {
-            copy.heard = now;
-            copy.table.forget_before(batch.known_since);
+            replica.updated_at = now;
+            replica.table.raise_horizon(batch.known_since);
             for Change { number, entry } in batch.changes {
-                copy.table.put(number, entry);
+                replica.table.put(number, entry);
             }
             *cursor = batch.to.max(*cursor);
             if let Some(claim) = batch.claim.filter(|claim| claim.upto <= *cursor) {
-                copy.reached.upto = copy.reached.upto.max(claim.upto);
-                copy.reached.as_of = copy.reached.as_of.max(claim.as_of);
+                replica.reached.upto = replica.reached.upto.max(claim.upto);
+                replica.reached.as_of = replica.reached.as_of.max(claim.as_of);
             }
         }
-        let have = BatchAck { log: batch.log, cursor: *cursor, reached: copy.reached, gap };
-        self.bound();
-        have
+        let ack = BatchAck { log: batch.log, cursor: *cursor, reached: replica.reached, gap };
+        self.enforce_limit();
+        ack
     }
 
     fn bytes(&self) -> usize {
-        self.logs.values().map(|copy| copy.table.bytes()).sum()
+        self.logs.values().map(|replica| replica.table.bytes()).sum()
     }
 
-    /// At the bound the log that takes the most gives up its oldest.
-    fn bound(&mut self) {
+    /// Enforces the memory bound: the log that uses the most memory drops its oldest entries.
+    fn enforce_limit(&mut self) {
         let mut bytes = self.bytes();
-        while bytes > self.most {
-            let Some(copy) = self.logs.values_mut().max_by_key(|copy| copy.table.bytes()) else { return };
-            let before = copy.table.bytes();
-            if !copy.table.drop_oldest() {
+        while bytes > self.max_bytes {
+            let Some(replica) = self.logs.values_mut().max_by_key(|replica| replica.table.bytes()) else {
+                return;
+            };
+            let before = replica.table.bytes();
+            if !replica.table.drop_oldest() {
                 return;
             }
-            bytes -= before - copy.table.bytes();
+            bytes -= before - replica.table.bytes();
         }
     }
 
-    /// Leaves out what has been ended for long enough, a few at a time.
-    pub fn age(&mut self, now: Micros) {
-        for copy in self.logs.values_mut() {
-            copy.table.bound(usize::MAX, now.saturating_sub(self.keep), AGED_AT_ONCE);
+    /// Expires entries whose retention time is over, a few at a time.
+    pub fn expire(&mut self, now: Micros) {
+        for replica in self.logs.values_mut() {
+            replica.table.evict(usize::MAX, now.saturating_sub(self.retention), MAX_EXPIRED_PER_CALL);
         }
     }
 }
