--- a/src/estimate/budget_lease.rs
+++ b/src/estimate/budget_lease.rs
@@ -1,18 +1,20 @@
-//! A tenant's budget is the whole fleet's, and lent to senders in pieces that lapse, as with leases (Gray and Cheriton,
-//! 1989).
+//! A tenant's budget holds for the whole fleet. Parts of it are granted to senders as leases that expire
+//! (Gray and Cheriton, 1989).
 //!
-//! - *Who lends*: one living member for each tenant, by rendezvous hashing (Thaler and Ravishankar, 1998).
-//! - *How much*: what it lent within the last [`WINDOW`] never exceeds the budget. The window is a minute and a piece's
-//!   life by the lender's clock, so that what is *used* in any minute does not either.
-//! - *A piece* lapses [`LEASE_TIME`] after its borrower asked, by the borrower's clock; for the lender it lasts a quarter
-//!   longer, counted from later. Clocks may differ by any offset, and by a quarter in pace. Only clocks that never go
-//!   back are used.
-//! - *A new lender* does not know what the one before it lent: what it may have lent grows from an eighth of the budget
-//!   to all of it over a window.
-//! - *The lesser side of a split* lends its part by members of the tier, which is under half.
-//!
-//! So with one lender no minute uses more than the budget; with a split, or lenders that follow each other, twice the
-//! budget and an eighth of it for each further lender at most.
+//! - *The lender* is one living member for each tenant, chosen by rendezvous hashing (Thaler and Ravishankar,
+//!   1998).
+//! - *The amount*: what it has granted within the last [`WINDOW`] never exceeds the budget. The window is a
+//!   minute plus the lifetime of a lease by the lender's clock, so what is *used* in any minute does not
+//!   exceed the budget either.
+//! - *A lease* expires [`LEASE_TIME`] after the borrower requested it, by the borrower's clock; for the
+//!   lender it lasts a quarter longer, counted from the later time of the grant. Clocks may differ by any
+//!   offset, and by a quarter in rate. Only monotonic clocks are used.
+//! - *A new lender* does not know what its predecessor granted, so the amount that it may grant grows from an
+//!   eighth of the budget to all of it over a window.
+//! - *The minority side of a partition* grants only its share by members of the tier, which is less than
+//!   half.
+//! So with one lender no minute uses more than the budget. With a partition, or with lenders that succeed
+//! each other, a minute uses at most twice the budget plus an eighth of it for each further lender.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::Hasher;
@@ -25,28 +27,28 @@
 use crate::membership::{MemberView, MembershipView, Rank, State};
 use crate::plans::Plan;
 
-/// A piece's life for its borrower, from when it asked.
+/// Lifetime of a lease for its borrower, from its request.
 pub const LEASE_TIME: Micros = 10_000_000;
-/// The same for the lender, from when it lent.
+/// Lifetime of a lease for the lender, from its grant.
 pub const LENDER_LEASE_TIME: Micros = LEASE_TIME / 4 * 5;
-/// What was lent within it is within the budget.
+/// Period in which the amount granted never exceeds the budget.
 pub const WINDOW: Micros = 60_000_000 + LENDER_LEASE_TIME;
-/// Part of the budget that a new lender may lend at once.
+/// A new lender may grant one part in this many of the budget at once.
 pub const FIRST_PART: u64 = 8;
-/// A borrower asks for one tenant so often at most.
+/// Minimum time between two requests of a borrower for one tenant.
 pub const REQUEST_INTERVAL: Micros = 200_000;
-/// Tenants that a sender borrows or lends for at most.
+/// Maximum tenants for which a sender borrows, and for which it lends.
 pub const MAX_TENANTS: usize = 512;
-/// Pieces of one tenant that count in a window at most.
+/// Maximum leases of one tenant that a lender counts in a window.
 pub const MAX_PIECES: usize = 4_096;
-/// Pieces of one tenant that a borrower has at most.
+/// Maximum leases of one tenant that a borrower holds.
 const MAX_LEASES: usize = 16;
-/// Changes of who is there that are looked back at; with more, the time before them counts for unknown.
+/// Maximum membership changes that are remembered; with more, the time before them counts as unknown.
 const MAX_CHANGES: usize = 16;
-/// A longer name is no tenant's.
+/// Maximum length of a tenant's name, bytes.
 const MAX_NAME_LEN: usize = 255;
 
-/// What something costs, or how much there is.
+/// The cost of a query, or an amount of budget.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cost {
     /// Queries.
@@ -78,67 +80,67 @@
         self.queries >= other.queries && self.bytes >= other.bytes
     }
 
-    /// So many of so many parts of it, without overflow.
+    /// The fraction `of` / `all` of it, without overflow.
     fn part(self, of: u64, all: u64) -> Self {
         let part = |figure: u64| (u128::from(figure) * u128::from(of) / u128::from(all.max(1))) as u64;
         Self { queries: part(self.queries), bytes: part(self.bytes) }
     }
 
-    /// A plan's, for a minute.
+    /// A plan's budget for a minute.
     pub fn of_plan(plan: &Plan) -> Self {
         Self { queries: plan.queries_per_min.into(), bytes: plan.bytes_per_min }
     }
 }
 
-/// What senders say to each other of budgets.
+/// Messages between borrowers and lenders.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BudgetMessage {
-    /// A piece is wanted.
+    /// Requests a lease.
     #[serde(rename = "Ask")]
     Request {
-        /// For whose queries.
+        /// The tenant.
         tenant: String,
-        /// Tells this ask from others of this borrower.
+        /// Identifies the request among those of this borrower.
         serial: u64,
-        /// What is needed at once.
+        /// The amount needed at once.
         cost: Cost,
-        /// What is wanted.
+        /// The amount wanted.
         wanted: Cost,
     },
-    /// A piece, less than what was wanted or nothing.
+    /// Grants a lease, possibly of less than was wanted, or of nothing.
     #[serde(rename = "Lend")]
     Grant {
-        /// For whose queries.
+        /// The tenant.
         tenant: String,
-        /// The ask that it answers.
+        /// The request that it answers.
         serial: u64,
-        /// How much.
+        /// The amount granted.
         cost: Cost,
-        /// If it is short: when there may be more, microseconds from now.
+        /// If the budget is short: when there may be more, microseconds from now.
         after: Micros,
     },
-    /// What is not needed of a piece; it is not used any more.
+    /// Returns what is not needed of a lease; the borrower no longer uses it.
     #[serde(rename = "Back")]
     Return {
-        /// Whose queries it was for.
+        /// The tenant.
         tenant: String,
-        /// Which one.
+        /// The request by which the lease was granted.
         serial: u64,
-        /// How much.
+        /// The amount returned.
         cost: Cost,
     },
 }
 
-/// There is not enough now.
+/// There is not enough budget at this sender now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Insufficient {
-    /// When there may be, microseconds from now.
+    /// When there may be enough, microseconds from now.
     pub after: Micros,
     /// What is short.
     pub reason: Reason,
 }
 
-/// What was taken out of which pieces.
+/// What a query was charged, by lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Charge {
     tenant: String,
@@ -152,15 +154,15 @@
     until: Micros,
 }
 
-/// What a borrower has of one tenant's budget.
+/// What a borrower holds of one tenant's budget.
 #[derive(Debug, Default)]
 struct BorrowerAccount {
     leases: Vec<Lease>,
-    /// What it asked for last, and when.
+    /// Serial and time of the pending request.
     asked: Option<(u64, Micros)>,
-    /// Nothing more is there before then.
+    /// The lender has no more before this time.
     short_until: Micros,
-    /// What was charged since the last piece came.
+    /// What was charged since the last request.
     used: Cost,
     touched: Micros,
 }
@@ -173,30 +175,30 @@
     cost: Cost,
 }
 
-/// What a lender has lent of one tenant's budget.
+/// What a lender has granted of one tenant's budget.
 #[derive(Debug, Default)]
 struct Ledger {
     loans: VecDeque<Loan>,
     lent: Cost,
 }
 
-/// One sender's part in all budgets.
+/// One sender's part in all budgets, as borrower and as lender.
 #[derive(Debug)]
 pub struct Budgets {
     own: Rank,
     serial: u64,
     accounts: BTreeMap<String, BorrowerAccount>,
     ledgers: BTreeMap<String, Ledger>,
-    /// Since when it is known who was there.
+    /// Start of the time for which the set of living members is known.
     since: Micros,
-    /// Who is there now.
+    /// The living members now.
     living: Vec<Rank>,
-    /// Who was there before, within a window, and until when.
+    /// Earlier sets of living members within a window, each with the time at which it ended.
     before: VecDeque<(Micros, Vec<Rank>)>,
     out: Vec<(Rank, BudgetMessage)>,
 }
 
-/// Members that may lend: this one, and those that are not held for gone.
+/// Members that may lend: this one, and those that are alive or suspected.
 fn living(facts: &MembershipView) -> Vec<Rank> {
     let there = |(rank, fact): &(usize, &MemberView)| {
         *rank == usize::from(facts.own) || matches!(fact.state, State::Alive | State::Suspect)
@@ -204,7 +206,7 @@
     facts.members.iter().enumerate().filter(there).map(|(rank, _)| rank as Rank).collect()
 }
 
-/// Which of these lends a tenant's budget; none if nobody is there.
+/// The member that lends a tenant's budget; `None` if `living` is empty.
 pub fn lender(tenant: &str, living: &[Rank]) -> Option<Rank> {
     let weight = |rank: &Rank| {
         let mut hasher = SipHasher13::new();
@@ -216,7 +218,8 @@
 }
 
 impl Budgets {
-    /// Nothing is lent or borrowed. Serials begin by chance, so that an earlier process's mean nothing.
+    /// Budgets without any lease. Serials begin at a random number, so that those of an earlier process match
+    /// nothing.
     pub fn new(own: Rank, seed: u64, now: Micros) -> Self {
         Self {
             own,
@@ -230,7 +233,7 @@
         }
     }
 
-    /// Looks who is there.
+    /// Records a change of the set of living members.
     fn look(&mut self, now: Micros, facts: &MembershipView) {
         let living = living(facts);
         if living != self.living {
@@ -244,25 +247,26 @@
         }
     }
 
-    /// For how long this sender has been the one that lends a tenant's budget, as far as it knows.
+    /// For how long this sender has been the lender of a tenant's budget, as far as it knows.
     fn tenure(&self, now: Micros, tenant: &str) -> Micros {
         let others = self.before.iter().filter(|(_, living)| lender(tenant, living) != Some(self.own));
         now.saturating_sub(others.map(|(until, _)| *until).max().unwrap_or(0).max(self.since))
     }
 
-    /// What is to be said since the last call. The receiver hears it once, or never.
+    /// Takes the messages queued since the last call. Each is delivered once or never.
     pub fn take_messages(&mut self) -> Vec<(Rank, BudgetMessage)> {
         std::mem::take(&mut self.out)
     }
 
-    /// What is left here of a tenant's budget.
+    /// The amount of a tenant's budget that is left at this sender.
     pub fn remaining(&self, now: Micros, tenant: &str) -> Cost {
         let leases = self.accounts.get(tenant).into_iter().flat_map(|account| &account.leases);
         let live = leases.filter(|lease| now < lease.until);
         live.fold(Cost::default(), |sum, lease| sum.plus(lease.left))
     }
 
-    /// Has a piece of a tenant's budget there for a query of that cost, or asks for one. Whether it is there.
+    /// Checks that the leases here cover a query of that cost; if they don't, or soon won't, requests another
+    /// lease.
     ///
     /// # Errors
     /// Says when there may be enough, and what is short.
@@ -280,7 +284,7 @@
             account.touched = now;
         }
         if !lasts.covers(cost) {
-            // What lapses soon is asked for anew before queries wait for it.
+            // A lease that expires soon is replaced before queries have to wait for it.
             let asked = self.borrow(now, facts, tenant, plan, cost.less(lasts));
             if !self.remaining(now, tenant).covers(cost) {
                 let reason = if left.queries < cost.queries { Reason::Queries } else { Reason::Budget };
@@ -290,7 +294,8 @@
         Ok(())
     }
 
-    /// Asks for a piece that covers the need, unless it was just asked for. When there may be one, microseconds from now.
+    /// Requests a lease that covers the need, unless one was just requested. Returns when it may arrive,
+    /// microseconds from now.
     fn borrow(
         &mut self,
         now: Micros,
@@ -317,7 +322,8 @@
         self.serial = self.serial.wrapping_add(1);
         let serial = self.serial;
         account.asked = Some((serial, now));
-        // As much again as since the last piece, and a hundredth of all, so that few asks are needed.
+        // Asks for as much again as was used since the last lease, plus a hundredth of the budget, to save
+        // requests.
         let wanted = need.plus(account.used).plus(Cost::of_plan(plan).part(1, 100));
         account.used = Cost::default();
         if to == self.own {
@@ -331,7 +337,8 @@
         until.saturating_sub(now).max(REQUEST_INTERVAL)
     }
 
-    /// Whether there is enough for a query of that cost, or may be once it is asked for. Asks nobody.
+    /// Checks whether there is enough for a query of that cost, or may be once it is requested. Sends no
+    /// request.
     ///
     /// # Errors
     /// Says when there may be enough, and what is short.
@@ -345,10 +352,10 @@
         Err(Insufficient { after: until - now, reason })
     }
 
-    /// Takes a query's cost out of what is left here.
+    /// Charges a query's cost to the leases here.
     ///
     /// # Errors
-    /// Says what is short; [`Budgets::reserve`] has it brought.
+    /// Says what is short; [`Budgets::reserve`] requests it.
     pub fn charge(&mut self, now: Micros, tenant: &str, cost: Cost) -> Result<Charge, Insufficient> {
         let left = self.remaining(now, tenant);
         if !left.covers(cost) {
@@ -370,13 +377,13 @@
         Ok(charge)
     }
 
-    /// A query that was charged has ended: what it did not use goes back to its pieces, as far as they live; what it used
-    /// beyond its charge is taken out of those that are here.
+    /// Settles the charge of a query that has ended: what it did not use goes back to its leases unless they
+    /// have expired; what it used beyond its charge is taken from the leases that are held.
     pub fn settle(&mut self, now: Micros, charge: Charge, used: Cost) {
         let Some(account) = self.accounts.get_mut(&charge.tenant) else { return };
         let all = charge.taken.iter().fold(Cost::default(), |sum, (_, taken)| sum.plus(*taken));
         let mut over = all.less(used);
-        // What it took beyond its charge is the next ones' loss, as far as anything is here.
+        // Use beyond the charge reduces what later queries have, as far as there is anything left.
         let mut more = used.less(all);
         account.used = account.used.plus(more);
         for lease in account.leases.iter_mut().filter(|lease| now < lease.until) {
@@ -394,7 +401,7 @@
         }
     }
 
-    /// A piece has come, or nothing.
+    /// Handles a grant, which may be of nothing.
     fn lent(&mut self, now: Micros, tenant: &str, serial: u64, cost: Cost, after: Micros) {
         let Some(account) = self.accounts.get_mut(tenant) else { return };
         let Some((_, at)) = account.asked.take_if(|(asked, _)| *asked == serial) else { return };
@@ -407,8 +414,8 @@
         }
     }
 
-    /// Lends what may be lent: as the lender by this sender's view, or not at all.
-    #[expect(clippy::too_many_arguments, reason = "an ask as it came, and what it is judged by")]
+    /// Grants what may be granted; nothing if this sender is not the lender by its own membership view.
+    #[expect(clippy::too_many_arguments, reason = "the fields of a request, and what decides on it")]
     fn lend(
         &mut self,
         now: Micros,
@@ -445,7 +452,8 @@
                 .loans
                 .front()
                 .map_or(WINDOW / FIRST_PART, |loan| (loan.at.saturating_add(WINDOW)).saturating_sub(now));
-            // While what may be lent grows, there is more before the first piece counts no longer.
+            // While the amount that may be granted grows, there is more before the first loan leaves the
+            // window.
             let after = if tenure < WINDOW { first.min(REQUEST_INTERVAL * 5) } else { first };
             return (Cost::default(), after.max(REQUEST_INTERVAL));
         }
@@ -455,7 +463,7 @@
         (cost, 0)
     }
 
-    /// Another sender has said something. `plan` is the tenant's here.
+    /// Handles a message of another sender. `plan` gives a tenant's plan at this sender.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -484,7 +492,7 @@
         }
     }
 
-    /// Now and then: what is not used goes back, and what has lapsed is forgotten.
+    /// Periodic work: returns leases that are not used, and forgets what has expired.
     pub fn tick(&mut self, now: Micros, facts: &MembershipView) {
         self.look(now, facts);
         for (tenant, account) in &mut self.accounts {
--- a/src/estimate/charged.rs
+++ b/src/estimate/charged.rs
@@ -1,7 +1,7 @@
-//! A read by plan that is under way: what it was charged before, and what it has read so far, by what senders answered.
-//!
-//! A read may have a log read twice: a replica that had not enough, then its owner. All of it is charged. Held against the
-//! read's bound is what each log took at most, since that is what was predicted.
+//! A read by plan that is running: what it was charged in advance, and what it has read so far by the
+//! senders' reports.
+//! A read may read a log twice: at a replica that lacked entries, then at its owner. All of it is charged.
+//! The read's bound is checked against the most that each log took, since that is what was predicted.
 
 use std::collections::BTreeMap;
 
@@ -16,29 +16,30 @@
 /// See the module.
 #[derive(Debug)]
 pub struct ChargedQuery {
-    /// What was decided, and on what.
+    /// The decision, and the estimate behind it.
     pub decided: Decided,
     running: RunningQuery,
     /// Shards and bytes that it may read.
     bound: (u64, u64),
-    /// What each log took.
+    /// The most shards and bytes that one sender read of each log.
     logs: BTreeMap<LogId, (u64, u64)>,
-    /// Sums in the order of [`super::learned::Figure`], but for rows.
+    /// Sums in the order of [`super::learned::Figure`], without rows.
     figures: [u64; FIGURES],
 }
 
 impl ChargedQuery {
-    /// Decides a read, and charges its tenant's budget. Time is not looked at: such a read ends by itself at its
-    /// deadline, and tells what is late, whereas one that is refused teaches nobody that it would be faster now.
+    /// Decides a read, and charges its tenant's budget. Predicted time is not checked: such a read ends by
+    /// itself at its deadline and reports what is late, whereas refusing it would leave no outcome by which
+    /// to learn that it has become faster.
     ///
     /// # Errors
-    /// What was decided, if it does not run.
+    /// The decision, if the read does not run.
     pub fn begin(estimator: &mut Estimator, now: Micros, query: &Query) -> Result<Self, Box<Decided>> {
         let (decided, running) = estimator.begin(now, now, query, Micros::MAX);
         let Some(running) = running else { return Err(Box::new(decided)) };
         let prediction = &decided.estimate.prediction;
         let plan = estimator.plan(&query.tenant);
-        // Without a bound, what nine in ten do not exceed must not cut the tenth.
+        // Without a hard bound, the 90 % interval must not cut off the one in ten that exceeds it.
         let bound = match prediction.bound {
             true => (prediction.shards.most, prediction.bytes.most),
             false => (plan.shards.into(), plan.bytes_per_min),
@@ -46,7 +47,7 @@
         Ok(Self { decided, running, bound, logs: BTreeMap::new(), figures: [0; FIGURES] })
     }
 
-    /// Part of it was answered, after reading this.
+    /// Adds what a partial result reports as read.
     pub fn touched(&mut self, links: &[Link]) {
         for link in links {
             let (shards, bytes) = (u64::from(link.shards), link.bytes);
@@ -61,10 +62,10 @@
         }
     }
 
-    /// Whether it has gone past its bound: nothing more is to be read then.
+    /// Checks whether it is past its bound: then nothing more may be read.
     ///
     /// # Errors
-    /// Says by what.
+    /// Says which bound was passed.
     pub fn check(&self) -> Result<(), LimitExceeded> {
         let sum = |of: fn(&(u64, u64)) -> u64| self.logs.values().map(of).fold(0, u64::saturating_add);
         let (shards, bytes) = (sum(|log| log.0), sum(|log| log.1));
@@ -74,12 +75,13 @@
         if bytes > self.bound.1 { Err(LimitExceeded::Bytes(bytes)) } else { Ok(()) }
     }
 
-    /// Shards and bytes that were read so far, at all senders.
+    /// Shards and bytes read so far, at all senders.
     pub fn read(&self) -> (u64, u64) {
         (self.figures[0], self.figures[2])
     }
 
-    /// It has ended, however it did: its charge is corrected. What a whole one took is learned: rows and microseconds.
+    /// Ends the read, whatever its outcome, and corrects its charge. `whole` has the rows and microseconds of
+    /// a complete one, from which the calibration learns.
     pub fn end(
         self,
         estimator: &mut Estimator,
--- a/src/estimate/decide.rs
+++ b/src/estimate/decide.rs
@@ -1,15 +1,16 @@
-//! What becomes of a query: from what it will touch, its tenant's plan, and what is left of the tenant's budget here.
+//! Decides what becomes of a query, by its prediction, its tenant's plan, and what is left here of the
+//! tenant's budget.
 //!
-//! | rule | when | then |
+//! | rule | condition | decision |
 //! | --- | --- | --- |
-//! | 1 | more shards, or bytes for a whole minute, than the plan allows | less of it if that fits, else refused |
-//! | 2 | its answer can't be there in time | less of it if that fits, else refused |
+//! | 1 | more shards, or more bytes per minute, than the plan allows | narrow it if possible, else refuse |
+//! | 2 | its answer can't be ready in time | narrow it if possible, else refuse |
 //! | 3 | no query of the minute is left here | later |
-//! | 4 | fewer bytes of the minute are left here | later |
-//! | 5 | otherwise | run, charged at the upper end of what was predicted |
-//!
-//! The first rule that applies is told. A query is made less by a later `from`: the newest messages are kept. One for
-//! ids, or that goes on after a row, is never made less, since what is left out would be what it asks for.
+//! | 4 | too few bytes of the minute are left here | later |
+//! | 5 | otherwise | run, charged at the upper end of the prediction |
+//! The first rule that applies is reported. A query is narrowed by a later `from`, which keeps the newest
+//! messages. One for ids, or one that continues after a row, is never narrowed, since that would leave out
+//! what it asks for.
 
 use super::budget_lease::{Budgets, Charge, Cost, Insufficient};
 use super::predict::Estimate;
@@ -19,22 +20,22 @@
 use crate::plans::Plan;
 use crate::status::Query;
 
-/// Predictions that finding a smaller query takes at most.
+/// Maximum predictions made to find a narrower query.
 pub const MAX_TRIES: u32 = 24;
 
-/// What a query is up against.
+/// The limits that a query is checked against.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits<'a> {
     /// The tenant's plan.
     pub plan: &'a Plan,
-    /// Microseconds in which the answer must be there.
+    /// Microseconds within which the answer must be ready.
     pub within: Micros,
-    /// Unix microseconds now, by which a smaller query is looked for.
+    /// Unix microseconds now: upper end of the search for a narrower query.
     pub unix: Micros,
 }
 
 impl Limits<'_> {
-    /// What the plan alone says against a query.
+    /// The limit that a query exceeds, its tenant's budget aside.
     fn against(&self, estimate: &Estimate) -> Option<Reason> {
         let prediction = &estimate.prediction;
         if prediction.shards.most > u64::from(self.plan.shards) {
@@ -47,16 +48,16 @@
     }
 }
 
-/// A decision, and what the query as it is to run will touch.
+/// A decision, and the prediction for the query in the form in which it would run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Decided {
-    /// What is to be done.
+    /// The decision.
     pub decision: Decision,
     /// The prediction for what is run; for the whole query if nothing is.
     pub estimate: Estimate,
 }
 
-/// Decides without charging anything: what operators are told.
+/// Decides on a query without charging anything. `left` is what the budget says.
 pub fn decide(
     query: &Query,
     limits: Limits<'_>,
@@ -82,8 +83,8 @@
     }
 }
 
-/// The earliest `from` with which the plan has nothing against it, by halving; none if even the last instant is
-/// too much or the query can't be made less.
+/// Finds the earliest `from` with which the query is within its limits, by bisection; `None` if even the last
+/// instant is too much or the query can't be narrowed.
 fn narrowed(
     query: &Query,
     limits: Limits<'_>,
@@ -97,12 +98,13 @@
     let mut found = None;
     let mut back = Some(1_000_000);
     for _ in 0..MAX_TRIES {
-        // Steps of under a millisecond leave nothing more in.
+        // A difference of under a millisecond adds nothing.
         if late.saturating_sub(too_early) < 1_000 {
             break;
         }
-        // Most of all time holds nothing: from the end back in growing steps until it is too much. Halving all time from
-        // the start would use up all tries before it comes near the newest messages.
+        // Most of the time range is empty, so the search goes back from the end in growing steps until it is
+        // too much. Bisecting the whole range from its start would use up all tries before it comes near the
+        // newest messages.
         let from = match back {
             Some(back) => late.saturating_sub(back).max(too_early),
             None => too_early + (late - too_early) / 2,
@@ -118,7 +120,7 @@
     found.filter(|(_, estimate)| estimate.prediction.entries.most > 0)
 }
 
-/// A query that is under way: what it was charged, and how far it may go.
+/// A query that is running: its charge, what it has read, and its bounds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunningQuery {
     charge: Charge,
@@ -127,31 +129,31 @@
     most: (u64, u64),
 }
 
-/// A query went past its bound and is cut: its answer has what was read so far, and says so.
+/// A query reached its bound and was cut off. Its answer has what was read so far, and says so.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum LimitExceeded {
-    /// In shards.
+    /// Bound on shards.
     #[error(
-        "cut after {0} shards: no more were predicted, or the plan allows no more; ask for a shorter time or fewer ids"
+        "cut off after {0} shards: predicted bound or plan limit reached; use a shorter time or fewer ids"
     )]
     Shards(u64),
-    /// In bytes.
+    /// Bound on bytes.
     #[error(
-        "cut after {0} bytes: no more were predicted, or the plan allows no more; ask for a shorter time or fewer ids"
+        "cut off after {0} bytes: predicted bound or plan limit reached; use a shorter time or fewer ids"
     )]
     Bytes(u64),
 }
 
 coded_error! { LimitExceeded {
-    Shards => "estimate.cut-shards", "ask for a shorter time or fewer states, or ask for an estimate again first";
-    Bytes => "estimate.cut-bytes", "ask for a shorter time or fewer states, or ask for an estimate again first";
+    Shards => "estimate.cut-shards", "narrow the time range or the states, or request a new estimate first";
+    Bytes => "estimate.cut-bytes", "narrow the time range or the states, or request a new estimate first";
 } }
 
 impl RunningQuery {
-    /// Charges a query at the upper end of what it will touch.
+    /// Charges a query at the upper end of its prediction.
     ///
     /// # Errors
-    /// Says when there will be enough, and what is short.
+    /// Says when there will be enough budget, and what is short.
     pub fn begin(
         budgets: &mut Budgets,
         now: Micros,
@@ -163,10 +165,10 @@
         Ok(Self { charge, shards: 0, bytes: 0, most: (shards, bytes) })
     }
 
-    /// Before a shard is opened.
+    /// To be called before a shard is opened.
     ///
     /// # Errors
-    /// Says that it must not be, since the query is at its bound.
+    /// The query is at its bound, and the shard must not be opened.
     pub fn shard(&mut self) -> Result<(), LimitExceeded> {
         if self.shards >= self.most.0 {
             return Err(LimitExceeded::Shards(self.shards));
@@ -175,10 +177,10 @@
         Ok(())
     }
 
-    /// Before an entry of so many bytes is read.
+    /// To be called before an entry of that many bytes is read.
     ///
     /// # Errors
-    /// Says that it must not be, since the query is at its bound.
+    /// The query is at its bound, and the entry must not be read.
     pub fn read(&mut self, bytes: u64) -> Result<(), LimitExceeded> {
         match self.bytes.checked_add(bytes).filter(|sum| *sum <= self.most.1) {
             Some(sum) => self.bytes = sum,
@@ -187,14 +189,15 @@
         Ok(())
     }
 
-    /// A part of it has read so much elsewhere, where it was not asked before: all of it is charged in the end.
+    /// Adds what a sub-query has read at another sender without a check before it: all of it is charged at
+    /// the end.
     pub fn took(&mut self, shards: u64, bytes: u64) {
         self.shards = self.shards.saturating_add(shards);
         self.bytes = self.bytes.saturating_add(bytes);
     }
 
-    /// It has ended: what was not touched is given back, and what it took beyond its charge is taken, as far as there is
-    /// any.
+    /// Ends the query: returns what it did not use, and charges what it used beyond its charge as far as
+    /// there is budget left. Returns the shards and bytes read.
     pub fn end(self, budgets: &mut Budgets, now: Micros) -> (u64, u64) {
         budgets.settle(now, self.charge, Cost { queries: 1, bytes: self.bytes });
         (self.shards, self.bytes)
--- a/src/estimate/estimator.rs
+++ b/src/estimate/estimator.rs
@@ -1,5 +1,6 @@
-//! One sender's estimates: it makes summaries of its own shards, holds those of the others, predicts, decides, and
-//! learns from what queries took. All rooms of [`crate::estimate`] in one, for the part round it.
+//! The estimator of one sender: it summarises its own shards, caches the summaries of the others, predicts,
+//! decides, and calibrates itself by what queries really took. It combines the other modules of
+//! [`crate::estimate`] for the driver.
 
 use std::collections::BTreeMap;
 
@@ -21,39 +22,40 @@
 use crate::plans::{self, Plan};
 use crate::status::{self, Entry, LogId, Query, ShardId};
 
-/// Own summaries are made anew so often at most.
+/// Minimum time between two rebuilds of this sender's own summaries.
 pub const MAKE_EVERY: Micros = 2_000_000;
-/// Entries that are summarised at a time at most, beyond those of one shard; the rest is for the next time.
+/// Maximum entries summarised in one rebuild, beyond those of the first shard; the rest follow in the next
+/// rebuild.
 pub const MAX_ENTRIES: usize = 10_000;
-/// Messages begin with what they are about.
+/// First byte of a message: summary gossip.
 const SUMMARIES: u8 = 1;
-/// See [`SUMMARIES`].
+/// First byte of a message: budget leases.
 const BUDGETS: u8 = 2;
 
 /// Why a query can't be estimated.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EstimateError {
     /// Too many ids.
-    #[error("{0} ids")]
+    #[error("query names {0} ids, more than 256")]
     Ids(usize),
-    /// No row can be in it.
-    #[error("nothing is taken on from {0} and before {1}")]
+    /// The time range is empty.
+    #[error("empty time range: \"from\" {0} is not before \"to\" {1}")]
     Times(Micros, Micros),
-    /// Too many rows.
-    #[error("{0} rows")]
+    /// The row limit is out of range.
+    #[error("row limit {0} is not between 1 and 1000")]
     Rows(u32),
 }
 
 coded_error! { EstimateError {
-    Ids => "estimate.ids", "name 256 ids at most, and ask again for the others";
-    Times => "estimate.times", "have \"from\" before \"to\", both in Unix microseconds";
-    Rows => "estimate.rows", "have \"limit\" from 1 to 1000, and go on with \"after\"";
+    Ids => "estimate.ids", "name at most 256 ids, and query the others separately";
+    Times => "estimate.times", "set \"from\" before \"to\", both in Unix microseconds";
+    Rows => "estimate.rows", "set \"limit\" between 1 and 1000, and continue with \"after\"";
 } }
 
-/// Holds a query against the bounds that [`status`] sets.
+/// Checks a query against the limits that [`status`] sets.
 ///
 /// # Errors
-/// Says what is beyond them.
+/// Says which limit is exceeded.
 pub fn check(query: &Query) -> Result<(), EstimateError> {
     if query.ids.len() > status::MAX_IDS {
         return Err(EstimateError::Ids(query.ids.len()));
@@ -67,66 +69,67 @@
     Ok(())
 }
 
-/// What operators are told of a query.
+/// The estimate of a query, as reported to operators.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct QueryEstimate {
-    /// What it will touch as it is to run.
+    /// What the query will touch in the form in which it would run.
     pub prediction: Prediction,
-    /// What is to be done with it.
+    /// The decision on it.
     pub decision: Decision,
-    /// Of the last 100 queries of its shape, how many read as many bytes as predicted; none while there are fewer.
+    /// How many of the last 100 queries of its shape read a number of bytes within the predicted interval;
+    /// `None` while there are fewer.
     pub held: Option<u32>,
 }
 
-/// What an own shard looked like when its summary was made.
+/// State of an own shard when its summary was made; a difference means that the summary is stale.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Print {
     entries: u64,
     changed: Micros,
-    /// Changes of one instant are told apart by it.
+    /// Checksum over the states: distinguishes changes made at the same instant.
     states: u64,
 }
 
-/// Everything together.
+/// See the module.
 #[derive(Debug)]
 pub struct Estimator {
     own: Rank,
     length: Micros,
     plans: plans::Config,
     mesh: Mesh,
-    /// What is held of all shards.
+    /// The cached catalogues and summaries of all shards.
     pub known: SummaryCache,
-    /// What queries really took.
+    /// Calibration by what queries really took.
     pub learned: Calibration,
-    /// What runs really took.
+    /// Calibration by what runs really took.
     pub runs: Runs,
     /// Tenants' budgets.
     pub budgets: Budgets,
     facts: Option<MembershipView>,
-    /// Own shards as last summarised, with the version of what is to be known of them.
+    /// Own shards as last summarised, with the summary version that the catalogue lists for each.
     prints: BTreeMap<u32, (Print, Version)>,
     made: u64,
     makes_at: Micros,
-    /// The latest own time that was told, and how far the clock was behind it.
+    /// The latest own time that was published, and how far the clock has been behind it.
     latest: Micros,
     slack: Micros,
     log: Option<LogId>,
-    /// Queries that were cut, and decisions, counted.
+    /// Counts of decisions and of queries that were cut off.
     pub counts: Counts,
 }
 
 /// Counts since the process began.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Queries that ran as they were.
+    /// Queries that ran unchanged.
     pub run: u64,
-    /// With less.
+    /// Queries that ran on a shorter time range.
     pub narrowed: u64,
-    /// Not then.
+    /// Queries that were told to retry later.
     pub later: u64,
-    /// Not at all.
+    /// Queries that were refused.
     pub refused: u64,
-    /// Went past their bound.
+    /// Queries that were cut off at their bound.
     pub cut: u64,
     /// Bytes that queries were charged when they began.
     pub charged: u64,
@@ -135,7 +138,8 @@
 }
 
 impl Estimator {
-    /// Nothing is known yet. `span` is the length of own spans in microseconds; `tier` is the view's checksum.
+    /// An estimator without any summaries. `span` is the length of own spans in microseconds; `tier` is the
+    /// checksum of the membership view.
     pub fn new(
         own: Rank,
         size: usize,
@@ -165,29 +169,30 @@
         }
     }
 
-    /// The plans have changed.
+    /// Applies changed plans.
     pub fn adopt(&mut self, plans: plans::Config) {
         self.plans = plans;
     }
 
-    /// A tenant's plan.
+    /// A tenant's plan, or the default plan.
     pub fn plan(&self, tenant: &str) -> Plan {
         plan(&self.plans, tenant)
     }
 
-    /// The view as it is now.
+    /// Sets the current membership view.
     pub fn set_view(&mut self, facts: MembershipView) {
         self.facts = Some(facts);
     }
 
-    /// Whether own summaries may be made anew.
+    /// Whether own summaries may be rebuilt.
     pub fn summaries_due(&self, now: Micros) -> bool {
         now >= self.makes_at
     }
 
-    /// Makes own summaries: of all shards that have changed, the newest first, as far as [`MAX_ENTRIES`] go.
-    /// `entries` gives all own ones by when they were taken on, `upto` is the last change that they have, `unix` the
-    /// time by which new messages get their `taken_at`.
+    /// Rebuilds own summaries: those of all shards that have changed, the newest first, up to [`MAX_ENTRIES`]
+    /// entries.
+    /// `entries` iterates over all own entries by the time at which they were accepted, `upto` is the last
+    /// change included in them, `unix` the clock from which new messages get their `taken_at`.
     pub fn summarise<'a, I: Iterator<Item = (ShardId, &'a Entry)>>(
         &mut self,
         now: Micros,
@@ -210,7 +215,7 @@
             print.states = print.states.wrapping_add(u64::from(entry.states.0) + 1);
             self.latest = self.latest.max(entry.taken_at);
         }
-        // What is taken on at a clock that went back comes before what was told of.
+        // Messages accepted after the clock stepped back lie before the time published as complete.
         self.slack = self.slack.max(self.latest.saturating_sub(unix));
         self.latest = self.latest.max(unix);
         self.prints.retain(|span, _| prints.contains_key(span));
@@ -220,7 +225,7 @@
             if self.prints.get(span).is_some_and(|(before, _)| before == print) {
                 continue;
             }
-            // What is not made now is listed as newer than its summary.
+            // The catalogue lists a shard that is not summarised now as newer than its summary.
             if work > 0 && work + print.entries as usize > MAX_ENTRIES {
                 let unmade = Print { entries: 0, ..*print };
                 self.prints.insert(*span, (unmade, version));
@@ -252,12 +257,12 @@
         self.known.publish(now, catalogue, summaries);
     }
 
-    /// What a query will touch.
+    /// Predicts what a query will touch.
     pub fn predict(&self, now: Micros, query: &Query) -> Estimate {
         predict(query, &self.known, self.facts.as_ref(), &self.learned, self.own, now)
     }
 
-    /// What would become of a query that has to be answered within that time, without running or charging it.
+    /// Estimates a query that has to be answered within `within`, without running or charging it.
     pub fn estimate(&self, now: Micros, unix: Micros, query: &Query, within: Micros) -> QueryEstimate {
         let plan = self.plan(&query.tenant);
         let mut predicted = |query: &Query| self.predict(now, query);
@@ -273,8 +278,9 @@
         QueryEstimate { prediction: estimate.prediction, decision, held }
     }
 
-    /// Decides a query that is to run now, and charges it. It runs as the decision says if [`RunningQuery`] comes along. One
-    /// that is for later may be tried again soon; [`Estimator::count_later`] counts it once it is told so.
+    /// Decides a query that is to run now, and charges it. If a [`RunningQuery`] is returned, the query runs
+    /// as the decision says. A query that is put off may be retried soon; the caller counts it with
+    /// [`Estimator::count_later`] only once it reports that to the client.
     pub fn begin(
         &mut self,
         now: Micros,
@@ -311,7 +317,7 @@
         }
     }
 
-    /// A query has ended, whole or cut: its charge is corrected, and what it touched is learned if it was whole.
+    /// Ends a query, whole or cut off: corrects its charge, and learns from what it touched if it was whole.
     pub fn end(
         &mut self,
         now: Micros,
@@ -326,30 +332,31 @@
         }
     }
 
-    /// A query has ended with less than all: its charge is corrected, and nothing is learned.
+    /// Ends a query that is incomplete: corrects its charge, and learns nothing.
     pub fn settle(&mut self, now: Micros, running: RunningQuery) {
         let (_, bytes) = running.end(&mut self.budgets, now);
         self.counts.read = self.counts.read.saturating_add(bytes);
     }
 
-    /// Somebody was told to ask again later.
+    /// Counts a client that was told to retry later.
     pub fn count_later(&mut self) {
         self.counts.later += 1;
     }
 
-    /// What reading a log at a sender costs, microseconds: what its part of an answer took of late, and what is added for
-    /// one that is suspected, cut off or starting. Reads by plan go to the least.
+    /// Cost of reading a log at a sender, microseconds: the recent time of its partial results, plus a
+    /// surcharge for a sender that is suspected, isolated or starting. Reads by plan go to the cheapest
+    /// sender.
     pub fn price(&self, now: Micros, server: Rank) -> Micros {
         let trip = if server == self.own { 0.0 } else { self.learned.round_trip(server, DEFAULT_ROUND_TRIP) };
         (trip as Micros).saturating_add(priced(server, self.facts.as_ref(), now))
     }
 
-    /// Whether a datagram is for this.
+    /// Whether a datagram belongs to the estimator.
     pub fn accepts(&self, bytes: &[u8]) -> bool {
         self.mesh.accepts(bytes)
     }
 
-    /// A datagram of another sender has come, which [`Estimator::accepts`].
+    /// Handles a datagram of another sender that [`Estimator::accepts`] has admitted.
     pub fn receive(&mut self, now: Micros, from: Rank, bytes: &[u8]) {
         for message in self.mesh.receive(now, from, bytes).messages {
             match message.split_first() {
@@ -367,7 +374,7 @@
         }
     }
 
-    /// When it wants to be called next.
+    /// When [`Estimator::tick`] is due next.
     pub fn due(&self) -> Micros {
         self.known.due().min(self.mesh.due().unwrap_or(Micros::MAX))
     }
@@ -383,10 +390,10 @@
         self.flush(now, out);
     }
 
-    /// Sends what queries and datagrams brought about.
+    /// Sends what queries and datagrams have queued.
     pub fn flush(&mut self, now: Micros, out: &mut Outgoing) {
         for (to, note) in self.budgets.take_messages() {
-            // What does not go is asked for again, or lapses.
+            // A message that can't be sent is requested again, or its lease expires.
             if let Ok(bytes) = postcard::to_allocvec(&note) {
                 let _ = self.mesh.send(now, to, &[&[BUDGETS], &bytes[..]].concat());
             }
@@ -394,7 +401,7 @@
         self.mesh.flush(now, out);
     }
 
-    /// What passed between senders.
+    /// Counts of the traffic between senders.
     pub fn traffic(&self) -> (summary_cache::Counts, mesh::Counts) {
         (self.known.counts, self.mesh.counts)
     }
--- a/src/estimate/learned.rs
+++ b/src/estimate/learned.rs
@@ -1,9 +1,10 @@
-//! What queries of a shape really took, fading, and how wide intervals have to be so that they hold.
-//!
-//! Each figure's logarithm of found over said is followed by three quantiles ([`BAND`]), each moved a little by
-//! each outcome: conformal quantile tracking (Angelopoulos, Candès, Tibshirani, 2023, after Gibbs and Candès, 2021). In
-//! the long run the part within is what it should be, whatever the load does. A window of outcomes tells whether it is
-//! so of late; where it is not, intervals widen at once, and say so.
+//! Calibration: what queries of a shape really took, with older outcomes fading, and the interval width that
+//! this needs.
+//! For each figure, three quantiles ([`BAND`]) of the logarithm of the ratio of actual to raw value are
+//! tracked; each outcome moves them a little: conformal quantile tracking (Angelopoulos, Candès, Tibshirani,
+//! 2023, after Gibbs and Candès, 2021). In the long run the share of outcomes within the interval converges
+//! to its target whatever the load does. A window of recent outcomes shows whether that holds now; where it
+//! does not, the intervals widen at once, and the prediction says so.
 
 use std::collections::BTreeMap;
 
@@ -12,28 +13,28 @@
 use crate::membership::{MAX_MEMBERS, Rank};
 use crate::status::Query;
 
-/// Outcomes of a shape that are looked back at.
+/// Number of recent outcomes of a shape that are remembered.
 pub const WINDOW: u32 = 100;
-/// Of them so many must have been within, or the intervals widen.
+/// If fewer than this many of them fell into their intervals, the intervals widen.
 pub const TARGET_HIT_RATE: u32 = 88;
-/// Outcomes from which on what was learned counts.
+/// Number of outcomes from which calibration is used.
 pub const MIN_SAMPLES: u32 = 20;
-/// The quantiles that are followed. Nine in ten are to hold: with a little more, a window of [`WINDOW`] outcomes seldom
-/// falls below [`TARGET_HIT_RATE`] by chance.
+/// The quantiles that are tracked. The target is nine in ten; the band is a little wider, so that a window of
+/// [`WINDOW`] outcomes seldom falls below [`TARGET_HIT_RATE`] by chance.
 pub(super) const BAND: [f64; 3] = [0.04, 0.5, 0.96];
-/// The widest that intervals get, as a factor to their logarithm.
+/// Maximum factor by which intervals are widened, on a logarithmic scale.
 const WIDEST: f64 = 8.0;
-/// How far one outcome moves a quantile, in spreads.
+/// How far one outcome moves a quantile, as a multiple of the spread.
 const STEP: f64 = 0.5;
-/// Part of the spread that an outcome tells.
+/// Weight of one outcome in the running mean of the spread.
 const FADE: f64 = 0.05;
 
-/// Which filters a query has: queries of one shape are told apart from others.
+/// The set of filters that a query has. Each shape is calibrated on its own.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Shape(u8);
 
 impl Shape {
-    /// A query's.
+    /// The shape of a query.
     pub fn of(query: &Query) -> Self {
         let has = [
             !query.ids.is_empty(),
@@ -46,7 +47,7 @@
     }
 }
 
-/// What a prediction says.
+/// The predicted figures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(usize)]
 pub enum Figure {
@@ -76,20 +77,20 @@
     pub took: Micros,
 }
 
-/// What a prediction was made from: goes back with what was touched.
+/// What a prediction was calculated from; needed again to learn from the outcome.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Basis {
-    /// Of which shape.
+    /// The query's shape.
     pub shape: Shape,
-    /// As the summaries alone have it.
+    /// The figures by the summaries alone.
     pub raw: [f64; FIGURES],
-    /// As it was told.
+    /// The intervals as reported.
     pub predicted: [Interval; FIGURES],
-    /// Microseconds, as the links alone have it.
+    /// Microseconds, by the round trips alone.
     pub raw_time: f64,
 }
 
-/// Follows one quantile of a stream.
+/// Tracks one quantile of a stream.
 #[derive(Debug, Clone, Copy)]
 struct Quantile {
     part: f64,
@@ -103,16 +104,16 @@
     }
 }
 
-/// The quantiles of one figure.
+/// Tracks one figure.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Track {
     quantiles: [Quantile; 3],
-    /// Mean distance from the middle, fading.
+    /// Running mean of the distance from the median.
     spread: f64,
-    /// Bit by bit, the newest first, whether the last outcomes were within.
+    /// One bit for each recent outcome, the newest lowest: whether it fell into its interval.
     within: u128,
     seen: u32,
-    /// Intervals are wider by this factor.
+    /// Factor by which the intervals are widened.
     wider: f64,
 }
 
@@ -144,7 +145,8 @@
         }
     }
 
-    /// What a figure is told as, when others than what was learned say so much.
+    /// The calibrated interval. `raw` and `expected` are the values before calibration; `doubt` widens it
+    /// further.
     pub(super) fn interval(&self, raw: Interval, expected: f64, doubt: f64) -> Interval {
         let said = log(expected);
         if self.seen < MIN_SAMPLES {
@@ -164,12 +166,12 @@
         }
     }
 
-    /// By how many percent its intervals are wider since too few held of late.
+    /// By how many percent the intervals are widened because too few recent outcomes fell into them.
     pub(super) fn widened(&self) -> Option<u32> {
         (self.missed() || self.wider > 1.05).then_some(((self.wider - 1.0) * 100.0) as u32)
     }
 
-    /// Of the last [`WINDOW`] outcomes those that were within.
+    /// How many of the last [`WINDOW`] outcomes fell into their intervals.
     fn hits(&self) -> u32 {
         (self.within & ((1 << WINDOW) - 1)).count_ones()
     }
@@ -179,14 +181,14 @@
     }
 }
 
-/// What one link's answers took.
+/// Answer times of one link.
 #[derive(Debug, Clone, Copy)]
 struct Link {
-    /// Mean of the microseconds, and mean deviation.
+    /// Mean and mean deviation, microseconds.
     trip: (f64, f64),
 }
 
-/// All that was learned; bounded by the number of shapes, of sizes and of members.
+/// The whole calibration; bounded by the number of shapes, of shard count classes and of members.
 #[derive(Debug, Default)]
 pub struct Calibration {
     figures: BTreeMap<Shape, [Option<Track>; FIGURES]>,
@@ -195,18 +197,18 @@
     links: BTreeMap<Rank, Link>,
 }
 
-/// A figure's logarithm, so that none at all is one too.
+/// Logarithm of a figure plus one, so that zero has one too.
 pub(super) fn log(figure: f64) -> f64 {
     (figure + 1.0).ln()
 }
 
 fn whole(figure: f64) -> u64 {
-    // A cast saturates at both ends.
+    // The cast saturates at both ends.
     (figure.exp() - 1.0).max(0.0) as u64
 }
 
 impl Calibration {
-    /// What a figure is told as: `doubt` widens it further.
+    /// The calibrated interval of a figure; `doubt` widens it further.
     pub fn interval(
         &self,
         shape: Shape,
@@ -219,30 +221,31 @@
         track.copied().unwrap_or(Track::new(BAND)).interval(raw, expected, doubt)
     }
 
-    /// By how many percent the intervals of a shape are wider since too few held of late.
+    /// By how many percent the intervals of a shape are widened because too few recent outcomes fell into
+    /// them.
     pub fn missed(&self, shape: Shape) -> Option<u32> {
         self.figures.get(&shape)?.iter().flatten().filter_map(Track::widened).max()
     }
 
-    /// Of the last [`WINDOW`] outcomes of a shape, how many were within what was told of a figure.
+    /// How many of the last [`WINDOW`] outcomes of a shape fell into the predicted interval of a figure.
     pub fn hit_rate(&self, shape: Shape, figure: Figure) -> Option<u32> {
         let track = self.figures.get(&shape)?[figure as usize].as_ref()?;
         (track.seen >= WINDOW).then(|| track.hits())
     }
 
-    /// The time for a query, microseconds: median and 99th percentile.
+    /// Time of a query, microseconds: median and 99th percentile.
     pub fn time(&self, shape: Shape, shards: u64, raw: f64) -> (Micros, Micros) {
         match self.times.get(&(shape, size(shards))).filter(|track| track.seen >= MIN_SAMPLES) {
             Some(track) => {
                 let [_, middle, high] = track.quantiles.map(|quantile| quantile.at);
                 (whole(log(raw) + middle), whole(log(raw) + high.max(middle)))
             }
-            // Nothing is known: the tail of one link is taken for four times its mean.
+            // Without samples the 99th percentile is taken to be four times the mean of one link.
             None => (raw as Micros, (raw * 4.0) as Micros),
         }
     }
 
-    /// A query was answered.
+    /// Learns from a query that was answered.
     pub fn learn(&mut self, basis: &Basis, touched: &Touched) {
         let tracks = self.figures.entry(basis.shape).or_insert([None; FIGURES]);
         for (at, track) in tracks.iter_mut().enumerate() {
@@ -255,7 +258,7 @@
         track.learn(log(touched.took as f64) - log(basis.raw_time), true);
     }
 
-    /// An owner's or replica's part of an answer took so long.
+    /// Learns how long a partial result of an owner or replica took.
     pub fn link(&mut self, rank: Rank, took: Micros) {
         if usize::from(rank) >= MAX_MEMBERS {
             return;
@@ -266,7 +269,8 @@
         link.trip = (mean + (took - mean) / 8.0, off + ((took - mean).abs() - off) / 8.0);
     }
 
-    /// What a sender's part of an answer takes, microseconds; `otherwise` where nothing is known.
+    /// Mean plus mean deviation of the time of a sender's partial results, microseconds; `otherwise` without
+    /// samples.
     pub fn round_trip(&self, rank: Rank, otherwise: f64) -> f64 {
         self.links.get(&rank).map_or(otherwise, |link| link.trip.0 + link.trip.1)
     }
--- a/src/estimate/mod.rs
+++ b/src/estimate/mod.rs
@@ -1,9 +1,8 @@
-//! What something will cost, told before it is done: a query of the status index, or a planned run of messages. Here
-//! are the words; the rooms below hold summaries, prediction, budgets and what was learned. No I/O: time, chance and
-//! what others told come from outside.
-//!
-//! A prediction is made from summaries that shards' owners make of themselves. It never says that a shard is not touched
-//! which holds a row within what its summary covers.
+//! Cost estimates made before the work is done: for a query of the status index, and for a planned run of
+//! messages. This module defines the shared types; the submodules hold summaries, prediction, budgets and
+//! calibration. It does no I/O: time, random seeds and the messages of other senders are passed in.
+//! A prediction is made from the summaries that each owner publishes of its shards. It never excludes a shard
+//! that holds a matching row within the range that its summary covers.
 
 pub mod budget_lease;
 pub mod charged;
@@ -19,124 +18,125 @@
 
 use crate::interface::Micros;
 
-/// A figure that is not known for sure.
+/// An estimated figure with its 90 % interval.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Interval {
-    /// Nine in ten fall between this,
+    /// Lower end: nine in ten results fall between this and [`Interval::most`].
     pub least: u64,
-    /// around this,
+    /// Expected figure.
     pub expected: u64,
-    /// and this. Where a prediction says that it is a bound, none is beyond it.
+    /// Upper end. In a prediction with `bound` set, no result exceeds it.
     pub most: u64,
 }
 
 impl Interval {
-    /// A figure that is known.
+    /// An interval of one exactly known figure.
     pub fn exactly(figure: u64) -> Self {
         Self { least: figure, expected: figure, most: figure }
     }
 
-    /// Whether a figure falls into it.
+    /// Whether a figure falls into the interval.
     pub fn holds(&self, figure: u64) -> bool {
         (self.least..=self.most).contains(&figure)
     }
 }
 
-/// What a query will touch.
+/// What a query is predicted to touch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Prediction {
     /// Shards in which entries are read.
     pub shards: Interval,
-    /// Entries read there.
+    /// Entries read in those shards.
     pub entries: Interval,
-    /// Their bytes.
+    /// Bytes of those entries.
     pub bytes: Interval,
-    /// Bytes between senders, and datagrams.
+    /// Bytes sent between senders.
     pub wire_bytes: Interval,
-    /// Datagrams between senders.
+    /// Datagrams sent between senders.
     pub datagrams: Interval,
-    /// Rows of the answer, before its limit.
+    /// Rows of the answer, before its limit is applied.
     pub rows: Interval,
     /// Microseconds until the answer: median and 99th percentile.
     pub time: (Micros, Micros),
-    /// Whether `most` is a bound: each summary is there and as new as what it covers.
+    /// Whether `most` is a hard bound: every summary is present and as new as its catalogue.
     pub bound: bool,
-    /// What the bounds suffer from.
+    /// Why the prediction is uncertain.
     pub doubts: Vec<Doubt>,
 }
 
-/// Why a prediction is less sure than it could be. Each widens the interval.
+/// A reason for uncertainty in a prediction. Each one widens the intervals.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "why")]
 pub enum Doubt {
-    /// Nothing is known of an owner's shards.
+    /// No summary of some or all of an owner's shards is held.
     Missing {
-        /// Whose.
+        /// The owner.
         owner: u16,
     },
-    /// What is known of them is old.
+    /// The owner's catalogue is stale.
     Old {
-        /// Whose.
+        /// The owner.
         owner: u16,
-        /// Since when nothing newer came, microseconds.
+        /// Age of the newest catalogue, microseconds.
         age: Micros,
     },
-    /// Their owner is held for dead, or a life of it is over.
+    /// The owner is considered dead, or an earlier incarnation of it has ended.
     Gone {
-        /// Whose.
+        /// The owner.
         owner: u16,
     },
-    /// The filter of a shard is so full that it says yes to nearly anything.
+    /// A shard's filter is so full that it matches nearly any key.
     Full {
-        /// Whose.
+        /// The owner.
         owner: u16,
     },
-    /// Of late fewer than 88 in 100 came out as said; the intervals are wider by this many percent.
+    /// Fewer than 88 of the last 100 outcomes fell into their intervals; the intervals are widened by this
+    /// percentage.
     Missed {
         /// Percent.
         wider: u32,
     },
 }
 
-/// What is to be done with a query, and why.
+/// The decision on a query, with its reason.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "do")]
 pub enum Decision {
-    /// As it is.
+    /// Run it unchanged.
     Run,
-    /// With less; what was left out is told.
+    /// Run it on a shorter time range; the answer says what was left out.
     Narrowed {
-        /// Messages taken on before then are left out, Unix microseconds.
+        /// Messages accepted before this time are left out, Unix microseconds.
         from: Micros,
-        /// Why.
+        /// Why it was narrowed.
         reason: Reason,
     },
-    /// Not now.
+    /// Retry it later.
     Later {
-        /// When it may, microseconds from now.
+        /// When it may run, microseconds from now.
         after: Micros,
-        /// Why.
+        /// Why it has to wait.
         reason: Reason,
     },
-    /// Not at all, as it is asked.
+    /// Refuse it in this form.
     Refused {
-        /// Why.
+        /// Why it was refused.
         reason: Reason,
     },
 }
 
-/// Why a query does not run as it is.
+/// Why a query does not run unchanged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
     /// It may touch more shards than the tenant's plan allows for one query.
     Shards,
-    /// It may read more bytes than that.
+    /// It may read more bytes than the plan allows for one query.
     Bytes,
     /// The tenant's queries of this minute are used up.
     Queries,
-    /// The tenant's bytes of this minute are used up, or lent to other senders.
+    /// The tenant's bytes of this minute are used up, or leased to other senders.
     Budget,
-    /// Its answer can't be there before its deadline.
+    /// Its answer can't be ready before its deadline.
     Time,
 }
--- a/src/estimate/predict.rs
+++ b/src/estimate/predict.rs
@@ -1,10 +1,10 @@
-//! What a query will touch, told from summaries alone.
-//!
-//! A shard is *touched* if an entry is read there: by ids one that has such an id and is the tenant's, else any of the
-//! query's range of time, up to the row at which a log's part of the answer is full. Left out are only shards whose
-//! summary shows that there is none, and so no row. On a settled tier (each catalogue and summary is there, no owner is in doubt, and
-//! nothing that is asked for may be newer than they are) `most` is a bound; otherwise it is the upper end of nine in
-//! ten. What may have been written since is added at the rate at which the owner's newest spans grew.
+//! Predicts what a query will touch, from summaries alone.
+//! A shard is *touched* if an entry is read in it: for a query by ids, one that has such an id and belongs to
+//! the tenant; otherwise any entry in the query's time range, up to the row at which a log's part of the
+//! answer is full. A shard is excluded only if its summary shows that it has no such entry, and so no row. On
+//! a settled tier (every catalogue and summary is present, no owner is in doubt, and the query covers no time
+//! after the catalogues) `most` is a hard bound; otherwise it is the upper end of a 90 % interval. What may
+//! have been written since is added at the rate at which the owner's newest spans grew.
 
 use super::learned::{Basis, Calibration, FIGURES, Figure, Shape};
 use super::summary_cache::{CachedCatalogue, SummaryCache};
@@ -14,33 +14,33 @@
 use crate::membership::{MembershipView, Rank, State};
 use crate::status::Query;
 
-/// From that age on a catalogue counts for old.
+/// Age from which a catalogue counts as stale.
 pub const STALE_AFTER: Micros = 30_000_000;
-/// A member that is there for less than that counts for starting.
+/// A member that has been alive for less than this counts as starting.
 pub const STARTING: Micros = 10_000_000;
-/// Added to the tail of a query that hits a sender which is suspected or cut off.
+/// Added to the 99th percentile of a query that reads at a sender which is suspected or isolated.
 pub const SUSPECT_TAIL: Micros = 250_000;
-/// The same for one that starts.
+/// The same for a sender that is starting.
 pub const STARTING_TAIL: Micros = 100_000;
-/// Doubts that are told at most.
+/// Maximum doubts listed in a prediction.
 pub const MAX_DOUBTS: usize = 64;
-/// A question to one sender, and its part of the answer beside rows: bytes.
+/// Bytes of a sub-query to one sender and of its partial result, without ids and rows.
 const CALL: u64 = 128;
-/// Datagram bytes beside a segment's.
+/// Bytes of a datagram beside its segment.
 const AROUND: u64 = 256 - SEGMENT as u64;
-/// Until a link is known, microseconds.
+/// Round trip assumed until a link has been measured, microseconds.
 pub const DEFAULT_ROUND_TRIP: f64 = 2_000.0;
-/// Reading one entry, microseconds, until more is learned.
+/// Time for reading one entry, microseconds, until calibration has enough samples.
 const READ: f64 = 0.5;
-/// How much further intervals go for each owner in doubt, as part of all owners.
+/// Widening of the intervals per owner in doubt, as a fraction of all owners.
 const DOUBT: f64 = 2.0;
 
-/// A prediction, and what it was made from.
+/// A prediction, and the values it was calculated from.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Estimate {
-    /// As it is told.
+    /// The prediction as reported.
     pub prediction: Prediction,
-    /// To be given back with what was touched.
+    /// To be passed to [`Calibration::learn`] with what was touched.
     pub basis: Basis,
 }
 
@@ -55,13 +55,13 @@
     most_bytes: u64,
     rows: f64,
     most_rows: u64,
-    /// Shards that are known to be there without a summary, and may be touched.
+    /// Shards that are listed without a summary, and may be touched.
     blind: u64,
-    /// What each other sender is asked for: shards, and rows that it gives.
+    /// For each other sender: expected and most shards, and rows that it returns.
     asked: Vec<(Rank, f64, u64, f64)>,
     doubts: Vec<Doubt>,
     unsure: bool,
-    /// Owners in doubt, of so many.
+    /// Owners in doubt; `owners` is the number of all.
     doubtful: f64,
     owners: f64,
 }
@@ -78,7 +78,8 @@
     }
 }
 
-/// What a query will touch. `own` is read without a datagram; `now` is the clock by which `known` was told of things.
+/// Predicts what a query will touch. `own` is read without a datagram; `now` is on the clock by which `known`
+/// measured the ages of catalogues.
 pub fn predict(
     query: &Query,
     known: &SummaryCache,
@@ -90,7 +91,7 @@
     let mut sum = Sum::default();
     let members = facts.map_or(0, |facts| facts.members.len());
     for owner in (0..members).map(|rank| rank as Rank).filter(|owner| known.current(*owner).is_none()) {
-        // One that was never heard of may be cut off and hold much.
+        // An owner that was never heard of may be partitioned off and hold many entries.
         let gone = known.all().any(|held| held.catalogue.log.owner == owner);
         let doubt = if gone { Doubt::Gone { owner } } else { Doubt::Missing { owner } };
         sum.owners += 1.0;
@@ -102,7 +103,7 @@
     let typical =
         if sum.shards > 0.0 { (sum.entries / sum.shards, sum.bytes / sum.shards) } else { (0.0, 0.0) };
     if sum.blind > 0 {
-        // A shard without a summary is like the others, if it has anything of the tenant's.
+        // A shard without a summary is assumed to be like the others, if it has any entries of the tenant.
         let blind = sum.blind as f64 * if sum.shards > 0.0 { 0.9 } else { 0.5 };
         let share = if sum.entries > 0.0 { sum.rows / sum.entries } else { 1.0 };
         sum.rows += blind * typical.0 * share;
@@ -115,7 +116,7 @@
     told(query, sum, (facts, now), learned, own)
 }
 
-/// One log's shards.
+/// Adds the shards of one log.
 fn log(query: &Query, held: &CachedCatalogue, facts: Option<&MembershipView>, now: Micros, sum: &mut Sum) {
     let catalogue = &held.catalogue;
     let owner = catalogue.log.owner;
@@ -136,7 +137,7 @@
             lacking += 1;
             continue;
         };
-        // An older one than the catalogue's may lack entries.
+        // A summary older than the catalogue may lack entries.
         sum.unsure |= !new;
         let Some(part) = summary.part(query) else { continue };
         full |= !query.ids.is_empty() && summary.ids.full();
@@ -172,7 +173,7 @@
     if own.most == 0 && own.shards == 0.0 {
         return;
     }
-    // Reading a log ends with the first row that is too many.
+    // Reading a log ends at the first row beyond the limit.
     let limit = f64::from(query.limit) + 1.0;
     let through = if query.ids.is_empty() { (limit / wanted.0.max(limit)).min(1.0) } else { 1.0 };
     if wanted.1 > u64::from(query.limit) && query.ids.is_empty() {
@@ -191,7 +192,7 @@
     sum.asked.push((owner, own.shards, own.most, own.rows * through));
 }
 
-/// What may have been written since the catalogue was made; whether anything may have.
+/// Adds what may have been written since the catalogue was made. Returns whether anything may have been.
 fn since(query: &Query, held: &CachedCatalogue, age: Micros, own: &mut Sum, wanted: &mut f64) -> bool {
     let catalogue = &held.catalogue;
     if query.to <= catalogue.as_of.saturating_sub(catalogue.slack) {
@@ -200,7 +201,7 @@
     let until = query.to.min(catalogue.as_of.saturating_add(age));
     let from = query.from.max(catalogue.as_of);
     let window = until.saturating_sub(from);
-    // The newest two spans tell the rate of now: one alone may have just begun.
+    // The newest two spans give the current rate: a single one may have just begun.
     let mut rate = (0.0, 0.0, 0.0, 0.0, Micros::MAX);
     for (span, (summary, _)) in held.summaries.iter().rev().take(2) {
         let open = Query { from: 0, to: Micros::MAX, after: None, ..query.clone() };
@@ -213,7 +214,7 @@
         rate.4 = rate.4.min(begun);
     }
     let seen = catalogue.as_of.saturating_sub(rate.4);
-    // Ids that are asked for were given before.
+    // The ids that are asked for were assigned before.
     if window == 0 || seen == 0 || rate.0 == 0.0 || !query.ids.is_empty() {
         return true;
     }
@@ -232,7 +233,7 @@
     true
 }
 
-/// Everything together, as it is told.
+/// Calibrates the sums and makes them a prediction.
 fn told(
     query: &Query,
     mut sum: Sum,
@@ -253,7 +254,7 @@
         let chance = shards.min(1.0);
         let body = (ids + CALL) as f64 + rows.min(limit) * row;
         let packets = (body / SEGMENT as f64).ceil() + 1.0;
-        // What is sent is acknowledged, by half as many.
+        // Each datagram is acknowledged; acknowledgements add half as many.
         datagrams.0 += chance * packets * 1.5;
         wire.0 += chance * (body + packets * 1.5 * AROUND as f64);
         let least = ids + CALL + (sum.most_bytes / sum.most.max(1)).saturating_mul(*most);
@@ -286,7 +287,8 @@
         let mut told = learned.interval(shape, figure, raw, expected, doubt);
         let repeats = matches!(figure, Figure::WireBytes | Figure::Datagrams) && most > 0;
         if bound && !repeats {
-            // Nothing is beyond it. Datagrams that get lost are sent again: where there are any, nothing bounds them.
+            // A hard bound. It can't hold for datagrams and their bytes: lost ones are sent again without a
+            // limit.
             told.most = most;
             told.expected = told.expected.min(most);
             told.least = told.least.min(told.expected);
@@ -303,7 +305,7 @@
     Estimate { prediction, basis: Basis { shape, raw, predicted: told, raw_time: time } }
 }
 
-/// What hitting a sender adds to the tail.
+/// Surcharge on the 99th percentile for reading at a sender.
 pub(super) fn priced(rank: Rank, facts: Option<&MembershipView>, now: Micros) -> Micros {
     let Some(facts) = facts else { return 0 };
     let Some(fact) = facts.members.get(usize::from(rank)) else { return SUSPECT_TAIL };
--- a/src/estimate/sending.rs
+++ b/src/estimate/sending.rs
@@ -1,9 +1,9 @@
-//! What a planned run of messages will take: calls, attempts, bytes, connections and time, from what the module knows of
-//! each destination (told limits, what all senders told of them, own pace, backlog, breaker), and whether it fits into
-//! the tenant's share.
-//!
-//! A run goes in at one sender and as fast as it is taken. Where a limit is told, this sender has all of it at best and
-//! one part of all senders' at worst; where none is, its pace, or its slots over the time of an answer.
+//! Estimates what a planned run of messages will take: calls, attempts, bytes, connections and time, and
+//! whether it fits into the tenant's share. It uses what the decision module knows of each destination:
+//! advertised limits, what all senders have reported of them, this sender's pace, backlog and breaker.
+//! A run is handed in at one sender and sent as fast as it is accepted. Where a limit is advertised, this
+//! sender has all of it at best and an equal part of it among all senders at worst; where none is, its pace
+//! counts, or its slots divided by the answer time.
 
 use std::collections::BTreeMap;
 
@@ -14,38 +14,38 @@
 use crate::coded_error;
 use crate::interface::{DestinationId, DestinationSummary, Micros, RouteSummary, Settings};
 
-/// Destinations that one run names at most.
+/// Maximum destinations of one run.
 pub const MAX_DESTINATIONS: usize = 1_024;
-/// Classes whose runs are learned from at most.
+/// Maximum classes whose runs are learned from.
 const MAX_CLASSES: usize = 64;
-/// Bytes of a call's head and its answer, about.
+/// Approximate bytes of a call's head and its answer.
 const CALL: u64 = 320;
-/// Bytes of a message in a batch beside its body, about; the body goes in base64, four for three.
+/// Approximate bytes of a message in a batch beside its body; the body is base64, four bytes for three.
 const IN_BATCH: u64 = 64;
-/// Part of a told limit that all senders together plan to use.
+/// Part of an advertised limit that all senders together plan to use.
 const MARGIN: f64 = 0.95;
-/// Time of an answer until one was seen, microseconds.
+/// Answer time assumed until one has been measured, microseconds.
 const TOOK: f64 = 100_000.0;
-/// Part of a batch that is filled where messages wait, until more is learned.
+/// Part of a batch that is filled where messages wait, until calibration has enough samples.
 const FILLED: f64 = 0.7;
 
 /// A planned run.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Run {
-    /// Of which class, by name.
+    /// The class, by name.
     pub class: String,
-    /// Whose, by name; empty for none.
+    /// The tenant, by name; empty for none.
     #[serde(default)]
     pub tenant: String,
-    /// Where to, evenly.
+    /// The destinations, among which the messages are spread evenly.
     pub destinations: Vec<u32>,
-    /// How many messages.
+    /// Number of messages.
     pub messages: u64,
     /// Bytes of a body.
     #[serde(default)]
     pub body_bytes: u64,
-    /// In which time they are handed in, milliseconds; at once if it is left out.
+    /// The time over which they are handed in, milliseconds; 0 for all at once.
     #[serde(default)]
     pub over_ms: u64,
 }
@@ -53,16 +53,16 @@
 /// Why a run can't be estimated.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RunError {
-    /// The class is not one of the settings'.
+    /// The class is not in the settings.
     #[error("there is no class {0}")]
     Class(String),
-    /// The tenant is not one of the settings'.
+    /// The tenant is not in the settings.
     #[error("there is no tenant {0}")]
     Tenant(String),
-    /// No destination, or too many.
-    #[error("{0} destinations")]
+    /// There is no destination, or too many.
+    #[error("run names {0} destinations; 1 to 1024 are allowed")]
     Destinations(usize),
-    /// A destination without endpoints.
+    /// A destination has no endpoints.
     #[error("destination {0} has no endpoint in the list")]
     Nowhere(u32),
 }
@@ -71,50 +71,50 @@
     Class => "estimate.class", "name one of settings.classes";
     Tenant => "estimate.tenant", "name one of settings.realms";
     Destinations => "estimate.destinations", "name between 1 and 1024 destinations, or split the run";
-    Nowhere => "estimate.nowhere", "see GET /control/endpoints; wait until discovery lists one, or leave it out";
+    Nowhere => "estimate.nowhere", "see GET /control/endpoints; wait until discovery lists one, or omit it";
 } }
 
-/// Whether a run fits into its tenant's share, as this sender judges it.
+/// Whether a run fits into its tenant's share, as far as this sender can tell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "share")]
 pub enum Fits {
-    /// At once.
+    /// It fits now.
     Now,
-    /// Once what was handed in of late has faded.
+    /// It fits once the rate of recent messages has decayed.
     After {
         /// Microseconds from now.
         after: Micros,
     },
-    /// Only if it is handed in more slowly.
+    /// It fits only if it is handed in more slowly.
     Over {
-        /// In that time, milliseconds.
+        /// Over this time, milliseconds.
         over_ms: u64,
     },
 }
 
-/// What a run will take.
+/// What a run is predicted to take.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Planned {
     /// Endpoints that may be called.
     pub endpoints: u64,
-    /// Calls, a batch being one.
+    /// Calls; a batch is one call.
     pub calls: Interval,
     /// Attempts, one for each message of a call.
     pub attempts: Interval,
-    /// Bytes on the wire, both ways.
+    /// Bytes on the wire, in both directions.
     pub wire_bytes: Interval,
-    /// Connections in use at a time.
+    /// Connections in use at the same time.
     pub connections: Interval,
-    /// Microseconds until all are delivered.
+    /// Microseconds until all messages are delivered.
     pub time: Interval,
-    /// Whether all are there within the class's deadline.
+    /// Whether all are delivered within the class's deadline.
     pub in_time: bool,
-    /// Destinations at which nothing goes now, and for how long yet, microseconds.
+    /// Destinations that accept nothing now, and for how much longer, microseconds.
     pub shut: BTreeMap<u32, Micros>,
     /// Whether it fits into the tenant's share.
     #[serde(flatten)]
     pub fits: Fits,
-    /// What the intervals suffer from.
+    /// Why the intervals are uncertain.
     pub doubts: Vec<Doubt>,
 }
 
@@ -125,12 +125,13 @@
     pub figures: [u64; 4],
 }
 
-/// What runs of each class really took, over what was said.
+/// Calibration of runs by class: what they really took in relation to the prediction.
 #[derive(Debug, Default)]
 pub struct Runs(BTreeMap<String, [Track; 4]>);
 
 impl Runs {
-    /// A run has ended. `raw` is what [`plan`] gave with it, `told` its intervals in the same order.
+    /// Learns from a run that has ended. `raw` is what [`plan`] returned with `told`, in the order of its
+    /// intervals.
     pub fn learn(&mut self, class: &str, raw: [f64; 4], told: &Planned, took: RunTimes) {
         if !self.0.contains_key(class) && self.0.len() >= MAX_CLASSES {
             return;
@@ -143,7 +144,7 @@
     }
 }
 
-/// Calls a second that a route takes from this sender: at worst, about, at best.
+/// Calls per second that a route accepts from this sender: worst case, expected, best case.
 fn rates(route: &RouteSummary, settings: &Settings) -> [f64; 3] {
     let took = route.answer_time.map_or(TOOK, |(mean, _)| mean.max(1.0));
     let slots = (settings.slots * 3 / 4).max(1) as f64 * 1e6 / took;
@@ -151,7 +152,7 @@
     let mut rates = match route.limit {
         limit if limit > 0.0 => {
             let all = limit * MARGIN;
-            // The others use some of it; how much is not known here.
+            // The other senders use an unknown part of the limit.
             [all / senders, all / senders.sqrt(), all]
         }
         _ => [slots / 4.0, slots / 2.0, slots],
@@ -168,7 +169,7 @@
     rates.map(|rate| rate.max(0.01))
 }
 
-/// Seconds and counts of one destination.
+/// Prediction for one destination: worst case, expected, best case.
 struct Leg {
     calls: [f64; 3],
     time: [f64; 3],
@@ -190,7 +191,7 @@
     let calls = [messages, messages / filled, (messages / bundle).ceil()];
     let waiting = outlook.backlog as f64;
     let wait = shut as f64 / 1e6;
-    // An open breaker's trial may fail again, and then waits twice as long.
+    // The trial of an open breaker may fail again, and the breaker then stays open twice as long.
     let worst = if shut > 0 { 3.0 * wait + 1.0 } else { 0.0 };
     let time = [
         worst + (waiting + calls[0]) / rate[0] + deviations(5.0),
@@ -202,8 +203,9 @@
     Leg { calls, time, connections, shut }
 }
 
-/// What a run will take, and what that was made from, for [`Runs::learn`]. `class` and `tenant` are its places in the
-/// settings; `outlook` tells of a destination; `now` is the module's clock.
+/// Predicts what a run will take. Returns the raw values too, for [`Runs::learn`]. `class` and `tenant` are
+/// its indexes in the settings; `outlook` gives the summary of a destination; `now` is the decision module's
+/// clock.
 ///
 /// # Errors
 /// Says what is wrong with the run.
@@ -287,13 +289,13 @@
     Ok((planned, raw))
 }
 
-/// A tenant's share, as a sender judges it, is exceeded when what came here of late, as often as there are senders, is
-/// more than its quota; what came fades over an aim.
+/// Compares a run with its tenant's share. A sender considers a share exceeded when the recent rate at this
+/// sender times the number of senders is above the quota; the rate decays over an aim.
 fn fits(run: &Run, quota: Option<f64>, rate: f64, aim: Micros, senders: usize) -> Fits {
     let Some(quota) = quota else { return Fits::Now };
     let part = quota / senders.max(1) as f64;
     let aim = aim.max(1) as f64 / 1e6;
-    // What is handed in at once counts as so many in an aim.
+    // A run handed in at once counts as spread over one aim.
     let own = run.messages as f64 / (run.over_ms as f64 / 1e3).max(aim);
     if own > part {
         return Fits::Over { over_ms: (run.messages as f64 / part.max(1e-9) * 1e3).ceil() as u64 };
--- a/src/estimate/summary.rs
+++ b/src/estimate/summary.rs
@@ -1,7 +1,8 @@
-//! What a shard's owner says of it: enough to leave the shard out of a query safely, and to guess what is read in it.
-//!
-//! Names are kept as CRC-32: two names of one checksum count together, which makes a bound larger and never false. Ids
-//! and destinations are kept in Bloom filters (Bloom, 1970): what was put in is always found, other things sometimes.
+//! Summary that an owner publishes of a shard: enough to exclude the shard from a query safely, and to
+//! estimate what is read in it.
+//! Names are stored as CRC-32: two names with the same checksum are counted together, which can only raise a
+//! bound. Ids and destinations are stored in Bloom filters (Bloom, 1970): an inserted key is always found,
+//! another key sometimes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,47 +13,47 @@
 use crate::interface::Micros;
 use crate::status::{Entry, LogId, Query, State};
 
-/// Tenants and classes that one summary tells apart, in pairs; the smallest ones beyond it count together.
+/// Maximum pairs of tenant and class that one summary lists; the smallest beyond it are counted together.
 pub const MAX_CELLS: usize = 64;
-/// Bits of the filter for ids at most.
+/// Maximum bits of the filter for ids.
 pub const ID_BITS: usize = 16_384;
-/// Bits of the filter for destinations at most.
+/// Maximum bits of the filter for destinations.
 pub const DESTINATION_BITS: usize = 1_024;
-/// Bits for each key, where there is room: one in a hundred other keys is found then.
+/// Bits per key below those limits: the false positive rate is then one in a hundred.
 const BITS_A_KEY: usize = 10;
-/// A filter that finds this part of all other keys is full.
+/// False positive rate above which a filter counts as full.
 const FULL: f64 = 0.5;
 /// Bytes of an entry beside its names.
 const ENTRY: u64 = 48;
 
-/// A name as summaries have it.
+/// Checksum by which summaries refer to a name.
 pub fn name(text: &str) -> u32 {
     crc32fast::hash(text.as_bytes())
 }
 
-/// Bytes that reading an entry counts for. It never changes over an entry's life.
+/// Bytes that reading an entry counts for. This never changes during an entry's lifetime.
 pub fn weight(entry: &Entry) -> u64 {
     ENTRY + (entry.id.len() + entry.class.len() + entry.tenant.len()) as u64
 }
 
-/// How new a summary or a catalogue is: by the log's position, then by how often its owner's process made one.
+/// Version of a summary or a catalogue: position in the log, then the number of the owner's rebuild.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Version {
-    /// All changes up to this number are in it.
+    /// All changes up to this number are included.
     pub upto: u64,
-    /// Entries that go at the index's bounds are no changes.
+    /// Number of the rebuild: entries evicted at the index's limits are not changes of the log.
     pub made: u64,
 }
 
-/// A Bloom filter as it goes over the wire.
+/// Wire format of a Bloom filter.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Bits {
     bytes: Vec<u8>,
     hashes: u32,
 }
 
-/// A destination as filters have it. One whose number takes two bytes hashes as such a number, as it did in versions
-/// that had no others: filters of senders of both are read by each other.
+/// A destination as a filter key. A number that fits into two bytes is hashed as `u16`, as in versions that
+/// had no larger ones, so that senders of both versions can read each other's filters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct DestinationKey(u32);
 
@@ -65,9 +66,9 @@
     }
 }
 
-/// What can't be a filter.
+/// A filter that can't be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("a filter of {bytes} bytes and {hashes} hashes is none; that sender runs another program")]
+#[error("invalid filter of {bytes} bytes and {hashes} hashes; its sender runs another version")]
 pub struct FilterError {
     bytes: usize,
     hashes: u32,
@@ -85,7 +86,7 @@
     }
 }
 
-/// A set that forgets nothing and may find what was not put in.
+/// A set without removal that may report keys which were not inserted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "Bits", into = "Bits")]
 pub struct Filter(BloomFilter);
@@ -114,7 +115,7 @@
 impl Filter {
     fn of<K: std::hash::Hash>(keys: &BTreeSet<K>, most: usize) -> Self {
         let bits = (keys.len() * BITS_A_KEY).clamp(64, most).next_multiple_of(64);
-        // The best number of hashes is bits a key times ln 2.
+        // The optimal number of hashes is bits per key times ln 2.
         let hashes = (bits as f64 / keys.len().max(1) as f64 * std::f64::consts::LN_2) as u32;
         let mut filter = BloomFilter::with_num_bits(bits).seed(&0).hashes(hashes.clamp(1, 7));
         for key in keys {
@@ -127,30 +128,30 @@
         self.0.contains(key)
     }
 
-    /// Part of all keys that were not put in which it finds.
+    /// False positive rate: the part of keys not inserted that it finds.
     pub fn false_rate(&self) -> f64 {
         let set: u32 = self.0.as_slice().iter().map(|word| word.count_ones()).sum();
         (f64::from(set) / self.0.num_bits().max(1) as f64).powi(self.0.num_hashes() as i32)
     }
 
-    /// Whether it says yes to so much that it is of little use.
+    /// Whether it matches so many keys that it is of little use.
     pub fn full(&self) -> bool {
         self.false_rate() > FULL
     }
 }
 
-/// Entries of one tenant and class.
+/// Counts for one tenant and class.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cell {
-    /// Whose, by [`name`].
+    /// The tenant, by [`name`].
     pub tenant: u32,
-    /// Of which class, by [`name`].
+    /// The class, by [`name`].
     pub class: u32,
-    /// How many.
+    /// Number of entries.
     pub entries: u64,
-    /// Their bytes.
+    /// Bytes of the entries.
     pub bytes: u64,
-    /// How many are told as each of [`State::ALL`].
+    /// Number of entries reported in each of [`State::ALL`].
     pub told: [u64; State::ALL.len()],
 }
 
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Part of its entries that is told as one of these; all of them if none is named.
+    /// Part of its entries that is reported in one of these states; all of them if `states` is empty.
     fn share(&self, states: &[State]) -> f64 {
         if states.is_empty() {
             return 1.0;
@@ -183,50 +184,50 @@
     }
 }
 
-/// One shard in brief.
+/// Summary of one shard.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// In which log.
+    /// The log.
     pub log: LogId,
-    /// Which span of it.
+    /// The span of the log.
     pub span: u32,
-    /// As of which position.
+    /// The version.
     pub version: Version,
-    /// Entries by tenant and class, [`MAX_CELLS`] at most.
+    /// Counts by tenant and class, at most [`MAX_CELLS`].
     pub cells: Vec<Cell>,
-    /// Those of all others together.
+    /// Counts of all other pairs together.
     pub rest: Option<Cell>,
     /// Bytes of the longest entry.
     pub longest: u64,
-    /// When the first and the last of its messages were taken on.
+    /// When the first and the last of its messages were accepted.
     pub times: (Micros, Micros),
     /// Its ids.
     pub ids: Filter,
-    /// Its destinations, and how many there are.
+    /// Its destinations, and their number.
     pub destinations: (Filter, u32),
 }
 
 /// What a query may find in a shard.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Part {
-    /// Entries that may be read: never more are.
+    /// Upper bound on entries read.
     pub most: u64,
-    /// Their bytes: never more are.
+    /// Upper bound on their bytes.
     pub most_bytes: u64,
-    /// Rows at most, whatever their states.
+    /// Upper bound on rows, whatever their states.
     pub most_rows: u64,
-    /// Entries that are likely read, if no limit ends it before.
+    /// Expected entries read, if no limit ends the read earlier.
     pub entries: f64,
-    /// Their bytes.
+    /// Their expected bytes.
     pub bytes: f64,
-    /// Rows among them, and how many there are whatever their states.
+    /// Expected rows, and expected rows whatever their states.
     pub rows: (f64, f64),
-    /// Surely something is read, if no limit ends it before.
+    /// Whether at least one entry is certainly read, if no limit ends the read earlier.
     pub surely: bool,
 }
 
 impl Summary {
-    /// Of all entries of one shard.
+    /// The summary of all entries of one shard.
     pub fn of<'a>(
         log: LogId,
         span: u32,
@@ -256,7 +257,7 @@
         Self { log, span, version, cells, rest, longest, times, ids: filters.0, destinations }
     }
 
-    /// Entries that may be a tenant's, and their bytes.
+    /// Upper bound on a tenant's entries, and on their bytes.
     pub fn of_tenant(&self, tenant: u32) -> (u64, u64) {
         let cells = self.cells.iter().filter(|cell| cell.tenant == tenant).chain(&self.rest);
         cells.fold((0, 0), |sum: (u64, u64), cell| {
@@ -264,10 +265,10 @@
         })
     }
 
-    /// What a query may find here; nothing if surely none of its entries is read, and so none is one that
-    /// [`Query::may_want`] admits. By ids the tenant's entries of these ids are read; otherwise all entries of the
-    /// query's range of time, whosever they are, since that is how a log is kept. States leave nothing out: they may
-    /// still change, in this log or another.
+    /// What a query may find here; `None` if certainly none of the entries is read, and so none that
+    /// [`Query::may_want`] admits. A query by ids reads the tenant's entries with these ids; any other reads
+    /// all entries in its time range, of all tenants, since a log is ordered by time. States exclude nothing:
+    /// they may still change, in this log or another.
     pub fn part(&self, query: &Query) -> Option<Part> {
         let from = query.after.as_ref().map_or(query.from, |after| query.from.max(after.0));
         if self.times.0 >= query.to || self.times.1 < from {
@@ -296,7 +297,7 @@
             .filter(|cell| cell.tenant == tenant)
             .filter(class)
             .for_each(|cell| count(cell, share));
-        // Any of those that are counted together may be the tenant's, and few are.
+        // Any of the entries counted together may be the tenant's, but few are.
         self.rest.iter().for_each(|cell| count(cell, share / MAX_CELLS as f64));
         if query.ids.is_empty() {
             (part.most, part.most_bytes) = self.all();
@@ -308,7 +309,7 @@
         self.by_id(query, share, part)
     }
 
-    /// Each id that the filter finds is one entry at most.
+    /// Each id that the filter finds is at most one entry.
     fn by_id(&self, query: &Query, share: f64, mut part: Part) -> Option<Part> {
         let asked = query.ids.len() as f64;
         let found = query.ids.iter().filter(|id| self.ids.finds(id.as_str())).count();
@@ -317,7 +318,7 @@
             return None;
         }
         let rate = self.ids.false_rate().min(0.999);
-        // Of those asked for some are there, and the others are found at the filter's rate.
+        // Some of the ids found are present; the others are false positives at the filter's rate.
         let there = ((found as f64 - asked * rate) / (1.0 - rate)).max(0.0);
         let (all, bytes) = self.all();
         let rows = part.rows.0 / (mine as f64 * share).max(1.0);
--- a/src/estimate/summary_cache.rs
+++ b/src/estimate/summary_cache.rs
@@ -1,11 +1,11 @@
-//! What a sender holds of all shards' summaries, how old it is, and how it spreads.
+//! Cache of all shards' summaries at one sender, their age, and how they spread.
+//! Each owner publishes a catalogue of its spans with the version of each span's summary. So a shard is known
+//! to exist even if its summary is not held. Catalogues and summaries spread by anti-entropy (Demers and
+//! others, 1987): each round a digest of versions goes to one sender, which sends what it has newer and
+//! requests what it lacks, within [`BUDGET`] bytes per second. The newest version wins. What an ended
+//! incarnation left is kept as doubtful until it expires.
 //!
-//! Each owner makes a catalogue: which spans it has, and how new each one's summary is. So a shard whose summary is not
-//! held is known to be there. Catalogues and summaries spread by anti-entropy (Demers and others, 1987): a digest of
-//! versions to one sender a round, which gives what it has newer and asks for what it lacks, within [`BUDGET`] bytes a
-//! second. Newest version wins; what a life that is over left is kept, with doubt, until its time is up.
-//!
-//! Ages are counted on each holder's own clock and handed on with what they belong to: no two clocks are compared.
+//! Ages are measured on each holder's own clock and passed on with the data: no two clocks are compared.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -16,43 +16,46 @@
 use crate::membership::{MembershipView, Rank, State};
 use crate::status::{LogId, ShardId};
 
-/// Bytes a second that a sender gives to summaries, those that it passes on among them.
+/// Bytes per second that a sender spends on summaries, including those that it forwards.
 pub const BUDGET: u64 = 8_192;
-/// Bytes that may go at a time after a rest.
+/// Maximum bytes that may go at once after an idle time.
 pub const BURST: u64 = 2 * BUDGET;
-/// One digest goes in so long.
+/// Time between two digests.
 pub const ROUND: Micros = 1_000_000;
-/// Owners in one digest at most; the next one goes on from there.
+/// Maximum logs in one digest; the next digest continues after them.
 pub const MAX_LINES: usize = 128;
-/// Messages that wait for the budget at most; more are dropped, and asked for again.
+/// Maximum messages that wait for the budget; more are dropped, and requested again.
 pub const MAX_QUEUED: usize = 256;
-/// Spans in one catalogue at most; older ones are [`Catalogue::older`].
+/// Maximum spans in one catalogue; older ones only set [`Catalogue::older`].
 pub const MAX_SPANS: usize = 512;
-/// Bytes of summaries that are held at most. The oldest spans go first; their catalogue stays.
+/// Maximum bytes of summaries held. The oldest spans are evicted first; their catalogue stays.
 pub const MAX_HELD: usize = 4 << 20;
-/// How long what a life that is over, or a sender that is gone, left is held.
+/// How long the data of an ended incarnation, or of a sender that is gone, is held.
 pub const OVER: Micros = 600_000_000;
-/// Summaries that are asked for in one message at most.
+/// Maximum summaries requested in one message.
 const MAX_WANTED: usize = 16;
 
-/// All shards of one log.
+/// Catalogue of all shards of one log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Catalogue {
-    /// Whose.
+    /// The log.
     pub log: LogId,
-    /// Which life of the owner's process in the view: of two lives of a folder the one of the later process holds.
+    /// Incarnation of the owner's process in the membership view. Of two generations of one folder, the one
+    /// with the later incarnation is current.
     pub incarnation: u32,
-    /// How new.
+    /// The version.
     pub version: Version,
-    /// The owner's clock, Unix microseconds: all that was taken on before then and that it owes or owed is in.
+    /// Time by the owner's clock, Unix microseconds: every message accepted before it that the owner owes or
+    /// owed is included.
     pub as_of: Micros,
-    /// How far the owner's clock was seen to step back, microseconds: so much before `as_of` it may not all be in.
+    /// How far the owner's clock has been seen to step back, microseconds: the last `slack` before `as_of`
+    /// may be incomplete.
     pub slack: Micros,
     /// Length of a span, microseconds.
     pub length: Micros,
-    /// Each span with entries, and its summary's version.
+    /// Each span with entries, and the version of its summary.
     pub spans: Vec<(u32, Version)>,
-    /// There are spans before the first of these.
+    /// Whether there are spans before the first listed one.
     pub older: bool,
 }
 
@@ -61,21 +64,21 @@
 pub struct CachedCatalogue {
     /// The catalogue.
     pub catalogue: Catalogue,
-    /// How old it was when it came, and when that was by this sender's clock.
+    /// Its age on arrival, and the time of arrival by this sender's clock.
     came: (Micros, Micros),
-    /// The summaries, by span.
+    /// The summaries and their sizes in bytes, by span.
     pub summaries: BTreeMap<u32, (Summary, usize)>,
-    /// Another life has followed, seen at that time.
+    /// When it was noticed that another incarnation has followed.
     pub over: Option<Micros>,
 }
 
 impl CachedCatalogue {
-    /// How old it is.
+    /// The age of the catalogue.
     pub fn age(&self, now: Micros) -> Micros {
         self.came.0.saturating_add(now.saturating_sub(self.came.1))
     }
 
-    /// The newest summary of a span that is held, and whether it is as new as the catalogue.
+    /// The summary that is held of a span, and whether it is as new as the catalogue says.
     pub fn summary(&self, span: u32, version: Version) -> Option<(&Summary, bool)> {
         let (summary, _) = self.summaries.get(&span)?;
         Some((summary, summary.version >= version))
@@ -91,34 +94,34 @@
 
 #[derive(Debug, Serialize, Deserialize)]
 enum GossipMessage {
-    /// What the sender has.
+    /// Versions that the sender holds.
     Digest(Vec<Line>),
-    /// Its age, and the catalogue.
+    /// The age of a catalogue, and the catalogue.
     Catalogue(Micros, Catalogue),
-    /// Catalogues are wanted.
+    /// Requests catalogues.
     Ask(Vec<LogId>),
-    /// Summaries are wanted.
+    /// Requests summaries of spans of a log.
     Want(LogId, Vec<u32>),
-    /// One of them.
+    /// A summary.
     Summary(Box<Summary>),
 }
 
 /// Counts since the process began.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Messages to other senders.
+    /// Messages sent to other senders.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of those messages.
     pub sent_bytes: u64,
-    /// Messages that did not go: too many waited.
+    /// Messages dropped because the queue or the channel was full.
     pub dropped: u64,
-    /// Messages that could not be read or meant nothing.
+    /// Messages that could not be read or were invalid.
     pub unreadable: u64,
-    /// Summaries let go at [`MAX_HELD`].
+    /// Summaries evicted at [`MAX_HELD`].
     pub let_go: u64,
 }
 
-/// What is held.
+/// See the module.
 #[derive(Debug)]
 pub struct SummaryCache {
     own: Rank,
@@ -127,17 +130,17 @@
     held: BTreeMap<LogId, CachedCatalogue>,
     bytes: usize,
     queue: VecDeque<(Rank, Vec<u8>)>,
-    /// Bytes that may go, and as of when.
+    /// Bytes that may be sent, and the time of that count.
     credit: (u64, Micros),
     next_round: Micros,
-    /// Where the next digest begins.
+    /// The last log of the previous digest; the next one continues after it.
     from: Option<LogId>,
-    /// For operators.
+    /// Counts for operators.
     pub counts: Counts,
 }
 
 impl SummaryCache {
-    /// Nothing is known yet.
+    /// An empty cache.
     pub fn new(own: Rank, size: usize, seed: u64, now: Micros) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let next_round = now.saturating_add(rng.u64(0..ROUND));
@@ -155,18 +158,18 @@
         }
     }
 
-    /// This sender's own catalogue and those summaries that have changed.
+    /// Stores this sender's own catalogue, and those summaries that have changed.
     pub fn publish(&mut self, now: Micros, catalogue: Catalogue, summaries: Vec<Summary>) {
         self.take_catalogue(now, 0, catalogue);
         summaries.into_iter().for_each(|summary| self.take_summary(summary));
     }
 
-    /// All that is held.
+    /// All catalogues that are held.
     pub fn all(&self) -> impl Iterator<Item = &CachedCatalogue> {
         self.held.values()
     }
 
-    /// The life of an owner that is not over, as far as is known.
+    /// The catalogue of an owner's current incarnation, as far as is known.
     pub fn current(&self, owner: Rank) -> Option<&CachedCatalogue> {
         self.held.values().find(|held| held.catalogue.log.owner == owner && held.over.is_none())
     }
@@ -176,7 +179,7 @@
         self.bytes
     }
 
-    /// Whether a catalogue is news; if so it is held.
+    /// Stores a catalogue if it is newer than the one held. Returns whether it was.
     fn take_catalogue(&mut self, now: Micros, age: Micros, mut catalogue: Catalogue) -> bool {
         let log = catalogue.log;
         if usize::from(log.owner) >= self.size || catalogue.length == 0 {
@@ -196,7 +199,7 @@
             Some(held) => held.over,
             None => None,
         };
-        // Lives of folders stand in no order; the view's do.
+        // Generations of folders are not ordered; incarnations in the membership view are.
         let others = || {
             self.held
                 .values()
@@ -223,7 +226,7 @@
         true
     }
 
-    /// One life that is over is kept of each owner, the last one.
+    /// Of each owner, keeps only the last ended incarnation.
     fn bound(&mut self, owner: Rank) {
         let over = self.held.iter().filter(|(log, held)| log.owner == owner && held.over.is_some());
         let mut over: Vec<(u32, LogId)> =
@@ -269,13 +272,13 @@
         }
     }
 
-    /// Another sender has said something.
+    /// Handles a message of another sender.
     pub fn receive(&mut self, now: Micros, from: Rank, bytes: &[u8]) {
         match postcard::from_bytes(bytes) {
             Ok(GossipMessage::Digest(lines)) => self.compare(now, from, &lines),
             Ok(GossipMessage::Catalogue(age, catalogue)) => {
                 let log = catalogue.log;
-                // What this sender says of itself it knows best.
+                // No other sender knows this sender's own log better.
                 if log.owner != self.own && self.take_catalogue(now, age, catalogue) {
                     self.want(from, log);
                 }
@@ -296,7 +299,7 @@
             Ok(GossipMessage::Summary(summary)) if summary.log.owner != self.own => {
                 let log = summary.log;
                 self.take_summary(*summary);
-                // Those that did not fit into what was asked for before.
+                // Requests those that did not fit into the request before.
                 if self.queue.len() < MAX_QUEUED / 2 && self.asked_all(log) {
                     self.want(from, log);
                 }
@@ -309,14 +312,14 @@
     fn lacking<'a>(&'a self, log: LogId) -> impl Iterator<Item = u32> + 'a {
         let held = self.held.get(&log).into_iter();
         held.flat_map(|held| {
-            // The newest first: they are asked for most.
+            // The newest first: they are queried most.
             let spans = held.catalogue.spans.iter().rev();
             spans.filter(|(span, version)| !held.summary(*span, *version).is_some_and(|(_, new)| new))
         })
         .map(|(span, _)| *span)
     }
 
-    /// Whether a batch of what was wanted is through.
+    /// Whether all summaries of one request have arrived.
     fn asked_all(&self, log: LogId) -> bool {
         let lacking = self.lacking(log).count();
         lacking > 0 && lacking.is_multiple_of(MAX_WANTED)
@@ -353,13 +356,13 @@
         }
     }
 
-    /// When it wants to be called next.
+    /// When [`SummaryCache::tick`] is due next.
     pub fn due(&self) -> Micros {
-        // What waits for the budget goes in steps of a fifth of a second.
+        // The queue is sent in steps of a fifth of a second.
         if self.queue.is_empty() { self.next_round } else { self.next_round.min(self.credit.1 + ROUND / 5) }
     }
 
-    /// A round, if it is time, and what the budget lets go; each to one sender. Ends what is over for long.
+    /// Runs a round if it is due, expires old data, and sends the part of the queue that the budget allows.
     pub fn tick(
         &mut self,
         now: Micros,
@@ -387,7 +390,7 @@
         }
         while let Some((to, bytes)) = self.queue.front() {
             let cost = bytes.len() as u64;
-            // A message longer than a whole burst would wait for good: it goes when there is the most.
+            // A message longer than a whole burst would wait for ever, so it goes when the credit is full.
             if self.credit.0 < cost.min(BURST) {
                 break;
             }
@@ -426,7 +429,7 @@
         self.say(to, &GossipMessage::Digest(lines));
     }
 
-    /// Whether a shard is known to be there without a summary of it.
+    /// Whether a shard is known to exist while its summary is not held.
     pub fn lacks_summary(&self, shard: ShardId) -> bool {
         let held = self.held.values().filter(|held| held.catalogue.log.owner == shard.owner);
         held.flat_map(|held| held.catalogue.spans.iter().map(move |(span, _)| (held, *span)))
