--- a/src/estimate/budget_lease.rs
+++ b/src/estimate/budget_lease.rs
@@ -65,14 +65,14 @@
         }
     }
 
-    fn less(self, other: Self) -> Self {
+    fn minus(self, other: Self) -> Self {
         Self {
             queries: self.queries.saturating_sub(other.queries),
             bytes: self.bytes.saturating_sub(other.bytes),
         }
     }
 
-    fn least(self, other: Self) -> Self {
+    fn min(self, other: Self) -> Self {
         Self { queries: self.queries.min(other.queries), bytes: self.bytes.min(other.bytes) }
     }
 
@@ -179,7 +179,7 @@
 #[derive(Debug, Default)]
 struct Ledger {
     loans: VecDeque<Loan>,
-    lent: Cost,
+    granted: Cost,
 }
 
 /// One sender's part in all budgets, as borrower and as lender.
@@ -199,11 +199,11 @@
 }
 
 /// Members that may lend: this one, and those that are alive or suspected.
-fn living(facts: &MembershipView) -> Vec<Rank> {
+fn living(view: &MembershipView) -> Vec<Rank> {
     let there = |(rank, fact): &(usize, &MemberView)| {
-        *rank == usize::from(facts.own) || matches!(fact.state, State::Alive | State::Suspect)
+        *rank == usize::from(view.own) || matches!(fact.state, State::Alive | State::Suspect)
     };
-    facts.members.iter().enumerate().filter(there).map(|(rank, _)| rank as Rank).collect()
+    view.members.iter().enumerate().filter(there).map(|(rank, _)| rank as Rank).collect()
 }
 
 /// The member that lends a tenant's budget; `None` if `living` is empty.
@@ -234,8 +234,8 @@
     }
 
     /// Records a change of the set of living members.
-    fn look(&mut self, now: Micros, facts: &MembershipView) {
-        let living = living(facts);
+    fn update_living(&mut self, now: Micros, view: &MembershipView) {
+        let living = living(view);
         if living != self.living {
             self.before.push_back((now, std::mem::replace(&mut self.living, living)));
         }
@@ -273,7 +273,7 @@
     pub fn reserve(
         &mut self,
         now: Micros,
-        facts: &MembershipView,
+        view: &MembershipView,
         tenant: &str,
         plan: &Plan,
         cost: Cost,
@@ -285,7 +285,7 @@
         }
         if !lasts.covers(cost) {
             // A lease that expires soon is replaced before queries have to wait for it.
-            let asked = self.borrow(now, facts, tenant, plan, cost.less(lasts));
+            let asked = self.borrow(now, view, tenant, plan, cost.minus(lasts));
             if !self.remaining(now, tenant).covers(cost) {
                 let reason = if left.queries < cost.queries { Reason::Queries } else { Reason::Budget };
                 return Err(Insufficient { after: asked, reason });
@@ -299,7 +299,7 @@
     fn borrow(
         &mut self,
         now: Micros,
-        facts: &MembershipView,
+        view: &MembershipView,
         tenant: &str,
         plan: &Plan,
         need: Cost,
@@ -308,7 +308,7 @@
         if tenant.len() > MAX_NAME_LEN || (!known && self.accounts.len() >= MAX_TENANTS) {
             return LEASE_TIME;
         }
-        self.look(now, facts);
+        self.update_living(now, view);
         let Some(to) = lender(tenant, &self.living) else { return REQUEST_INTERVAL };
         let account = self.accounts.entry(tenant.to_owned()).or_default();
         account.touched = now;
@@ -327,8 +327,8 @@
         let wanted = need.plus(account.used).plus(Cost::of_plan(plan).part(1, 100));
         account.used = Cost::default();
         if to == self.own {
-            let (cost, after) = self.lend(now, facts, to, tenant, serial, (need, wanted), plan);
-            self.lent(now, tenant, serial, cost, after);
+            let (cost, after) = self.grant(now, view, to, tenant, serial, (need, wanted), plan);
+            self.accept_grant(now, tenant, serial, cost, after);
         } else {
             let tenant = tenant.to_owned();
             self.out.push((to, BudgetMessage::Request { tenant, serial, cost: need, wanted }));
@@ -368,9 +368,9 @@
         account.leases.sort_by_key(|lease| lease.until);
         let mut rest = cost;
         for lease in account.leases.iter_mut().filter(|lease| now < lease.until) {
-            let taken = lease.left.least(rest);
+            let taken = lease.left.min(rest);
             if taken != Cost::default() {
-                (lease.left, rest) = (lease.left.less(taken), rest.less(taken));
+                (lease.left, rest) = (lease.left.minus(taken), rest.minus(taken));
                 charge.taken.push((lease.serial, taken));
             }
         }
@@ -382,18 +382,18 @@
     pub fn settle(&mut self, now: Micros, charge: Charge, used: Cost) {
         let Some(account) = self.accounts.get_mut(&charge.tenant) else { return };
         let all = charge.taken.iter().fold(Cost::default(), |sum, (_, taken)| sum.plus(*taken));
-        let mut over = all.less(used);
+        let mut over = all.minus(used);
         // Use beyond the charge reduces what later queries have, as far as there is anything left.
-        let mut more = used.less(all);
+        let mut more = used.minus(all);
         account.used = account.used.plus(more);
         for lease in account.leases.iter_mut().filter(|lease| now < lease.until) {
-            let taken = lease.left.least(more);
-            (lease.left, more) = (lease.left.less(taken), more.less(taken));
+            let taken = lease.left.min(more);
+            (lease.left, more) = (lease.left.minus(taken), more.minus(taken));
         }
-        account.used = account.used.less(over);
+        account.used = account.used.minus(over);
         for (serial, taken) in charge.taken {
-            let back = taken.least(over);
-            over = over.less(back);
+            let back = taken.min(over);
+            over = over.minus(back);
             let live = account.leases.iter_mut().find(|lease| lease.serial == serial && now < lease.until);
             if let Some(lease) = live {
                 lease.left = lease.left.plus(back);
@@ -402,7 +402,7 @@
     }
 
     /// Handles a grant, which may be of nothing.
-    fn lent(&mut self, now: Micros, tenant: &str, serial: u64, cost: Cost, after: Micros) {
+    fn accept_grant(&mut self, now: Micros, tenant: &str, serial: u64, cost: Cost, after: Micros) {
         let Some(account) = self.accounts.get_mut(tenant) else { return };
         let Some((_, at)) = account.asked.take_if(|(asked, _)| *asked == serial) else { return };
         let until = at.saturating_add(LEASE_TIME);
@@ -416,10 +416,10 @@
 
     /// Grants what may be granted; nothing if this sender is not the lender by its own membership view.
     #[expect(clippy::too_many_arguments, reason = "the fields of a request, and what decides on it")]
-    fn lend(
+    fn grant(
         &mut self,
         now: Micros,
-        facts: &MembershipView,
+        view: &MembershipView,
         to: Rank,
         tenant: &str,
         serial: u64,
@@ -427,26 +427,26 @@
         plan: &Plan,
     ) -> (Cost, Micros) {
         let known = self.ledgers.contains_key(tenant);
-        self.look(now, facts);
+        self.update_living(now, view);
         if lender(tenant, &self.living) != Some(self.own) || (!known && self.ledgers.len() >= MAX_TENANTS) {
             return (Cost::default(), 0);
         }
         let tenure = self.tenure(now, tenant);
         let ledger = self.ledgers.entry(tenant.to_owned()).or_default();
-        ledger.fade(now);
+        ledger.expire_loans(now);
         if let Some(before) = ledger.loans.iter().rev().find(|loan| loan.to == to && loan.serial == serial) {
             return (before.cost, 0);
         }
         let mut budget = Cost::of_plan(plan);
-        if facts.minority {
+        if view.minority {
             let there = |state| matches!(state, State::Alive | State::Suspect);
-            let living = facts.members.iter().filter(|fact| there(fact.state)).count().max(1);
-            budget = budget.part(living as u64, facts.members.len() as u64);
+            let living = view.members.iter().filter(|fact| there(fact.state)).count().max(1);
+            budget = budget.part(living as u64, view.members.len() as u64);
         }
         if tenure < WINDOW {
             budget = budget.part(tenure.max(WINDOW / FIRST_PART), WINDOW);
         }
-        let left = budget.less(ledger.lent);
+        let left = budget.minus(ledger.granted);
         if !left.covers(need) || ledger.loans.len() >= MAX_PIECES {
             let first = ledger
                 .loans
@@ -457,9 +457,9 @@
             let after = if tenure < WINDOW { first.min(REQUEST_INTERVAL * 5) } else { first };
             return (Cost::default(), after.max(REQUEST_INTERVAL));
         }
-        let cost = wanted.least(left);
+        let cost = wanted.min(left);
         ledger.loans.push_back(Loan { at: now, to, serial, cost });
-        ledger.lent = ledger.lent.plus(cost);
+        ledger.granted = ledger.granted.plus(cost);
         (cost, 0)
     }
 
@@ -467,34 +467,34 @@
     pub fn receive(
         &mut self,
         now: Micros,
-        facts: &MembershipView,
+        view: &MembershipView,
         from: Rank,
-        note: BudgetMessage,
+        message: BudgetMessage,
         plan: impl Fn(&str) -> Plan,
     ) {
-        match note {
+        match message {
             BudgetMessage::Request { tenant, serial, cost, wanted } => {
                 if tenant.len() > MAX_NAME_LEN {
                     return;
                 }
                 let plan = plan(&tenant);
-                let (cost, after) = self.lend(now, facts, from, &tenant, serial, (cost, wanted), &plan);
+                let (cost, after) = self.grant(now, view, from, &tenant, serial, (cost, wanted), &plan);
                 self.out.push((from, BudgetMessage::Grant { tenant, serial, cost, after }));
             }
             BudgetMessage::Grant { tenant, serial, cost, after } => {
-                self.lent(now, &tenant, serial, cost, after)
+                self.accept_grant(now, &tenant, serial, cost, after)
             }
             BudgetMessage::Return { tenant, serial, cost } => {
                 if let Some(ledger) = self.ledgers.get_mut(&tenant) {
-                    ledger.back(from, serial, cost);
+                    ledger.take_back(from, serial, cost);
                 }
             }
         }
     }
 
     /// Periodic work: returns leases that are not used, and forgets what has expired.
-    pub fn tick(&mut self, now: Micros, facts: &MembershipView) {
-        self.look(now, facts);
+    pub fn tick(&mut self, now: Micros, view: &MembershipView) {
+        self.update_living(now, view);
         for (tenant, account) in &mut self.accounts {
             account.leases.retain(|lease| now < lease.until);
             if now < account.touched.saturating_add(LEASE_TIME / 2) {
@@ -505,7 +505,7 @@
                 match to {
                     Some(to) if to == self.own => {
                         let ledger = self.ledgers.get_mut(tenant);
-                        ledger.into_iter().for_each(|ledger| ledger.back(to, serial, cost));
+                        ledger.into_iter().for_each(|ledger| ledger.take_back(to, serial, cost));
                     }
                     Some(to) if cost != Cost::default() => {
                         self.out.push((to, BudgetMessage::Return { tenant: tenant.clone(), serial, cost }));
@@ -518,24 +518,24 @@
             now >= account.touched.saturating_add(WINDOW) && now >= account.short_until
         };
         self.accounts.retain(|_, account| !idle(account));
-        self.ledgers.values_mut().for_each(|ledger| ledger.fade(now));
+        self.ledgers.values_mut().for_each(|ledger| ledger.expire_loans(now));
         self.ledgers.retain(|_, ledger| !ledger.loans.is_empty());
     }
 }
 
 impl Ledger {
-    fn fade(&mut self, now: Micros) {
+    fn expire_loans(&mut self, now: Micros) {
         while let Some(loan) = self.loans.front().filter(|loan| now >= loan.at.saturating_add(WINDOW)) {
-            self.lent = self.lent.less(loan.cost);
+            self.granted = self.granted.minus(loan.cost);
             self.loans.pop_front();
         }
     }
 
-    fn back(&mut self, from: Rank, serial: u64, cost: Cost) {
+    fn take_back(&mut self, from: Rank, serial: u64, cost: Cost) {
         if let Some(loan) = self.loans.iter_mut().find(|loan| loan.to == from && loan.serial == serial) {
-            let back = loan.cost.least(cost);
-            loan.cost = loan.cost.less(back);
-            self.lent = self.lent.less(back);
+            let back = loan.cost.min(cost);
+            loan.cost = loan.cost.minus(back);
+            self.granted = self.granted.minus(back);
         }
     }
 }
--- a/src/estimate/estimator.rs
+++ b/src/estimate/estimator.rs
@@ -9,7 +9,7 @@
 use super::budget_lease::{self, BudgetMessage, Budgets, Cost, Insufficient};
 use super::decide::{self, Decided, LimitExceeded, Limits, RunningQuery};
 use super::learned::{Calibration, Figure, Touched};
-use super::predict::{DEFAULT_ROUND_TRIP, Estimate, predict, priced};
+use super::predict::{DEFAULT_ROUND_TRIP, Estimate, predict, tail_surcharge};
 use super::sending::Runs;
 use super::summary::{Summary, Version};
 use super::summary_cache::{self, Catalogue, SummaryCache};
@@ -83,7 +83,7 @@
 
 /// State of an own shard when its summary was made; a difference means that the summary is stale.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Print {
+struct Fingerprint {
     entries: u64,
     changed: Micros,
     /// Checksum over the states: distinguishes changes made at the same instant.
@@ -105,11 +105,11 @@
     pub runs: Runs,
     /// Tenants' budgets.
     pub budgets: Budgets,
-    facts: Option<MembershipView>,
+    view: Option<MembershipView>,
     /// Own shards as last summarised, with the summary version that the catalogue lists for each.
-    prints: BTreeMap<u32, (Print, Version)>,
-    made: u64,
-    makes_at: Micros,
+    fingerprints: BTreeMap<u32, (Fingerprint, Version)>,
+    rebuilds: u64,
+    next_rebuild: Micros,
     /// The latest own time that was published, and how far the clock has been behind it.
     latest: Micros,
     slack: Micros,
@@ -158,10 +158,10 @@
             learned: Calibration::default(),
             runs: Runs::default(),
             budgets: Budgets::new(own, seed, now),
-            facts: None,
-            prints: BTreeMap::new(),
-            made: 0,
-            makes_at: now,
+            view: None,
+            fingerprints: BTreeMap::new(),
+            rebuilds: 0,
+            next_rebuild: now,
             latest: 0,
             slack: 0,
             log: None,
@@ -180,13 +180,13 @@
     }
 
     /// Sets the current membership view.
-    pub fn set_view(&mut self, facts: MembershipView) {
-        self.facts = Some(facts);
+    pub fn set_view(&mut self, view: MembershipView) {
+        self.view = Some(view);
     }
 
     /// Whether own summaries may be rebuilt.
     pub fn summaries_due(&self, now: Micros) -> bool {
-        now >= self.makes_at
+        now >= self.next_rebuild
     }
 
     /// Rebuilds own summaries: those of all shards that have changed, the newest first, up to [`MAX_ENTRIES`]
@@ -200,39 +200,39 @@
         (log, upto): (LogId, u64),
         entries: impl Fn() -> I,
     ) {
-        self.makes_at = now.saturating_add(MAKE_EVERY);
+        self.next_rebuild = now.saturating_add(MAKE_EVERY);
         if self.log.replace(log).is_some_and(|before| before != log) {
-            self.prints.clear();
+            self.fingerprints.clear();
         }
-        self.made += 1;
-        let version = Version { upto, made: self.made };
-        let mut prints: BTreeMap<u32, Print> = BTreeMap::new();
+        self.rebuilds += 1;
+        let version = Version { upto, made: self.rebuilds };
+        let mut fingerprints: BTreeMap<u32, Fingerprint> = BTreeMap::new();
         for (shard, entry) in entries() {
-            let none = Print { entries: 0, changed: 0, states: 0 };
-            let print = prints.entry(shard.span).or_insert(none);
-            print.entries += 1;
-            print.changed = print.changed.max(entry.changed_at);
-            print.states = print.states.wrapping_add(u64::from(entry.states.0) + 1);
+            let none = Fingerprint { entries: 0, changed: 0, states: 0 };
+            let fingerprint = fingerprints.entry(shard.span).or_insert(none);
+            fingerprint.entries += 1;
+            fingerprint.changed = fingerprint.changed.max(entry.changed_at);
+            fingerprint.states = fingerprint.states.wrapping_add(u64::from(entry.states.0) + 1);
             self.latest = self.latest.max(entry.taken_at);
         }
         // Messages accepted after the clock stepped back lie before the time published as complete.
         self.slack = self.slack.max(self.latest.saturating_sub(unix));
         self.latest = self.latest.max(unix);
-        self.prints.retain(|span, _| prints.contains_key(span));
+        self.fingerprints.retain(|span, _| fingerprints.contains_key(span));
         let mut dirty = Vec::new();
         let mut work = 0;
-        for (span, print) in prints.iter().rev() {
-            if self.prints.get(span).is_some_and(|(before, _)| before == print) {
+        for (span, fingerprint) in fingerprints.iter().rev() {
+            if self.fingerprints.get(span).is_some_and(|(before, _)| before == fingerprint) {
                 continue;
             }
             // The catalogue lists a shard that is not summarised now as newer than its summary.
-            if work > 0 && work + print.entries as usize > MAX_ENTRIES {
-                let unmade = Print { entries: 0, ..*print };
-                self.prints.insert(*span, (unmade, version));
+            if work > 0 && work + fingerprint.entries as usize > MAX_ENTRIES {
+                let unmade = Fingerprint { entries: 0, ..*fingerprint };
+                self.fingerprints.insert(*span, (unmade, version));
                 continue;
             }
-            work += print.entries as usize;
-            self.prints.insert(*span, (*print, version));
+            work += fingerprint.entries as usize;
+            self.fingerprints.insert(*span, (*fingerprint, version));
             dirty.push(*span);
         }
         let mut wanted: BTreeMap<u32, Vec<&Entry>> = dirty.iter().map(|span| (*span, Vec::new())).collect();
@@ -243,7 +243,7 @@
         }
         let summaries =
             wanted.into_iter().map(|(span, list)| Summary::of(log, span, version, list)).collect();
-        let incarnation = self.facts.as_ref().and_then(|facts| facts.members.get(usize::from(self.own)));
+        let incarnation = self.view.as_ref().and_then(|view| view.members.get(usize::from(self.own)));
         let catalogue = Catalogue {
             log,
             incarnation: incarnation.map_or(0, |fact| fact.incarnation),
@@ -251,7 +251,7 @@
             as_of: unix,
             slack: self.slack,
             length: self.length,
-            spans: self.prints.iter().map(|(span, (_, version))| (*span, *version)).collect(),
+            spans: self.fingerprints.iter().map(|(span, (_, version))| (*span, *version)).collect(),
             older: false,
         };
         self.known.publish(now, catalogue, summaries);
@@ -259,7 +259,7 @@
 
     /// Predicts what a query will touch.
     pub fn predict(&self, now: Micros, query: &Query) -> Estimate {
-        predict(query, &self.known, self.facts.as_ref(), &self.learned, self.own, now)
+        predict(query, &self.known, self.view.as_ref(), &self.learned, self.own, now)
     }
 
     /// Estimates a query that has to be answered within `within`, without running or charging it.
@@ -297,13 +297,13 @@
         }
         let cost = Cost { queries: 1, bytes: decided.estimate.prediction.bytes.most };
         let later = Err(Insufficient { after: budget_lease::REQUEST_INTERVAL, reason: Reason::Budget });
-        let had = self
-            .facts
+        let reserved = self
+            .view
             .as_ref()
-            .map_or(later, |facts| self.budgets.reserve(now, facts, &query.tenant, &plan, cost));
-        let begun =
-            had.and_then(|()| RunningQuery::begin(&mut self.budgets, now, &query.tenant, &decided.estimate));
-        match begun {
+            .map_or(later, |view| self.budgets.reserve(now, view, &query.tenant, &plan, cost));
+        let running = reserved
+            .and_then(|()| RunningQuery::begin(&mut self.budgets, now, &query.tenant, &decided.estimate));
+        match running {
             Ok(running) => {
                 let narrowed = matches!(decided.decision, Decision::Narrowed { .. });
                 *(if narrowed { &mut self.counts.narrowed } else { &mut self.counts.run }) += 1;
@@ -348,7 +348,7 @@
     /// sender.
     pub fn price(&self, now: Micros, server: Rank) -> Micros {
         let trip = if server == self.own { 0.0 } else { self.learned.round_trip(server, DEFAULT_ROUND_TRIP) };
-        (trip as Micros).saturating_add(priced(server, self.facts.as_ref(), now))
+        (trip as Micros).saturating_add(tail_surcharge(server, self.view.as_ref(), now))
     }
 
     /// Whether a datagram belongs to the estimator.
@@ -362,12 +362,12 @@
             match message.split_first() {
                 Some((&SUMMARIES, rest)) => self.known.receive(now, from, rest),
                 Some((&BUDGETS, rest)) => {
-                    let (Ok(note), Some(facts)) = (postcard::from_bytes::<BudgetMessage>(rest), &self.facts)
+                    let (Ok(message), Some(view)) = (postcard::from_bytes::<BudgetMessage>(rest), &self.view)
                     else {
                         self.known.counts.unreadable += 1;
                         continue;
                     };
-                    self.budgets.receive(now, facts, from, note, |tenant| plan(&self.plans, tenant));
+                    self.budgets.receive(now, view, from, message, |tenant| plan(&self.plans, tenant));
                 }
                 _ => self.known.counts.unreadable += 1,
             }
@@ -383,18 +383,18 @@
     pub fn tick(&mut self, now: Micros, out: &mut Outgoing) {
         let mesh = &mut self.mesh;
         let mut send = |to: Rank, bytes: &[u8]| mesh.send(now, to, &[&[SUMMARIES], bytes].concat()).is_ok();
-        self.known.tick(now, self.facts.as_ref(), &mut send);
-        if let Some(facts) = &self.facts {
-            self.budgets.tick(now, facts);
+        self.known.tick(now, self.view.as_ref(), &mut send);
+        if let Some(view) = &self.view {
+            self.budgets.tick(now, view);
         }
         self.flush(now, out);
     }
 
     /// Sends what queries and datagrams have queued.
     pub fn flush(&mut self, now: Micros, out: &mut Outgoing) {
-        for (to, note) in self.budgets.take_messages() {
+        for (to, message) in self.budgets.take_messages() {
             // A message that can't be sent is requested again, or its lease expires.
-            if let Ok(bytes) = postcard::to_allocvec(&note) {
+            if let Ok(bytes) = postcard::to_allocvec(&message) {
                 let _ = self.mesh.send(now, to, &[&[BUDGETS], &bytes[..]].concat());
             }
         }
--- a/src/estimate/learned.rs
+++ b/src/estimate/learned.rs
@@ -23,11 +23,11 @@
 /// [`WINDOW`] outcomes seldom falls below [`TARGET_HIT_RATE`] by chance.
 pub(super) const BAND: [f64; 3] = [0.04, 0.5, 0.96];
 /// Maximum factor by which intervals are widened, on a logarithmic scale.
-const WIDEST: f64 = 8.0;
+const MAX_WIDENING: f64 = 8.0;
 /// How far one outcome moves a quantile, as a multiple of the spread.
-const STEP: f64 = 0.5;
+const QUANTILE_STEP: f64 = 0.5;
 /// Weight of one outcome in the running mean of the spread.
-const FADE: f64 = 0.05;
+const SPREAD_WEIGHT: f64 = 0.05;
 
 /// The set of filters that a query has. Each shape is calibrated on its own.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -133,13 +133,13 @@
             self.quantiles.iter_mut().for_each(|quantile| quantile.at = seen);
         }
         let off = (seen - self.quantiles[1].at).abs();
-        self.spread += (off - self.spread) * if self.seen < MIN_SAMPLES { 0.2 } else { FADE };
-        self.quantiles.iter_mut().for_each(|quantile| quantile.learn(seen, STEP * self.spread));
+        self.spread += (off - self.spread) * if self.seen < MIN_SAMPLES { 0.2 } else { SPREAD_WEIGHT };
+        self.quantiles.iter_mut().for_each(|quantile| quantile.learn(seen, QUANTILE_STEP * self.spread));
         self.seen = self.seen.saturating_add(1);
         self.within = self.within << 1 | u128::from(within);
         let hits = self.hits();
         if self.seen >= WINDOW && hits < TARGET_HIT_RATE && !within {
-            self.wider = (self.wider * 1.1).min(WIDEST);
+            self.wider = (self.wider * 1.1).min(MAX_WIDENING);
         } else if hits > TARGET_HIT_RATE + 2 {
             self.wider = (self.wider * 0.99).max(1.0);
         }
@@ -150,15 +150,15 @@
     pub(super) fn interval(&self, raw: Interval, expected: f64, doubt: f64) -> Interval {
         let said = log(expected);
         if self.seen < MIN_SAMPLES {
-            let most = raw.most.max(whole(said + std::f64::consts::LN_2 + doubt));
+            let most = raw.most.max(figure_of(said + std::f64::consts::LN_2 + doubt));
             return Interval { least: raw.least.min(raw.expected), expected: raw.expected, most };
         }
         let [low, middle, high] = self.quantiles.map(|quantile| quantile.at);
         let (low, high) = (low.min(middle), high.max(middle));
         let wide = |off: f64| off * self.wider;
-        let least = whole(said + middle - wide(middle - low) - doubt);
+        let least = figure_of(said + middle - wide(middle - low) - doubt);
         let most = (said + middle + wide(high - middle) + doubt).exp() - 1.0;
-        let expected = whole(said + middle + 1e-9);
+        let expected = figure_of(said + middle + 1e-9);
         Interval {
             least: least.min(expected),
             expected,
@@ -202,7 +202,7 @@
     (figure + 1.0).ln()
 }
 
-fn whole(figure: f64) -> u64 {
+fn figure_of(figure: f64) -> u64 {
     // The cast saturates at both ends.
     (figure.exp() - 1.0).max(0.0) as u64
 }
@@ -235,10 +235,10 @@
 
     /// Time of a query, microseconds: median and 99th percentile.
     pub fn time(&self, shape: Shape, shards: u64, raw: f64) -> (Micros, Micros) {
-        match self.times.get(&(shape, size(shards))).filter(|track| track.seen >= MIN_SAMPLES) {
+        match self.times.get(&(shape, size_class(shards))).filter(|track| track.seen >= MIN_SAMPLES) {
             Some(track) => {
                 let [_, middle, high] = track.quantiles.map(|quantile| quantile.at);
-                (whole(log(raw) + middle), whole(log(raw) + high.max(middle)))
+                (figure_of(log(raw) + middle), figure_of(log(raw) + high.max(middle)))
             }
             // Without samples the 99th percentile is taken to be four times the mean of one link.
             None => (raw as Micros, (raw * 4.0) as Micros),
@@ -253,7 +253,7 @@
             let track = track.get_or_insert_with(|| Track::new(BAND));
             track.learn(log(found as f64) - log(raw), told.holds(found));
         }
-        let key = (basis.shape, size(basis.predicted[Figure::Shards as usize].expected));
+        let key = (basis.shape, size_class(basis.predicted[Figure::Shards as usize].expected));
         let track = self.times.entry(key).or_insert_with(|| Track::new([BAND[0], 0.5, 0.99]));
         track.learn(log(touched.took as f64) - log(basis.raw_time), true);
     }
@@ -276,6 +276,6 @@
     }
 }
 
-fn size(shards: u64) -> u32 {
+fn size_class(shards: u64) -> u32 {
     shards.saturating_add(1).ilog2().min(12)
 }
--- a/src/estimate/predict.rs
+++ b/src/estimate/predict.rs
@@ -25,15 +25,15 @@
 /// Maximum doubts listed in a prediction.
 pub const MAX_DOUBTS: usize = 64;
 /// Bytes of a sub-query to one sender and of its partial result, without ids and rows.
-const CALL: u64 = 128;
+const SUB_QUERY_BYTES: u64 = 128;
 /// Bytes of a datagram beside its segment.
-const AROUND: u64 = 256 - SEGMENT as u64;
+const DATAGRAM_OVERHEAD: u64 = 256 - SEGMENT as u64;
 /// Round trip assumed until a link has been measured, microseconds.
 pub const DEFAULT_ROUND_TRIP: f64 = 2_000.0;
 /// Time for reading one entry, microseconds, until calibration has enough samples.
-const READ: f64 = 0.5;
+const READ_TIME: f64 = 0.5;
 /// Widening of the intervals per owner in doubt, as a fraction of all owners.
-const DOUBT: f64 = 2.0;
+const DOUBT_WIDENING: f64 = 2.0;
 
 /// A prediction, and the values it was calculated from.
 #[derive(Debug, Clone, PartialEq)]
@@ -45,7 +45,7 @@
 }
 
 #[derive(Default)]
-struct Sum {
+struct Totals {
     least: u64,
     shards: f64,
     most: u64,
@@ -58,7 +58,7 @@
     /// Shards that are listed without a summary, and may be touched.
     blind: u64,
     /// For each other sender: expected and most shards, and rows that it returns.
-    asked: Vec<(Rank, f64, u64, f64)>,
+    sub_queries: Vec<(Rank, f64, u64, f64)>,
     doubts: Vec<Doubt>,
     unsure: bool,
     /// Owners in doubt; `owners` is the number of all.
@@ -66,7 +66,7 @@
     owners: f64,
 }
 
-impl Sum {
+impl Totals {
     fn doubt(&mut self, doubt: Doubt, unsure: bool) {
         if self.doubts.len() < MAX_DOUBTS && !self.doubts.contains(&doubt) {
             self.doubts.push(doubt);
@@ -83,13 +83,13 @@
 pub fn predict(
     query: &Query,
     known: &SummaryCache,
-    facts: Option<&MembershipView>,
+    view: Option<&MembershipView>,
     learned: &Calibration,
     own: Rank,
     now: Micros,
 ) -> Estimate {
-    let mut sum = Sum::default();
-    let members = facts.map_or(0, |facts| facts.members.len());
+    let mut sum = Totals::default();
+    let members = view.map_or(0, |view| view.members.len());
     for owner in (0..members).map(|rank| rank as Rank).filter(|owner| known.current(*owner).is_none()) {
         // An owner that was never heard of may be partitioned off and hold many entries.
         let gone = known.all().any(|held| held.catalogue.log.owner == owner);
@@ -98,7 +98,7 @@
         sum.doubt(doubt, true);
     }
     for held in known.all() {
-        log(query, held, facts, now, &mut sum);
+        add_log(query, held, view, now, &mut sum);
     }
     let typical =
         if sum.shards > 0.0 { (sum.entries / sum.shards, sum.bytes / sum.shards) } else { (0.0, 0.0) };
@@ -113,18 +113,24 @@
         sum.most = sum.most.saturating_add(sum.blind);
         sum.unsure = true;
     }
-    told(query, sum, (facts, now), learned, own)
+    calibrate(query, sum, (view, now), learned, own)
 }
 
 /// Adds the shards of one log.
-fn log(query: &Query, held: &CachedCatalogue, facts: Option<&MembershipView>, now: Micros, sum: &mut Sum) {
+fn add_log(
+    query: &Query,
+    held: &CachedCatalogue,
+    view: Option<&MembershipView>,
+    now: Micros,
+    sum: &mut Totals,
+) {
     let catalogue = &held.catalogue;
     let owner = catalogue.log.owner;
     let length = catalogue.length.max(1);
-    let fact = facts.and_then(|facts| facts.members.get(usize::from(owner)));
+    let fact = view.and_then(|view| view.members.get(usize::from(owner)));
     let dead = fact.is_some_and(|fact| matches!(fact.state, State::Dead | State::Left));
     sum.owners += 1.0;
-    let mut own = Sum::default();
+    let mut own = Totals::default();
     let mut wanted = (0.0, 0u64);
     let (mut lacking, mut full) = (0, false);
     for (span, version) in &catalogue.spans {
@@ -168,7 +174,7 @@
         if age >= STALE_AFTER {
             sum.doubt(Doubt::Old { owner, age }, true);
         }
-        sum.unsure |= since(query, held, age, &mut own, &mut wanted.0);
+        sum.unsure |= add_growth(query, held, age, &mut own, &mut wanted.0);
     }
     if own.most == 0 && own.shards == 0.0 {
         return;
@@ -189,11 +195,17 @@
     sum.most_bytes = sum.most_bytes.saturating_add(own.most_bytes);
     sum.rows += own.rows * through;
     sum.most_rows = sum.most_rows.saturating_add(wanted.1);
-    sum.asked.push((owner, own.shards, own.most, own.rows * through));
+    sum.sub_queries.push((owner, own.shards, own.most, own.rows * through));
 }
 
 /// Adds what may have been written since the catalogue was made. Returns whether anything may have been.
-fn since(query: &Query, held: &CachedCatalogue, age: Micros, own: &mut Sum, wanted: &mut f64) -> bool {
+fn add_growth(
+    query: &Query,
+    held: &CachedCatalogue,
+    age: Micros,
+    own: &mut Totals,
+    wanted: &mut f64,
+) -> bool {
     let catalogue = &held.catalogue;
     if query.to <= catalogue.as_of.saturating_sub(catalogue.slack) {
         return false;
@@ -234,10 +246,10 @@
 }
 
 /// Calibrates the sums and makes them a prediction.
-fn told(
+fn calibrate(
     query: &Query,
-    mut sum: Sum,
-    (facts, now): (Option<&MembershipView>, Micros),
+    mut sum: Totals,
+    (view, now): (Option<&MembershipView>, Micros),
     learned: &Calibration,
     own: Rank,
 ) -> Estimate {
@@ -245,30 +257,30 @@
     let ids: u64 = query.ids.iter().map(|id| id.len() as u64 + 1).sum();
     let row = if sum.entries > 0.0 { sum.bytes / sum.entries } else { 0.0 };
     let (mut wire, mut datagrams) = ((0.0, 0), (0.0, 0));
-    let (mut time, mut tail) = (DEFAULT_ROUND_TRIP / 4.0 + sum.entries * READ, 0);
+    let (mut time, mut tail) = (DEFAULT_ROUND_TRIP / 4.0 + sum.entries * READ_TIME, 0);
     let limit = f64::from(query.limit);
-    for (rank, shards, most, rows) in &sum.asked {
+    for (rank, shards, most, rows) in &sum.sub_queries {
         if *rank == own {
             continue;
         }
         let chance = shards.min(1.0);
-        let body = (ids + CALL) as f64 + rows.min(limit) * row;
+        let body = (ids + SUB_QUERY_BYTES) as f64 + rows.min(limit) * row;
         let packets = (body / SEGMENT as f64).ceil() + 1.0;
         // Each datagram is acknowledged; acknowledgements add half as many.
         datagrams.0 += chance * packets * 1.5;
-        wire.0 += chance * (body + packets * 1.5 * AROUND as f64);
-        let least = ids + CALL + (sum.most_bytes / sum.most.max(1)).saturating_mul(*most);
+        wire.0 += chance * (body + packets * 1.5 * DATAGRAM_OVERHEAD as f64);
+        let least = ids + SUB_QUERY_BYTES + (sum.most_bytes / sum.most.max(1)).saturating_mul(*most);
         let packets = least.div_ceil(SEGMENT as u64) + 1;
         datagrams.1 = packets.saturating_mul(4).saturating_add(datagrams.1);
         wire.1 = packets.saturating_mul(4 * 256).saturating_add(wire.1);
-        time = f64::max(time, learned.round_trip(*rank, DEFAULT_ROUND_TRIP) + sum.entries * READ);
-        tail = tail.max(priced(*rank, facts, now));
+        time = f64::max(time, learned.round_trip(*rank, DEFAULT_ROUND_TRIP) + sum.entries * READ_TIME);
+        tail = tail.max(tail_surcharge(*rank, view, now));
     }
     let wider = learned.missed(shape);
     if let Some(wider) = wider {
         sum.doubt(Doubt::Missed { wider }, false);
     }
-    let doubt = DOUBT * sum.doubtful / sum.owners.max(1.0);
+    let doubt = DOUBT_WIDENING * sum.doubtful / sum.owners.max(1.0);
     let round = |figure: f64| figure.round() as u64;
     let structural: [(f64, u64, u64); FIGURES] = [
         (sum.shards, sum.least, sum.most),
@@ -306,11 +318,11 @@
 }
 
 /// Surcharge on the 99th percentile for reading at a sender.
-pub(super) fn priced(rank: Rank, facts: Option<&MembershipView>, now: Micros) -> Micros {
-    let Some(facts) = facts else { return 0 };
-    let Some(fact) = facts.members.get(usize::from(rank)) else { return SUSPECT_TAIL };
+pub(super) fn tail_surcharge(rank: Rank, view: Option<&MembershipView>, now: Micros) -> Micros {
+    let Some(view) = view else { return 0 };
+    let Some(fact) = view.members.get(usize::from(rank)) else { return SUSPECT_TAIL };
     match fact.state {
-        _ if facts.isolated => SUSPECT_TAIL,
+        _ if view.isolated => SUSPECT_TAIL,
         State::Alive if now < fact.since.saturating_add(STARTING) => STARTING_TAIL,
         State::Alive => 0,
         State::Joining => STARTING_TAIL,
--- a/src/estimate/sending.rs
+++ b/src/estimate/sending.rs
@@ -19,15 +19,15 @@
 /// Maximum classes whose runs are learned from.
 const MAX_CLASSES: usize = 64;
 /// Approximate bytes of a call's head and its answer.
-const CALL: u64 = 320;
+const CALL_BYTES: u64 = 320;
 /// Approximate bytes of a message in a batch beside its body; the body is base64, four bytes for three.
-const IN_BATCH: u64 = 64;
+const BATCH_ENTRY_BYTES: u64 = 64;
 /// Part of an advertised limit that all senders together plan to use.
-const MARGIN: f64 = 0.95;
+const LIMIT_MARGIN: f64 = 0.95;
 /// Answer time assumed until one has been measured, microseconds.
-const TOOK: f64 = 100_000.0;
+const DEFAULT_ANSWER_TIME: f64 = 100_000.0;
 /// Part of a batch that is filled where messages wait, until calibration has enough samples.
-const FILLED: f64 = 0.7;
+const BATCH_FILL: f64 = 0.7;
 
 /// A planned run.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
@@ -146,12 +146,12 @@
 
 /// Calls per second that a route accepts from this sender: worst case, expected, best case.
 fn rates(route: &RouteSummary, settings: &Settings) -> [f64; 3] {
-    let took = route.answer_time.map_or(TOOK, |(mean, _)| mean.max(1.0));
+    let took = route.answer_time.map_or(DEFAULT_ANSWER_TIME, |(mean, _)| mean.max(1.0));
     let slots = (settings.slots * 3 / 4).max(1) as f64 * 1e6 / took;
     let senders = settings.senders.max(1) as f64;
     let mut rates = match route.limit {
         limit if limit > 0.0 => {
-            let all = limit * MARGIN;
+            let all = limit * LIMIT_MARGIN;
             // The other senders use an unknown part of the limit.
             [all / senders, all / senders.sqrt(), all]
         }
@@ -170,24 +170,32 @@
 }
 
 /// Prediction for one destination: worst case, expected, best case.
-struct Leg {
+struct DestinationPlan {
     calls: [f64; 3],
     time: [f64; 3],
     connections: f64,
     shut: Micros,
 }
 
-fn leg(outlook: &DestinationSummary, messages: f64, now: Micros, settings: &Settings) -> Leg {
+fn plan_destination(
+    outlook: &DestinationSummary,
+    messages: f64,
+    now: Micros,
+    settings: &Settings,
+) -> DestinationPlan {
     let bundle = outlook.max_batch.max(1) as f64;
     let each = outlook.routes.iter().map(|route| rates(route, settings));
     let rate = each.fold([0.0; 3], |sum, rate| [sum[0] + rate[0], sum[1] + rate[1], sum[2] + rate[2]]);
     let rate = if outlook.routes.is_empty() { [1.0, 4.0, 16.0] } else { rate };
     let shut = outlook.routes.iter().map(|route| route.blocked_until.saturating_sub(now)).min().unwrap_or(0);
     let deviations = |times: f64| {
-        let took = outlook.routes.iter().map(|route| route.answer_time.unwrap_or((TOOK, TOOK)));
+        let took = outlook
+            .routes
+            .iter()
+            .map(|route| route.answer_time.unwrap_or((DEFAULT_ANSWER_TIME, DEFAULT_ANSWER_TIME)));
         took.map(|(mean, off)| mean + times * off).fold(0.0, f64::max) / 1e6
     };
-    let filled = (bundle * FILLED).max(1.0);
+    let filled = (bundle * BATCH_FILL).max(1.0);
     let calls = [messages, messages / filled, (messages / bundle).ceil()];
     let waiting = outlook.backlog as f64;
     let wait = shut as f64 / 1e6;
@@ -200,7 +208,7 @@
     ];
     let busy = rate[1] * deviations(0.0);
     let connections = busy.min(calls[1]).clamp(1.0, (settings.slots as f64).max(1.0));
-    Leg { calls, time, connections, shut }
+    DestinationPlan { calls, time, connections, shut }
 }
 
 /// Predicts what a run will take. Returns the raw values too, for [`Runs::learn`]. `class` and `tenant` are
@@ -231,7 +239,8 @@
     let (mut endpoints, mut calls, mut connections) = (0u64, [0.0; 3], 0.0);
     let (mut time, mut shut, mut tenant_rate) = ([0.0f64; 3], BTreeMap::new(), 0.0);
     let (mut bytes, mut most_bytes, mut least_bytes) = (0.0, 0.0, 0.0);
-    let (body, in_batch) = (run.body_bytes as f64, run.body_bytes as f64 * 4.0 / 3.0 + IN_BATCH as f64);
+    let (body, in_batch) =
+        (run.body_bytes as f64, run.body_bytes as f64 * 4.0 / 3.0 + BATCH_ENTRY_BYTES as f64);
     for to in &run.destinations {
         let outlook = outlook(DestinationId(*to));
         if outlook.endpoints == 0 {
@@ -239,7 +248,7 @@
         }
         endpoints = endpoints.saturating_add(outlook.endpoints as u64);
         tenant_rate = outlook.tenant_rate;
-        let leg = leg(&outlook, each, now, settings);
+        let leg = plan_destination(&outlook, each, now, settings);
         for at in 0..3 {
             calls[at] += leg.calls[at];
             time[at] = time[at].max(leg.time[at]);
@@ -249,9 +258,10 @@
             shut.insert(*to, leg.shut);
         }
         let message = if outlook.max_batch > 1 { in_batch } else { body };
-        bytes += leg.calls[1] * CALL as f64 + each * message;
-        least_bytes += leg.calls[2] * CALL as f64 + each * body;
-        most_bytes += (leg.calls[0] * CALL as f64 + each * message) * f64::from(settings.try_limit.max(1));
+        bytes += leg.calls[1] * CALL_BYTES as f64 + each * message;
+        least_bytes += leg.calls[2] * CALL_BYTES as f64 + each * body;
+        most_bytes +=
+            (leg.calls[0] * CALL_BYTES as f64 + each * message) * f64::from(settings.try_limit.max(1));
     }
     let over = run.over_ms as f64 / 1e3;
     let time = time.map(|time| time.max(over) * 1e6);
--- a/src/estimate/summary.rs
+++ b/src/estimate/summary.rs
@@ -22,9 +22,9 @@
 /// Bits per key below those limits: the false positive rate is then one in a hundred.
 const BITS_A_KEY: usize = 10;
 /// False positive rate above which a filter counts as full.
-const FULL: f64 = 0.5;
+const FULL_RATE: f64 = 0.5;
 /// Bytes of an entry beside its names.
-const ENTRY: u64 = 48;
+const ENTRY_BYTES: u64 = 48;
 
 /// Checksum by which summaries refer to a name.
 pub fn name(text: &str) -> u32 {
@@ -33,7 +33,7 @@
 
 /// Bytes that reading an entry counts for. This never changes during an entry's lifetime.
 pub fn weight(entry: &Entry) -> u64 {
-    ENTRY + (entry.id.len() + entry.class.len() + entry.tenant.len()) as u64
+    ENTRY_BYTES + (entry.id.len() + entry.class.len() + entry.tenant.len()) as u64
 }
 
 /// Version of a summary or a catalogue: position in the log, then the number of the owner's rebuild.
@@ -124,7 +124,7 @@
         Self(filter)
     }
 
-    fn finds<K: std::hash::Hash + ?Sized>(&self, key: &K) -> bool {
+    fn contains<K: std::hash::Hash + ?Sized>(&self, key: &K) -> bool {
         self.0.contains(key)
     }
 
@@ -136,7 +136,7 @@
 
     /// Whether it matches so many keys that it is of little use.
     pub fn full(&self) -> bool {
-        self.false_rate() > FULL
+        self.false_rate() > FULL_RATE
     }
 }
 
@@ -280,8 +280,11 @@
         let tenant = name(&query.tenant);
         let classes: Vec<u32> = query.classes.iter().map(|class| name(class)).collect();
         let class = |cell: &&Cell| classes.is_empty() || classes.contains(&cell.class);
-        let to =
-            query.destinations.iter().filter(|to| self.destinations.0.finds(&DestinationKey(**to))).count();
+        let to = query
+            .destinations
+            .iter()
+            .filter(|to| self.destinations.0.contains(&DestinationKey(**to)))
+            .count();
         let to = match query.destinations.len() {
             0 => 1.0,
             _ => (to as f64 / f64::from(self.destinations.1.max(1))).min(1.0),
@@ -312,7 +315,7 @@
     /// Each id that the filter finds is at most one entry.
     fn by_id(&self, query: &Query, share: f64, mut part: Part) -> Option<Part> {
         let asked = query.ids.len() as f64;
-        let found = query.ids.iter().filter(|id| self.ids.finds(id.as_str())).count();
+        let found = query.ids.iter().filter(|id| self.ids.contains(id.as_str())).count();
         let (mine, _) = self.of_tenant(name(&query.tenant));
         if found == 0 || mine == 0 {
             return None;
--- a/src/estimate/summary/tests.rs
+++ b/src/estimate/summary/tests.rs
@@ -7,8 +7,8 @@
     let keys: BTreeSet<DestinationKey> = short.iter().map(|n| DestinationKey(u32::from(*n))).collect();
     let (before, now) = (Filter::of(&short, DESTINATION_BITS), Filter::of(&keys, DESTINATION_BITS));
     assert_eq!(before.0.as_slice(), now.0.as_slice());
-    assert!(keys.iter().all(|key| before.finds(key)));
+    assert!(keys.iter().all(|key| before.contains(key)));
     let wide: BTreeSet<DestinationKey> = (70_000..70_100).map(DestinationKey).collect();
     let filter = Filter::of(&wide, DESTINATION_BITS);
-    assert!(wide.iter().all(|key| filter.finds(key)));
+    assert!(wide.iter().all(|key| filter.contains(key)));
 }
--- a/src/estimate/summary_cache.rs
+++ b/src/estimate/summary_cache.rs
@@ -65,7 +65,7 @@
     /// The catalogue.
     pub catalogue: Catalogue,
     /// Its age on arrival, and the time of arrival by this sender's clock.
-    came: (Micros, Micros),
+    arrived: (Micros, Micros),
     /// The summaries and their sizes in bytes, by span.
     pub summaries: BTreeMap<u32, (Summary, usize)>,
     /// When it was noticed that another incarnation has followed.
@@ -75,7 +75,7 @@
 impl CachedCatalogue {
     /// The age of the catalogue.
     pub fn age(&self, now: Micros) -> Micros {
-        self.came.0.saturating_add(now.saturating_sub(self.came.1))
+        self.arrived.0.saturating_add(now.saturating_sub(self.arrived.1))
     }
 
     /// The summary that is held of a span, and whether it is as new as the catalogue says.
@@ -86,7 +86,7 @@
 }
 
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-struct Line {
+struct DigestEntry {
     log: LogId,
     incarnation: u32,
     version: Version,
@@ -95,7 +95,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 enum GossipMessage {
     /// Versions that the sender holds.
-    Digest(Vec<Line>),
+    Digest(Vec<DigestEntry>),
     /// The age of a catalogue, and the catalogue.
     Catalogue(Micros, Catalogue),
     /// Requests catalogues.
@@ -160,8 +160,8 @@
 
     /// Stores this sender's own catalogue, and those summaries that have changed.
     pub fn publish(&mut self, now: Micros, catalogue: Catalogue, summaries: Vec<Summary>) {
-        self.take_catalogue(now, 0, catalogue);
-        summaries.into_iter().for_each(|summary| self.take_summary(summary));
+        self.store_catalogue(now, 0, catalogue);
+        summaries.into_iter().for_each(|summary| self.store_summary(summary));
     }
 
     /// All catalogues that are held.
@@ -180,7 +180,7 @@
     }
 
     /// Stores a catalogue if it is newer than the one held. Returns whether it was.
-    fn take_catalogue(&mut self, now: Micros, age: Micros, mut catalogue: Catalogue) -> bool {
+    fn store_catalogue(&mut self, now: Micros, age: Micros, mut catalogue: Catalogue) -> bool {
         let log = catalogue.log;
         if usize::from(log.owner) >= self.size || catalogue.length == 0 {
             self.counts.unreadable += 1;
@@ -221,13 +221,13 @@
         let (summaries, gone): (BTreeMap<_, _>, BTreeMap<_, _>) =
             before.into_iter().partition(|(span, _)| listed.contains(span));
         self.bytes -= gone.values().map(|(_, bytes)| bytes).sum::<usize>();
-        self.held.insert(log, CachedCatalogue { catalogue, came: (age, now), summaries, over });
-        self.bound(log.owner);
+        self.held.insert(log, CachedCatalogue { catalogue, arrived: (age, now), summaries, over });
+        self.drop_old_incarnations(log.owner);
         true
     }
 
     /// Of each owner, keeps only the last ended incarnation.
-    fn bound(&mut self, owner: Rank) {
+    fn drop_old_incarnations(&mut self, owner: Rank) {
         let over = self.held.iter().filter(|(log, held)| log.owner == owner && held.over.is_some());
         let mut over: Vec<(u32, LogId)> =
             over.map(|(log, held)| (held.catalogue.incarnation, *log)).collect();
@@ -242,7 +242,7 @@
         }
     }
 
-    fn take_summary(&mut self, summary: Summary) {
+    fn store_summary(&mut self, summary: Summary) {
         let Some(held) = self.held.get_mut(&summary.log) else { return };
         let listed = held.catalogue.spans.iter().any(|(span, _)| *span == summary.span);
         let before = held.summaries.get(&summary.span);
@@ -265,8 +265,8 @@
         }
     }
 
-    fn say(&mut self, to: Rank, say: &GossipMessage) {
-        match postcard::to_allocvec(say) {
+    fn enqueue(&mut self, to: Rank, message: &GossipMessage) {
+        match postcard::to_allocvec(message) {
             Ok(bytes) if self.queue.len() < MAX_QUEUED => self.queue.push_back((to, bytes)),
             _ => self.counts.dropped += 1,
         }
@@ -279,29 +279,29 @@
             Ok(GossipMessage::Catalogue(age, catalogue)) => {
                 let log = catalogue.log;
                 // No other sender knows this sender's own log better.
-                if log.owner != self.own && self.take_catalogue(now, age, catalogue) {
-                    self.want(from, log);
+                if log.owner != self.own && self.store_catalogue(now, age, catalogue) {
+                    self.request_summaries(from, log);
                 }
             }
             Ok(GossipMessage::Ask(logs)) => {
                 for log in logs.into_iter().take(MAX_LINES) {
-                    self.give(now, from, log);
+                    self.send_catalogue(now, from, log);
                 }
             }
             Ok(GossipMessage::Want(log, spans)) => {
                 for span in spans.into_iter().take(MAX_WANTED) {
                     let summary = self.held.get(&log).and_then(|held| held.summaries.get(&span));
                     if let Some(summary) = summary.map(|(summary, _)| Box::new(summary.clone())) {
-                        self.say(from, &GossipMessage::Summary(summary));
+                        self.enqueue(from, &GossipMessage::Summary(summary));
                     }
                 }
             }
             Ok(GossipMessage::Summary(summary)) if summary.log.owner != self.own => {
                 let log = summary.log;
-                self.take_summary(*summary);
+                self.store_summary(*summary);
                 // Requests those that did not fit into the request before.
-                if self.queue.len() < MAX_QUEUED / 2 && self.asked_all(log) {
-                    self.want(from, log);
+                if self.queue.len() < MAX_QUEUED / 2 && self.request_complete(log) {
+                    self.request_summaries(from, log);
                 }
             }
             Ok(GossipMessage::Summary(_)) => {}
@@ -309,7 +309,7 @@
         }
     }
 
-    fn lacking<'a>(&'a self, log: LogId) -> impl Iterator<Item = u32> + 'a {
+    fn missing_spans<'a>(&'a self, log: LogId) -> impl Iterator<Item = u32> + 'a {
         let held = self.held.get(&log).into_iter();
         held.flat_map(|held| {
             // The newest first: they are queried most.
@@ -320,26 +320,26 @@
     }
 
     /// Whether all summaries of one request have arrived.
-    fn asked_all(&self, log: LogId) -> bool {
-        let lacking = self.lacking(log).count();
-        lacking > 0 && lacking.is_multiple_of(MAX_WANTED)
+    fn request_complete(&self, log: LogId) -> bool {
+        let missing_spans = self.missing_spans(log).count();
+        missing_spans > 0 && missing_spans.is_multiple_of(MAX_WANTED)
     }
 
-    fn want(&mut self, from: Rank, log: LogId) {
-        let spans: Vec<u32> = self.lacking(log).take(MAX_WANTED).collect();
+    fn request_summaries(&mut self, from: Rank, log: LogId) {
+        let spans: Vec<u32> = self.missing_spans(log).take(MAX_WANTED).collect();
         if !spans.is_empty() {
-            self.say(from, &GossipMessage::Want(log, spans));
+            self.enqueue(from, &GossipMessage::Want(log, spans));
         }
     }
 
-    fn give(&mut self, now: Micros, to: Rank, log: LogId) {
+    fn send_catalogue(&mut self, now: Micros, to: Rank, log: LogId) {
         if let Some(held) = self.held.get(&log) {
-            let say = GossipMessage::Catalogue(held.age(now), held.catalogue.clone());
-            self.say(to, &say);
+            let message = GossipMessage::Catalogue(held.age(now), held.catalogue.clone());
+            self.enqueue(to, &message);
         }
     }
 
-    fn compare(&mut self, now: Micros, from: Rank, lines: &[Line]) {
+    fn compare(&mut self, now: Micros, from: Rank, lines: &[DigestEntry]) {
         let (mut ask, size) = (Vec::new(), self.size);
         for line in lines.iter().take(MAX_LINES).filter(|line| usize::from(line.log.owner) < size) {
             let theirs = (line.incarnation, line.version);
@@ -347,12 +347,12 @@
             let own = own.map(|held| (held.catalogue.incarnation, held.catalogue.version));
             match own.cmp(&Some(theirs)) {
                 std::cmp::Ordering::Less if line.log.owner != self.own => ask.push(line.log),
-                std::cmp::Ordering::Greater => self.give(now, from, line.log),
-                _ => self.want(from, line.log),
+                std::cmp::Ordering::Greater => self.send_catalogue(now, from, line.log),
+                _ => self.request_summaries(from, line.log),
             }
         }
         if !ask.is_empty() {
-            self.say(from, &GossipMessage::Ask(ask));
+            self.enqueue(from, &GossipMessage::Ask(ask));
         }
     }
 
@@ -366,13 +366,13 @@
     pub fn tick(
         &mut self,
         now: Micros,
-        facts: Option<&MembershipView>,
+        view: Option<&MembershipView>,
         send: &mut dyn FnMut(Rank, &[u8]) -> bool,
     ) {
         if now >= self.next_round {
             self.next_round = now + ROUND;
             let gone = |owner: Rank| {
-                let fact = facts.and_then(|facts| facts.members.get(usize::from(owner)));
+                let fact = view.and_then(|view| view.members.get(usize::from(owner)));
                 fact.is_some_and(|fact| matches!(fact.state, State::Dead | State::Left))
             };
             let done = |held: &CachedCatalogue| {
@@ -382,7 +382,7 @@
             let done: Vec<LogId> =
                 self.held.iter().filter(|(_, held)| done(held)).map(|(log, _)| *log).collect();
             done.into_iter().for_each(|log| self.forget(log));
-            self.round(facts);
+            self.round(view);
         }
         let gained = now.saturating_sub(self.credit.1).saturating_mul(BUDGET) / 1_000_000;
         if gained > 0 {
@@ -405,9 +405,9 @@
         }
     }
 
-    fn round(&mut self, facts: Option<&MembershipView>) {
+    fn round(&mut self, view: Option<&MembershipView>) {
         let there = |rank: usize| {
-            let state = facts.and_then(|facts| facts.members.get(rank)).map(|fact| fact.state);
+            let state = view.and_then(|view| view.members.get(rank)).map(|fact| fact.state);
             !matches!(state, Some(State::Dead | State::Left | State::Joining))
         };
         let others: Vec<Rank> = (0..self.size)
@@ -415,18 +415,18 @@
             .map(|r| r as Rank)
             .collect();
         let Some(to) = self.rng.choice(others) else { return };
-        let line = |(log, held): (&LogId, &CachedCatalogue)| Line {
+        let line = |(log, held): (&LogId, &CachedCatalogue)| DigestEntry {
             log: *log,
             incarnation: held.catalogue.incarnation,
             version: held.catalogue.version,
         };
         let from = self.from.take();
         let later = self.held.iter().filter(|(log, _)| from.is_none_or(|from| **log > from));
-        let lines: Vec<Line> = later.map(line).take(MAX_LINES).collect();
+        let lines: Vec<DigestEntry> = later.map(line).take(MAX_LINES).collect();
         if lines.len() == MAX_LINES {
             self.from = lines.last().map(|line| line.log);
         }
-        self.say(to, &GossipMessage::Digest(lines));
+        self.enqueue(to, &GossipMessage::Digest(lines));
     }
 
     /// Whether a shard is known to exist while its summary is not held.
