--- a/src/estimate/summary/tests.rs
+++ b/src/estimate/summary/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Guards roll-outs: summaries cross between senders whose destinations have two bytes and four.
+/// Guards roll-outs, in which summaries pass between senders with two-byte and with four-byte destinations.
 #[test]
-fn destinations_of_two_bytes_are_found_whichever_version_put_them_in() {
+fn two_byte_destinations_are_found_in_filters_of_either_version() {
     let short: BTreeSet<u16> = (0..100).map(|n| n * 600).collect();
     let keys: BTreeSet<DestinationKey> = short.iter().map(|n| DestinationKey(u32::from(*n))).collect();
     let (before, now) = (Filter::of(&short, DESTINATION_BITS), Filter::of(&keys, DESTINATION_BITS));
--- a/tests/estimate/budgets.rs
+++ b/tests/estimate/budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets of a tenant, lent to senders, in virtual time: senders with clocks of their own, kills, splits.
+//! Tests of budget leases in virtual time: senders with clocks of their own, killed lenders, partitions.
 
 use std::collections::BTreeMap;
 
@@ -15,16 +15,16 @@
     now: u64,
     rng: fastrand::Rng,
     budgets: Vec<Budgets>,
-    /// Each sender's own clock: ahead by so much, and faster by so many thousandths.
+    /// Each sender's own clock: its offset, and its rate in thousandths.
     clocks: Vec<(u64, u64)>,
     alive: Vec<bool>,
     side: Vec<u8>,
-    /// Who sees what, seconds late.
+    /// Each sender's membership view, which lags by seconds.
     views: Vec<MembershipView>,
-    news: Vec<(u64, Vec<MembershipView>)>,
-    on_the_way: Vec<(u64, Rank, Rank, BudgetMessage)>,
+    pending_views: Vec<(u64, Vec<MembershipView>)>,
+    in_flight: Vec<(u64, Rank, Rank, BudgetMessage)>,
     plan: Plan,
-    /// When each charge was made, by tenant.
+    /// Time and cost of each charge, by tenant.
     used: BTreeMap<&'static str, Vec<(u64, Cost)>>,
     refused: BTreeMap<&'static str, u64>,
 }
@@ -43,8 +43,8 @@
             alive: vec![true; size],
             side: vec![0; size],
             views: vec![],
-            news: vec![],
-            on_the_way: vec![],
+            pending_views: vec![],
+            in_flight: vec![],
             plan: Plan { queries_per_min: 600, bytes_per_min: 6_000_000, ..Plan::default() },
             used: BTreeMap::new(),
             refused: BTreeMap::new(),
@@ -57,7 +57,7 @@
         self.clocks[of].0 + self.now / 1_000 * self.clocks[of].1
     }
 
-    /// What each would see if it saw at once.
+    /// The view that each sender would have without a lag.
     fn seen(&self) -> Vec<MembershipView> {
         let all = 0..self.alive.len();
         let view = |own: usize| {
@@ -76,21 +76,21 @@
         all.clone().map(view).collect()
     }
 
-    fn changed(&mut self) {
-        self.news.push((self.now + 4 * SECOND, self.seen()));
+    fn membership_changed(&mut self) {
+        self.pending_views.push((self.now + 4 * SECOND, self.seen()));
     }
 
-    /// For so long each living sender asks so often, for each tenant.
+    /// For a time of `long`, each living sender runs queries of each tenant at its rate per second.
     fn play(&mut self, long: u64, tenants: &[(&'static str, f64)]) {
         let end = self.now + long;
         while self.now < end {
             self.now += STEP;
-            if let Some((_, views)) = self.news.pop_if(|(at, _)| *at <= self.now) {
+            if let Some((_, views)) = self.pending_views.pop_if(|(at, _)| *at <= self.now) {
                 self.views = views;
             }
             let (due, later): (Vec<_>, Vec<_>) =
-                std::mem::take(&mut self.on_the_way).into_iter().partition(|n| n.0 <= self.now);
-            self.on_the_way = later;
+                std::mem::take(&mut self.in_flight).into_iter().partition(|n| n.0 <= self.now);
+            self.in_flight = later;
             for (_, from, to, note) in due {
                 let (at, plan) = (usize::from(to), self.plan.clone());
                 if self.alive[at] && self.side[at] == self.side[usize::from(from)] {
@@ -109,7 +109,7 @@
                 for (to, note) in self.budgets[at].take_messages() {
                     let due = self.now + self.rng.u64(1_000..60_000);
                     if self.rng.f64() > 0.05 {
-                        self.on_the_way.push((due, at as Rank, to, note));
+                        self.in_flight.push((due, at as Rank, to, note));
                     }
                 }
             }
@@ -130,7 +130,7 @@
         }
     }
 
-    /// The most that any minute used, as parts of the budget.
+    /// The most that was used in any minute, as a multiple of the budget.
     fn worst(&self, tenant: &str) -> f64 {
         let used = self.used.get(tenant).map(Vec::as_slice).unwrap_or_default();
         let (mut first, mut sum, mut worst) = (0, (0, 0), 0.0f64);
@@ -148,107 +148,111 @@
     }
 }
 
-fn who_lends(fleet: &Fleet, tenant: &str) -> usize {
+fn lender_of(fleet: &Fleet, tenant: &str) -> usize {
     let all: Vec<Rank> = (0..fleet.alive.len()).map(|rank| rank as Rank).collect();
     lender(tenant, &all).map(usize::from).unwrap()
 }
 
 #[test]
-fn no_minute_uses_more_than_the_budget_and_a_hot_tenant_leaves_the_others_theirs() {
+fn no_minute_exceeds_the_budget_and_a_hot_tenant_does_not_starve_others() {
     for seed in 0..3 {
         let mut fleet = Fleet::new(8, seed);
         fleet.play(5 * MINUTE, &[("hot", 20.0), ("calm", 0.5)]);
         let hot = fleet.worst("hot");
         assert!(hot <= 1.0 && hot > 0.7, "seed {seed}: {hot}");
         let calm = (fleet.used["calm"].len() as u64, fleet.refused.get("calm").copied().unwrap_or(0));
-        // 240 a minute of 600: what it does not get is the first ask for each piece.
+        // 240 queries a minute of 600: only the first query for each lease is refused.
         assert!(calm.1 * 5 < calm.0, "seed {seed}: {calm:?}");
         assert!(fleet.refused["hot"] > fleet.used["hot"].len() as u64, "seed {seed}");
     }
 }
 
 #[test]
-fn a_lender_killed_with_lent_pieces_costs_one_more_budget_at_most() {
+fn killed_lender_with_granted_leases_keeps_each_minute_within_two_and_a_quarter_budgets() {
     for seed in 0..3 {
         let mut fleet = Fleet::new(6, seed);
         fleet.play(3 * MINUTE, &[("hot", 20.0)]);
-        let lends = who_lends(&fleet, "hot");
+        let lends = lender_of(&fleet, "hot");
         fleet.alive[lends] = false;
-        fleet.changed();
+        fleet.membership_changed();
         let before = fleet.used["hot"].len();
         fleet.play(3 * MINUTE, &[("hot", 20.0)]);
         let worst = fleet.worst("hot");
         assert!(worst <= 2.125, "seed {seed}: {worst}");
-        assert!(fleet.used["hot"].len() - before > 900, "seed {seed}: another one lends");
-        // It comes back, and knows nothing.
+        assert!(fleet.used["hot"].len() - before > 900, "seed {seed}: no other sender lends");
+        // The lender returns without its state.
         let now = fleet.clock(lends);
         fleet.alive[lends] = true;
         fleet.budgets[lends] = Budgets::new(lends as Rank, 99 + seed, now);
-        fleet.changed();
+        fleet.membership_changed();
         fleet.play(3 * MINUTE, &[("hot", 20.0)]);
         assert!(fleet.worst("hot") <= 2.25, "seed {seed}: {}", fleet.worst("hot"));
     }
 }
 
 #[test]
-fn both_sides_of_a_split_and_its_healing_use_twice_the_budget_at_most() {
+fn partition_and_its_healing_keep_each_minute_within_two_and_a_quarter_budgets() {
     let mut worst = 0.0f64;
     for seed in 0..6 {
         let mut fleet = Fleet::new(7, seed);
         fleet.play(2 * MINUTE, &[("hot", 20.0)]);
-        let lends = who_lends(&fleet, "hot");
-        // The lender is on the lesser side in every second run.
+        let lends = lender_of(&fleet, "hot");
+        // The lender is on the minority side in every second run.
         let lesser = [lends, (lends + 1) % 7, (lends + 2) % 7];
         let apart = if seed % 2 == 0 { lesser } else { lesser.map(|rank| (rank + 1) % 7) };
         apart.into_iter().for_each(|rank| fleet.side[rank] = 1);
-        fleet.changed();
+        fleet.membership_changed();
         fleet.play(2 * MINUTE, &[("hot", 20.0)]);
         fleet.side = vec![0; 7];
-        fleet.changed();
+        fleet.membership_changed();
         fleet.play(2 * MINUTE, &[("hot", 20.0)]);
         assert!(fleet.worst("hot") <= 2.25, "seed {seed}: {}", fleet.worst("hot"));
         worst = worst.max(fleet.worst("hot"));
     }
-    println!("the worst minute over splits: {worst:.2} budgets");
-    // It is not for want of trying: sides do overdraw.
+    println!("the worst minute over partitions: {worst:.2} budgets");
+    // The two sides must together have exceeded the budget at least once, or the test shows nothing.
     assert!(worst > 1.0, "{worst}");
 }
 
-fn alone(rank: Rank) -> MembershipView {
+fn two_alive(rank: Rank) -> MembershipView {
     let fact = MemberView { state: State::Alive, since: 0, incarnation: 1, same_zone: true };
     MembershipView { own: rank, members: vec![fact; 2], isolated: false, minority: false }
 }
 
 #[test]
-fn a_piece_lapses_by_its_borrowers_clock_and_comes_late_for_nothing() {
+fn lease_expires_by_the_borrowers_clock_and_a_late_grant_is_void() {
     let tenant = "a";
     let lends = lender(tenant, &[0, 1]).unwrap();
     let borrows = 1 - lends;
     let mut borrower = Budgets::new(borrows, 1, 0);
     let (plan, cost) = (Plan::default(), Cost { queries: 1, bytes: 10 });
     let now = 10 * MINUTE;
-    let short = borrower.reserve(now, &alone(borrows), tenant, &plan, cost).unwrap_err();
+    let short = borrower.reserve(now, &two_alive(borrows), tenant, &plan, cost).unwrap_err();
     assert_eq!(short.reason, Reason::Queries);
     let asked = borrower.take_messages();
     let [(to, BudgetMessage::Request { serial, .. })] = &asked[..] else { panic!("{asked:?}") };
     assert_eq!(*to, lends);
     let lend = BudgetMessage::Grant { tenant: tenant.into(), serial: *serial, cost, after: 0 };
-    borrower.receive(now + LEASE_TIME, &alone(borrows), lends, lend.clone(), |_| Plan::default());
-    assert_eq!(borrower.remaining(now + LEASE_TIME, tenant), Cost::default(), "it had lapsed when it came");
+    borrower.receive(now + LEASE_TIME, &two_alive(borrows), lends, lend.clone(), |_| Plan::default());
+    assert_eq!(
+        borrower.remaining(now + LEASE_TIME, tenant),
+        Cost::default(),
+        "the lease had expired when it arrived"
+    );
     let again = now + LEASE_TIME;
-    let _ = borrower.reserve(again, &alone(borrows), tenant, &plan, cost);
+    let _ = borrower.reserve(again, &two_alive(borrows), tenant, &plan, cost);
     let BudgetMessage::Request { serial, .. } = &borrower.take_messages()[0].1 else { panic!() };
     let lend = BudgetMessage::Grant { tenant: tenant.into(), serial: *serial, cost, after: 0 };
-    borrower.receive(again + 1, &alone(borrows), lends, lend.clone(), |_| Plan::default());
-    borrower.receive(again + 2, &alone(borrows), lends, lend, |_| Plan::default());
-    assert_eq!(borrower.remaining(again + 2, tenant), cost, "said twice, it is there once");
+    borrower.receive(again + 1, &two_alive(borrows), lends, lend.clone(), |_| Plan::default());
+    borrower.receive(again + 2, &two_alive(borrows), lends, lend, |_| Plan::default());
+    assert_eq!(borrower.remaining(again + 2, tenant), cost, "a grant delivered twice counts once");
     assert_eq!(borrower.remaining(again + LEASE_TIME, tenant), Cost::default());
 }
 
 #[test]
-fn budgets_at_the_end_of_their_counters_are_lent_and_never_more() {
+fn budgets_at_maximum_counters_are_granted_without_overflow() {
     let plan = Plan { queries_per_min: u32::MAX, bytes_per_min: u64::MAX, ..Plan::default() };
-    let one = MembershipView { members: vec![alone(0).members[0]; 1], ..alone(0) };
+    let one = MembershipView { members: vec![two_alive(0).members[0]; 1], ..two_alive(0) };
     let mut budgets = Budgets::new(0, 1, 0);
     let most = Cost { queries: 1, bytes: u64::MAX };
     assert_eq!(budgets.reserve(2 * WINDOW, &one, "a", &plan, most), Ok(()));
--- a/tests/estimate/main.rs
+++ b/tests/estimate/main.rs
@@ -1,4 +1,4 @@
-//! What queries and runs will cost, told before: the estimator's rooms in virtual time.
+//! Tests of the estimator's modules in virtual time: prediction, decisions, budgets and calibration.
 
 mod budgets;
 mod runs;
@@ -21,7 +21,7 @@
 use myrtleyard::status::{Entry, Generation, LogId, Query, ShardId, State, States};
 use proptest::prelude::*;
 
-/// A span, and the time at which all tiers here are told of, microseconds.
+/// Length of a span; `NOW` is the time at which the tiers of these tests are queried. Microseconds.
 pub const SPAN: u64 = 60_000_000;
 const NOW: u64 = 20 * SPAN;
 
@@ -87,12 +87,12 @@
         older: false,
     };
     let summary = |(span, list): (u32, Vec<&Entry>)| Summary::of(log(owner), span, version, list);
-    // Over the wire and back: what is held is what was sent.
+    // Encoded and decoded, so that the cache holds what a receiver would.
     let sent = |summary: Summary| postcard::from_bytes(&postcard::to_allocvec(&summary).unwrap()).unwrap();
     (catalogue, spans.into_iter().map(summary).map(sent).collect())
 }
 
-fn settled(index: &Index) -> SummaryCache {
+fn settled_cache(index: &Index) -> SummaryCache {
     let mut known = SummaryCache::new(0, index.len(), 1, NOW);
     for (owner, entries) in index {
         let (catalogue, summaries) = catalogue(*owner, entries, NOW);
@@ -101,7 +101,8 @@
     known
 }
 
-/// What a query really touches, read as the index reads: by id, or through a log's range of time until a row too many.
+/// What a query really touches, read as the index reads it: by id, or through a log's time range up to the
+/// first row beyond the limit.
 pub fn touch<'a>(logs: impl IntoIterator<Item = Vec<&'a Entry>>, query: &Query) -> Touched {
     let stateless = Query { states: vec![], ..query.clone() };
     let from = query.from.max(query.after.as_ref().map_or(0, |after| after.0));
@@ -134,7 +135,7 @@
     index.values().map(|entries| entries.iter().collect()).collect()
 }
 
-fn asked(index: &Index, known: &SummaryCache, query: &Query) -> Estimate {
+fn predicted(index: &Index, known: &SummaryCache, query: &Query) -> Estimate {
     predict(query, known, Some(&facts(index.len())), &Calibration::default(), 0, NOW)
 }
 
@@ -171,13 +172,13 @@
     #![proptest_config(ProptestConfig::with_cases(400))]
 
     #[test]
-    fn no_shard_with_a_row_is_left_out_and_nothing_is_beyond_the_bounds_of_a_settled_tier(
+    fn settled_tier_excludes_no_shard_with_a_row_and_nothing_exceeds_its_bounds(
         entries in prop::collection::vec((0..4u16, any_entry()), 0..600),
         queries in prop::collection::vec(any_query(), 1..12),
     ) {
         let mut index: Index = (0..4).map(|owner| (owner, vec![])).collect();
         entries.into_iter().for_each(|(owner, entry)| index.entry(owner).or_default().push(entry));
-        let known = settled(&index);
+        let known = settled_cache(&index);
         for query in queries {
             for held in known.all() {
                 let owner = held.catalogue.log.owner;
@@ -187,9 +188,10 @@
                     prop_assert!(!row || summary.part(&query).is_some(), "{query:?} {owner} {span}");
                 }
             }
-            let said = asked(&index, &known, &query).prediction;
+            let said = predicted(&index, &known, &query).prediction;
             let touched = touch(logs(&index), &query).figures;
-            prop_assert!(said.bound && said.doubts.iter().all(|d| matches!(d, Doubt::Full { .. })), "{said:?}");
+            let only_full = said.doubts.iter().all(|d| matches!(d, Doubt::Full { .. }));
+            prop_assert!(said.bound && only_full, "{said:?}");
             let told = [said.shards, said.entries, said.bytes];
             for (told, found) in told.into_iter().zip(touched) {
                 prop_assert!(found <= told.most && told.least <= told.expected, "{query:?} {told:?} {found}");
@@ -200,7 +202,7 @@
     }
 }
 
-fn full_of(owners: Rank, each: u64, tenant: impl Fn(u64) -> String) -> Index {
+fn evenly_filled(owners: Rank, each: u64, tenant: impl Fn(u64) -> String) -> Index {
     let of = |owner: Rank| {
         (0..each)
             .map(|n| {
@@ -220,21 +222,21 @@
 }
 
 #[test]
-fn an_empty_tier_and_a_lone_sender_cost_nothing_but_what_is_there() {
+fn empty_tier_predicts_zero_and_single_sender_predicts_its_own_shards_without_datagrams() {
     let empty: Index = (0..3).map(|owner| (owner, vec![])).collect();
-    let said = asked(&empty, &settled(&empty), &Query { to: NOW, ..query("a") }).prediction;
+    let said = predicted(&empty, &settled_cache(&empty), &Query { to: NOW, ..query("a") }).prediction;
     assert_eq!((said.shards.most, said.bytes.most, said.wire_bytes.most, said.bound), (0, 0, 0, true));
-    let one = full_of(1, 500, |_| "a".into());
-    let said = asked(&one, &settled(&one), &Query { to: NOW, ..query("a") }).prediction;
+    let one = evenly_filled(1, 500, |_| "a".into());
+    let said = predicted(&one, &settled_cache(&one), &Query { to: NOW, ..query("a") }).prediction;
     let touched = touch(logs(&one), &query("a")).figures;
     assert_eq!((said.shards.least, said.shards.expected, said.shards.most), (10, 10, 10));
     assert_eq!([said.entries.most, said.bytes.most], [touched[1], touched[2]]);
-    assert_eq!((said.wire_bytes.most, said.datagrams.most), (0, 0), "its own shards need no datagram");
+    assert_eq!((said.wire_bytes.most, said.datagrams.most), (0, 0), "own shards need no datagram");
 }
 
 #[test]
-fn a_shard_without_summary_counts_as_one_that_may_be_touched_and_is_named() {
-    let index = full_of(3, 600, |_| "a".into());
+fn shard_without_summary_counts_as_touched_and_its_owner_is_listed_as_missing() {
+    let index = evenly_filled(3, 600, |_| "a".into());
     let mut known = SummaryCache::new(0, 3, 1, NOW);
     for (owner, entries) in &index {
         let (catalogue, mut summaries) = catalogue(*owner, entries, NOW);
@@ -242,44 +244,48 @@
         known.publish(NOW, catalogue, summaries);
     }
     let asked_for = Query { from: 15 * SPAN, to: 16 * SPAN, ..query("a") };
-    let said = asked(&index, &known, &asked_for).prediction;
+    let said = predicted(&index, &known, &asked_for).prediction;
     assert!(!said.bound && said.doubts.contains(&Doubt::Missing { owner: 2 }), "{:?}", said.doubts);
     assert!(said.shards.holds(3) && said.shards.expected == 3, "{:?}", said.shards);
-    // A span that it does have is not in doubt.
-    let said = asked(&index, &known, &Query { from: 16 * SPAN, to: 17 * SPAN, ..query("a") }).prediction;
+    // A span with a summary is not in doubt.
+    let said = predicted(&index, &known, &Query { from: 16 * SPAN, to: 17 * SPAN, ..query("a") }).prediction;
     assert!(said.bound && said.doubts.is_empty(), "{:?}", said.doubts);
 }
 
 #[test]
-fn what_a_life_that_is_over_or_a_dead_sender_left_is_kept_with_doubt() {
-    let index = full_of(2, 300, |_| "a".into());
-    let mut known = settled(&index);
-    let before = asked(&index, &known, &Query { to: NOW, ..query("a") }).prediction;
+fn shards_of_ended_incarnation_or_dead_sender_are_counted_as_doubtful() {
+    let index = evenly_filled(2, 300, |_| "a".into());
+    let mut known = settled_cache(&index);
+    let before = predicted(&index, &known, &Query { to: NOW, ..query("a") }).prediction;
     let (mut later, _) = catalogue(1, &[], NOW);
     later.log.generation = Generation(7);
     later.incarnation = 2;
     known.publish(NOW, later.clone(), vec![]);
-    let said = asked(&index, &known, &Query { to: NOW, ..query("a") }).prediction;
+    let said = predicted(&index, &known, &Query { to: NOW, ..query("a") }).prediction;
     assert!(!said.bound && said.doubts == [Doubt::Gone { owner: 1 }], "{:?}", said.doubts);
     assert!(said.entries.most >= before.entries.most, "{:?}", said.entries);
-    // What the former life's process says late does not make it the present one.
+    // A late catalogue of the ended incarnation does not become the current one.
     let (mut late, _) = catalogue(1, &index[&1], NOW);
     late.version.made = 9;
     known.publish(NOW, late, vec![]);
     assert_eq!(known.current(1).map(|held| held.catalogue.log.generation), Some(Generation(7)));
     let mut dead = facts(2);
     dead.members[1].state = Held::Dead;
-    let known = settled(&index);
+    let known = settled_cache(&index);
     let said =
         predict(&Query { to: NOW, ..query("a") }, &known, Some(&dead), &Calibration::default(), 0, NOW);
     assert!(!said.prediction.bound && said.prediction.doubts == [Doubt::Gone { owner: 1 }]);
-    assert!(said.prediction.time.1 > before.time.1 + 200_000, "it is priced so: {:?}", said.prediction.time);
+    assert!(
+        said.prediction.time.1 > before.time.1 + 200_000,
+        "the surcharge is missing: {:?}",
+        said.prediction.time
+    );
 }
 
 #[test]
-fn what_is_old_is_told_and_wider() {
-    let index = full_of(2, 300, |_| "a".into());
-    let known = settled(&index);
+fn stale_catalogue_is_reported_and_widens_intervals() {
+    let index = evenly_filled(2, 300, |_| "a".into());
+    let known = settled_cache(&index);
     let now = NOW + STALE_AFTER;
     let ask =
         |at: u64| predict(&query("a"), &known, Some(&facts(2)), &Calibration::default(), 0, at).prediction;
@@ -289,13 +295,14 @@
 }
 
 #[test]
-fn a_skewed_tenant_is_told_from_the_others_though_its_name_is_not_kept() {
+fn large_tenant_is_distinguished_from_small_ones_without_stored_names() {
     // A hundred small tenants in each shard, most of them counted together; "big" has half of all entries.
-    let index = full_of(2, 4_000, |n| if n % 2 > 0 { "big".into() } else { format!("s{}", n / 2 % 100) });
-    let known = settled(&index);
+    let index =
+        evenly_filled(2, 4_000, |n| if n % 2 > 0 { "big".into() } else { format!("s{}", n / 2 % 100) });
+    let known = settled_cache(&index);
     let ask = |tenant: &str| {
         let query = Query { to: NOW, ..query(tenant) };
-        (asked(&index, &known, &query).prediction, touch(logs(&index), &query).figures)
+        (predicted(&index, &known, &query).prediction, touch(logs(&index), &query).figures)
     };
     let (said, found) = ask("big");
     assert!(
@@ -303,32 +310,39 @@
         "{:?} {found:?}",
         said.rows
     );
-    assert!(said.entries.expected < 7_000 && said.entries.holds(found[1]), "its rows end it early: {said:?}");
+    assert!(
+        said.entries.expected < 7_000 && said.entries.holds(found[1]),
+        "the row limit ends the read early: {said:?}"
+    );
     for small in 0..100 {
         let (said, found) = ask(&format!("s{small}"));
         assert!(said.rows.most >= found[5] && said.rows.expected < 100, "{small} {:?} {found:?}", said.rows);
-        assert_eq!((said.entries.expected, found[1]), (8_000, 8_000), "it reads past the big one's");
+        assert_eq!(
+            (said.entries.expected, found[1]),
+            (8_000, 8_000),
+            "it reads through the big tenant's entries"
+        );
     }
 }
 
 #[test]
-fn a_full_filter_is_told_and_leaves_nothing_out() {
+fn full_filter_is_reported_and_excludes_no_entry() {
     let mut index: Index = (0..1).map(|owner| (owner, vec![])).collect();
     let many = (0..40_000).map(|n| entry(n, "a", 0, 1, 15 * SPAN + n, State::Delivered));
     index.entry(0).or_default().extend(many);
-    let known = settled(&index);
+    let known = settled_cache(&index);
     let ids = (0..200).map(|n| format!("m-{n}")).collect();
-    let said = asked(&index, &known, &Query { ids, to: NOW, ..query("a") }).prediction;
+    let said = predicted(&index, &known, &Query { ids, to: NOW, ..query("a") }).prediction;
     assert_eq!(said.doubts, [Doubt::Full { owner: 0 }]);
     assert!(said.entries.most >= 200 && said.bound, "{:?}", said.entries);
     let ids = vec!["nobody's".to_owned()];
-    let few = full_of(1, 1_000, |_| "a".into());
-    let said = asked(&few, &settled(&few), &Query { ids, to: NOW, ..query("a") }).prediction;
+    let few = evenly_filled(1, 1_000, |_| "a".into());
+    let said = predicted(&few, &settled_cache(&few), &Query { ids, to: NOW, ..query("a") }).prediction;
     assert!(said.doubts.is_empty() && said.shards.most <= 1, "ten shards of 100 ids: {:?}", said.shards);
 }
 
 #[test]
-fn counters_at_their_end_stay_there() {
+fn counters_at_maximum_saturate() {
     let mut summary =
         Summary::of(log(0), 5, Version::default(), &[entry(1, "a", 0, 1, 5 * SPAN, State::Taken)]);
     summary.cells[0].entries = u64::MAX;
@@ -352,12 +366,12 @@
 }
 
 #[test]
-fn too_much_is_narrowed_to_the_newest_or_refused_and_says_why() {
-    let index = full_of(2, 1_000, |_| "a".into());
-    let known = settled(&index);
+fn query_beyond_its_plan_is_narrowed_to_the_newest_or_refused_with_the_reason() {
+    let index = evenly_filled(2, 1_000, |_| "a".into());
+    let known = settled_cache(&index);
     let decide_by = |plan: &Plan, query: &Query, left| {
         let limits = Limits { plan, within: 800_000, unix: NOW };
-        decide(query, limits, left, &mut |query| asked(&index, &known, query))
+        decide(query, limits, left, &mut |query| predicted(&index, &known, query))
     };
     let all = Query { to: NOW, ..query("a") };
     assert_eq!(decide_by(&Plan::default(), &all, Ok(())).decision, Decision::Run);
@@ -378,15 +392,15 @@
     let decided = decide_by(&Plan::default(), &all, Err(short)).decision;
     assert_eq!(decided, Decision::Later { after: 5, reason: Reason::Queries });
     let limits = Limits { plan: &Plan::default(), within: 100, unix: NOW };
-    let decided = decide(&ids, limits, Ok(()), &mut |query| asked(&index, &known, query)).decision;
+    let decided = decide(&ids, limits, Ok(()), &mut |query| predicted(&index, &known, query)).decision;
     assert_eq!(decided, Decision::Refused { reason: Reason::Time });
 }
 
 #[test]
-fn a_query_past_its_bound_is_cut_and_what_it_did_not_use_goes_back() {
-    let index = full_of(1, 100, |_| "a".into());
-    let known = settled(&index);
-    let estimate = asked(&index, &known, &Query { from: 15 * SPAN, to: NOW, ..query("a") });
+fn query_at_its_bound_is_cut_off_and_its_unused_charge_is_returned() {
+    let index = evenly_filled(1, 100, |_| "a".into());
+    let known = settled_cache(&index);
+    let estimate = predicted(&index, &known, &Query { from: 15 * SPAN, to: NOW, ..query("a") });
     let mut budgets = Budgets::new(0, 1, 0);
     let (plan, whole) = (Plan::default(), Cost { queries: 1, bytes: estimate.prediction.bytes.most });
     let now = 200_000_000;
@@ -404,9 +418,9 @@
 }
 
 #[test]
-fn summaries_spread_to_all_within_their_budget_and_the_newest_wins() {
+fn summaries_reach_all_senders_within_the_byte_budget_and_the_newest_wins() {
     let size = 12;
-    let index = full_of(size, 2_000, |n| format!("t{}", n % 30));
+    let index = evenly_filled(size, 2_000, |n| format!("t{}", n % 30));
     let mut senders: Vec<SummaryCache> =
         (0..size).map(|r| SummaryCache::new(r, size.into(), u64::from(r), 0)).collect();
     for (owner, entries) in &index {
@@ -428,7 +442,7 @@
             let sent = senders[usize::from(rank)].counts.sent_bytes;
             assert!(sent <= BURST + BUDGET * (now / 50_000 + 1) / 20, "{sent} bytes by {now}");
             for (n, (to, bytes)) in out.into_iter().enumerate() {
-                // One message in eight gets lost with its channel.
+                // One message in eight is lost.
                 if !(now / 50_000 + n as u64).is_multiple_of(8) {
                     senders[usize::from(to)].receive(now, rank, &bytes);
                 }
@@ -438,11 +452,11 @@
             last = now;
         }
     }
-    assert!(last < 100_000_000, "all had all after {last}");
+    assert!(last < 100_000_000, "all summaries had spread after {last}");
     for known in &senders {
         assert!(known.counts.sent_bytes <= BUDGET * 120 + BURST, "{:?}", known.counts);
     }
-    // One that changes is held in its newest version by all.
+    // All senders get the newest version of a changed catalogue.
     let (mut newer, _) = catalogue(3, &index[&3], NOW + 1);
     newer.version.upto += 1;
     senders[3].publish(120_000_000, newer.clone(), vec![]);
@@ -462,13 +476,13 @@
         assert_eq!(held.catalogue, newer);
         ages.push(held.age(160_000_000));
     }
-    assert!(ages.iter().all(|age| *age >= 39_000_000), "its age is handed on: {ages:?}");
+    assert!(ages.iter().all(|age| *age >= 39_000_000), "ages are not passed on: {ages:?}");
 }
 
 #[test]
-fn when_intervals_do_not_hold_they_widen_say_so_and_hold_again() {
-    let index = full_of(2, 500, |_| "a".into());
-    let known = settled(&index);
+fn missed_intervals_widen_are_reported_and_reach_the_target_again() {
+    let index = evenly_filled(2, 500, |_| "a".into());
+    let known = settled_cache(&index);
     let mut learned = Calibration::default();
     let asked_for = query("a");
     let shape = Shape::of(&asked_for);
@@ -488,7 +502,7 @@
     play(&mut learned, 600, 1.0);
     let calm = learned.hit_rate(shape, Figure::Bytes).unwrap();
     assert!((83..=98).contains(&calm), "{calm}");
-    // All at once queries touch nearly three times as much, and then ten times: that is noticed.
+    // Queries suddenly touch nearly three times as much, and then ten times: the prediction must say so.
     let told = play(&mut learned, 60, 3.0) + play(&mut learned, 60, 10.0);
     assert!(told > 20, "{told}");
     play(&mut learned, 600, 10.0);
@@ -497,7 +511,7 @@
 }
 
 #[test]
-fn a_clock_that_steps_back_takes_the_bound_from_what_it_may_have_stepped_over() {
+fn clock_step_back_removes_the_bound_for_the_time_stepped_over() {
     let mut estimator = Estimator::new(0, 1, 1, SPAN, BTreeMap::new(), 1, 0);
     estimator.set_view(facts(1));
     let mut entries = vec![entry(1, "a", 0, 1, NOW - 1_000, State::Taken)];
@@ -509,7 +523,7 @@
     made(&mut estimator, 0, NOW, &entries);
     let upto = |to: u64| Query { to, ..query("a") };
     assert!(estimator.predict(0, &upto(NOW)).prediction.bound);
-    // Ten seconds back: what is taken on from now on comes before what was told of as complete.
+    // Ten seconds back: messages accepted from now on lie before the time published as complete.
     let back = NOW - 10_000_000;
     entries.push(entry(2, "a", 0, 1, back + 5, State::Taken));
     made(&mut estimator, 5_000_000, back + 10, &entries);
@@ -519,10 +533,10 @@
     assert!(estimator.predict(5_000_000, &upto(back - 10_000_000)).prediction.bound);
 }
 
-/// Guards against a bound that a detour breaks, against one that the tenth of ten reads breaks where nothing is bounded,
-/// and against what is read beyond a charge being nobody's.
+/// Guards against three faults: a read of one log at two senders exceeding its bound, a 90 % interval cutting
+/// off one read in ten where there is no hard bound, and bytes read beyond a charge not being charged.
 #[test]
-fn a_read_by_plan_is_held_to_its_bound_log_by_log_and_all_that_it_read_is_charged() {
+fn read_by_plan_is_bounded_per_log_and_charged_for_all_it_read() {
     let plans = [("default".to_owned(), Plan { shards: 20, ..Plan::default() })].into();
     let mut estimator = Estimator::new(0, 1, 7, SPAN, plans, 1, 0);
     estimator.set_view(facts(1));
@@ -541,14 +555,14 @@
     };
     assert!(!charged.decided.estimate.prediction.bound);
     charged.touched(&[link(1, 0, 18, most), link(1, 1, 18, 50)]);
-    assert_eq!(charged.check(), Ok(()), "one log at two senders");
+    assert_eq!(charged.check(), Ok(()), "one log read at two senders counts once");
     charged.touched(&[link(2, 0, 3, 50)]);
     assert_eq!(charged.check(), Err(LimitExceeded::Shards(21)));
     let cut = charged.check().map(|()| None);
     charged.end(&mut estimator, now, cut);
     assert_eq!(estimator.budgets.remaining(now, "a"), Cost { bytes: before.bytes - 100, ..before });
     assert_eq!((estimator.counts.cut, estimator.counts.read), (1, most + 100));
-    // One that failed before it read anything costs a query.
+    // A read that failed before it read anything costs one query and no bytes.
     let failed = ChargedQuery::begin(&mut estimator, now, &query("a")).unwrap();
     failed.end(&mut estimator, now, Ok(None));
     assert_eq!(estimator.budgets.remaining(now, "a").bytes, before.bytes - 100);
--- a/tests/estimate/runs.rs
+++ b/tests/estimate/runs.rs
@@ -1,4 +1,4 @@
-//! Planned runs: what the module knows makes them cheap, slow, or late.
+//! Tests of planned runs: how the state of destinations and tenants changes the prediction.
 
 use myrtleyard::estimate::sending::{Fits, Planned, Run, RunError, RunTimes, Runs, plan};
 use myrtleyard::interface::{
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_run_is_batched_bounded_by_told_limits_and_counted_on_the_wire() {
+fn run_is_batched_and_bounded_by_advertised_limits_with_wire_bytes_counted() {
     let said = planned(&run(800), |_| well(route()));
     assert_eq!((said.endpoints, said.attempts.least, said.attempts.most), (4, 800, 3_200));
     assert!(said.calls.least == 100 && said.calls.holds(150) && said.calls.most >= 800, "{:?}", said.calls);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_destination_that_is_down_is_named_and_the_run_takes_as_long_as_it_is_shut() {
+fn run_to_blocked_destination_names_it_and_takes_at_least_its_blocked_time() {
     let down = RouteSummary { blocked_until: 103 * SECOND, cold_share: Some(0.2), ..route() };
     let up = planned(&run(100), |_| well(route()));
     let said = planned(&run(100), |to| well(if to.0 == 2 { down } else { route() }));
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_destination_that_goes_down_under_way_is_learned_from_and_widens_the_next() {
+fn destination_failing_during_runs_widens_the_next_prediction() {
     let mut runs = Runs::default();
     let at = |runs: &mut Runs, times: f64| {
         let (said, raw) =
@@ -123,13 +123,13 @@
 }
 
 #[test]
-fn a_run_fits_into_its_tenants_share_now_later_or_only_more_slowly() {
-    // A quota of 40 a second, of which a sender of four has ten.
+fn run_fits_into_its_tenants_share_now_later_or_only_more_slowly() {
+    // A quota of 40 a second; one of four senders has ten of it.
     let idle = |_| well(route());
     let busy = |_| DestinationSummary { tenant_rate: 30.0, ..well(route()) };
     assert_eq!(planned(&run(30), idle).fits, Fits::Now);
     let Fits::After { after } = planned(&run(20), busy).fits else { panic!() };
-    // 30 a second fade to the five that are left in ln 6 aims.
+    // A rate of 30 a second decays to the remaining five in ln 6 aims.
     assert!(after.abs_diff(7_167_038) < 1_000, "{after}");
     assert_eq!(planned(&run(600), idle).fits, Fits::Over { over_ms: 60_000 });
     assert_eq!(planned(&Run { over_ms: 60_000, ..run(600) }, idle).fits, Fits::Now);
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn what_is_wrong_with_a_run_is_named() {
+fn invalid_run_returns_the_matching_error() {
     let ask = |run: &Run, places| {
         plan(run, places, &settings(), &Runs::default(), 0, |_| DestinationSummary::default())
     };
--- a/tests/estimate/tier.rs
+++ b/tests/estimate/tier.rs
@@ -1,4 +1,4 @@
-//! A live tier in virtual time: changing load, bursts, summaries that lag, datagrams that get lost.
+//! Tests of a whole tier in virtual time: changing load, bursts, lagging summaries, lost datagrams.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,7 +13,7 @@
 const SENDERS: usize = 5;
 const STEP: u64 = 50_000;
 /// Entries are kept for four minutes.
-const KEEP: u64 = 4 * SPAN;
+const RETENTION: u64 = 4 * SPAN;
 const TENANTS: [&str; 4] = ["billing", "loans", "desk", "meter"];
 
 struct Tier {
@@ -23,9 +23,9 @@
     entries: Vec<VecDeque<Entry>>,
     upto: Vec<u64>,
     ids: u64,
-    on_the_way: BTreeMap<(u64, u64), (Rank, Rank, Vec<u8>)>,
+    in_flight: BTreeMap<(u64, u64), (Rank, Rank, Vec<u8>)>,
     sent: u64,
-    /// Times as much comes from these tenants.
+    /// Factor on the load of each tenant.
     burst: [f64; 4],
 }
 
@@ -45,7 +45,7 @@
             entries: vec![VecDeque::new(); SENDERS],
             upto: vec![0; SENDERS],
             ids: 0,
-            on_the_way: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sent: 0,
             burst: [1.0; 4],
         }
@@ -55,7 +55,8 @@
         let now = self.now;
         for at in 0..SENDERS {
             for (n, tenant) in TENANTS.iter().enumerate() {
-                // It comes and goes over three minutes, more here than there; one tenant is twenty times another.
+                // The load varies over three minutes and by sender; tenants differ by up to a factor of
+                // twenty.
                 let wave = 1.0 + 0.8 * ((now / STEP) as f64 / 570.0 + (n * 2 + at) as f64).sin();
                 let rate = [4.0, 1.5, 0.6, 0.2][n] * wave * self.burst[n];
                 if self.rng.f64() < rate * STEP as f64 / 1e6 {
@@ -73,7 +74,7 @@
                     self.upto[at] += 1;
                 }
             }
-            while self.entries[at].front().is_some_and(|entry| entry.taken_at + KEEP < now) {
+            while self.entries[at].front().is_some_and(|entry| entry.taken_at + RETENTION < now) {
                 self.entries[at].pop_front();
             }
         }
@@ -83,8 +84,8 @@
         self.now += STEP;
         let now = self.now;
         self.write();
-        let later = self.on_the_way.split_off(&(now, 0));
-        for (from, to, bytes) in std::mem::replace(&mut self.on_the_way, later).into_values() {
+        let later = self.in_flight.split_off(&(now, 0));
+        for (from, to, bytes) in std::mem::replace(&mut self.in_flight, later).into_values() {
             let estimator = &mut self.estimators[usize::from(to)];
             assert!(bytes.len() <= 256 && estimator.accepts(&bytes));
             estimator.receive(now, from, &bytes);
@@ -103,7 +104,7 @@
                 self.sent += 1;
                 if self.rng.f64() > 0.03 {
                     let due = now + self.rng.u64(500..120_000);
-                    self.on_the_way.insert((due, self.sent), (at as Rank, to, bytes));
+                    self.in_flight.insert((due, self.sent), (at as Rank, to, bytes));
                 }
             }
         }
@@ -112,7 +113,7 @@
     fn ask(&mut self, shape: usize) -> Query {
         let rng = &mut self.rng;
         let tenant = TENANTS[rng.usize(0..TENANTS.len())];
-        let from = self.now - rng.u64(20_000_000..KEEP);
+        let from = self.now - rng.u64(20_000_000..RETENTION);
         let all = Query { from, ..query(tenant) };
         match shape {
             0 => all,
@@ -127,16 +128,17 @@
         }
     }
 
-    /// Asks one sender, and gives back what was touched; which figures were within.
+    /// Predicts a query at one sender and lets it learn the outcome. Returns which figures, and whether the
+    /// time, were within their intervals.
     fn play(&mut self, query: &Query) -> ([bool; 4], bool) {
         let at = self.rng.usize(0..SENDERS);
         let said = self.estimators[at].predict(self.now, query);
         let mut touched = touch(self.entries.iter().map(|entries| entries.iter().collect()), query);
-        // What goes over the wire is nobody's guess here.
+        // Wire traffic is not simulated: the predicted values are used.
         touched.figures[Figure::WireBytes as usize] = said.basis.raw[Figure::WireBytes as usize] as u64;
         touched.figures[Figure::Datagrams as usize] = said.basis.raw[Figure::Datagrams as usize] as u64;
         touched.took = 2_000 + touched.figures[1] * 3 + self.rng.u64(0..2_000);
-        // All senders tell each other nothing of what they learned: each learns alone.
+        // Senders do not share their calibration: each learns on its own.
         self.estimators[at].learned.learn(&said.basis, &touched);
         let figures = [Figure::Shards, Figure::Entries, Figure::Bytes, Figure::Rows];
         let p = &said.prediction;
@@ -146,7 +148,7 @@
     }
 }
 
-/// Plays so many queries, with the load as it is told by the number of each.
+/// Plays `queries` queries; `burst` gives the load factor by the number of the query. Sums the hits by shape.
 fn played(seed: u64, queries: usize, burst: impl Fn(usize) -> f64) -> Vec<([usize; 4], usize, usize)> {
     let mut tier = Tier::new(seed);
     (0..3_000).for_each(|_| tier.step());
@@ -159,7 +161,7 @@
         let shape = number % 5;
         let query = tier.ask(shape);
         let (within, in_time) = tier.play(&query);
-        // The first hundred of each shape at each sender are what is learned from.
+        // The first hundred queries of each shape at each sender only calibrate.
         if number >= 2_500 {
             for (sum, within) in sums[shape].0.iter_mut().zip(within) {
                 *sum += usize::from(within);
@@ -172,7 +174,7 @@
 }
 
 #[test]
-fn nine_in_ten_hold_over_ten_thousand_queries_of_a_live_tier() {
+fn nine_in_ten_intervals_hold_over_ten_thousand_queries_of_a_live_tier() {
     let sums = played(11, 12_500, |number| if number % 1_000 < 100 { 4.0 } else { 1.0 });
     for (shape, (within, in_time, all)) in sums.into_iter().enumerate() {
         let part = |count: usize| count as f64 / all as f64 * 100.0;
@@ -180,7 +182,8 @@
         for (figure, within) in within.into_iter().enumerate() {
             assert!(part(within) >= 88.0, "shape {shape} figure {figure}: {}", part(within));
         }
-        // By ids, entries are a few; whole numbers leave less between too narrow and too wide.
+        // Queries by ids read few entries; with small whole numbers an interval is easily too wide or too
+        // narrow.
         for figure in if shape < 4 { [1, 2] } else { [2, 2] } {
             assert!(part(within[figure]) <= 98.0, "shape {shape} figure {figure}: {}", part(within[figure]));
         }
@@ -189,7 +192,7 @@
 }
 
 #[test]
-fn a_burst_after_the_prediction_is_noticed_and_learned_from() {
+fn burst_after_a_prediction_is_reported_and_learned_from() {
     let mut tier = Tier::new(3);
     (0..4_000).for_each(|_| tier.step());
     let ask = |tier: &Tier| Query { from: tier.now - 3_000_000, ..query("meter") };
@@ -215,6 +218,6 @@
             usize::from(tier.play(&query).0[1])
         })
         .sum();
-    assert!(late >= 340, "{late} of 400 once it is known; {:?}", said.doubts);
+    assert!(late >= 340, "{late} of 400 within the interval after learning; {:?}", said.doubts);
     assert!(!said.bound && !said.doubts.iter().any(|d| matches!(d, Doubt::Missing { .. })), "{said:?}");
 }
