--- a/src/estimate/budget_lease.rs
+++ b/src/estimate/budget_lease.rs
@@ -13,6 +13,7 @@
 //!   eighth of the budget to all of it over a window.
 //! - *The minority side of a partition* grants only its share by members of the tier, which is less than
 //!   half.
+//!
 //! So with one lender no minute uses more than the budget. With a partition, or with lenders that succeed
 //! each other, a minute uses at most twice the budget plus an eighth of it for each further lender.
 
--- a/src/estimate/charged.rs
+++ b/src/estimate/charged.rs
@@ -1,5 +1,6 @@
 //! A read by plan that is running: what it was charged in advance, and what it has read so far by the
 //! senders' reports.
+//!
 //! A read may read a log twice: at a replica that lacked entries, then at its owner. All of it is charged.
 //! The read's bound is checked against the most that each log took, since that is what was predicted.
 
--- a/src/estimate/decide.rs
+++ b/src/estimate/decide.rs
@@ -8,6 +8,7 @@
 //! | 3 | no query of the minute is left here | later |
 //! | 4 | too few bytes of the minute are left here | later |
 //! | 5 | otherwise | run, charged at the upper end of the prediction |
+//!
 //! The first rule that applies is reported. A query is narrowed by a later `from`, which keeps the newest
 //! messages. One for ids, or one that continues after a row, is never narrowed, since that would leave out
 //! what it asks for.
--- a/src/estimate/estimator.rs
+++ b/src/estimate/estimator.rs
@@ -190,9 +190,8 @@
     }
 
     /// Rebuilds own summaries: those of all shards that have changed, the newest first, up to [`MAX_ENTRIES`]
-    /// entries.
-    /// `entries` iterates over all own entries by the time at which they were accepted, `upto` is the last
-    /// change included in them, `unix` the clock from which new messages get their `taken_at`.
+    /// entries. `entries` iterates over all own entries by the time at which they were accepted, `upto` is
+    /// the last change included in them, `unix` the clock from which new messages get their `taken_at`.
     pub fn summarise<'a, I: Iterator<Item = (ShardId, &'a Entry)>>(
         &mut self,
         now: Micros,
--- a/src/estimate/learned.rs
+++ b/src/estimate/learned.rs
@@ -1,5 +1,6 @@
 //! Calibration: what queries of a shape really took, with older outcomes fading, and the interval width that
 //! this needs.
+//!
 //! For each figure, three quantiles ([`BAND`]) of the logarithm of the ratio of actual to raw value are
 //! tracked; each outcome moves them a little: conformal quantile tracking (Angelopoulos, Candès, Tibshirani,
 //! 2023, after Gibbs and Candès, 2021). In the long run the share of outcomes within the interval converges
--- a/src/estimate/mod.rs
+++ b/src/estimate/mod.rs
@@ -1,6 +1,7 @@
 //! Cost estimates made before the work is done: for a query of the status index, and for a planned run of
 //! messages. This module defines the shared types; the submodules hold summaries, prediction, budgets and
 //! calibration. It does no I/O: time, random seeds and the messages of other senders are passed in.
+//!
 //! A prediction is made from the summaries that each owner publishes of its shards. It never excludes a shard
 //! that holds a matching row within the range that its summary covers.
 
--- a/src/estimate/predict.rs
+++ b/src/estimate/predict.rs
@@ -1,4 +1,5 @@
 //! Predicts what a query will touch, from summaries alone.
+//!
 //! A shard is *touched* if an entry is read in it: for a query by ids, one that has such an id and belongs to
 //! the tenant; otherwise any entry in the query's time range, up to the row at which a log's part of the
 //! answer is full. A shard is excluded only if its summary shows that it has no such entry, and so no row. On
--- a/src/estimate/sending.rs
+++ b/src/estimate/sending.rs
@@ -1,6 +1,7 @@
 //! Estimates what a planned run of messages will take: calls, attempts, bytes, connections and time, and
 //! whether it fits into the tenant's share. It uses what the decision module knows of each destination:
 //! advertised limits, what all senders have reported of them, this sender's pace, backlog and breaker.
+//!
 //! A run is handed in at one sender and sent as fast as it is accepted. Where a limit is advertised, this
 //! sender has all of it at best and an equal part of it among all senders at worst; where none is, its pace
 //! counts, or its slots divided by the answer time.
--- a/src/estimate/summary.rs
+++ b/src/estimate/summary.rs
@@ -1,5 +1,6 @@
 //! Summary that an owner publishes of a shard: enough to exclude the shard from a query safely, and to
 //! estimate what is read in it.
+//!
 //! Names are stored as CRC-32: two names with the same checksum are counted together, which can only raise a
 //! bound. Ids and destinations are stored in Bloom filters (Bloom, 1970): an inserted key is always found,
 //! another key sometimes.
--- a/src/estimate/summary_cache.rs
+++ b/src/estimate/summary_cache.rs
@@ -1,4 +1,5 @@
 //! Cache of all shards' summaries at one sender, their age, and how they spread.
+//!
 //! Each owner publishes a catalogue of its spans with the version of each span's summary. So a shard is known
 //! to exist even if its summary is not held. Catalogues and summaries spread by anti-entropy (Demers and
 //! others, 1987): each round a digest of versions goes to one sender, which sends what it has newer and
