--- a/ops/src/call/tests.rs
+++ b/ops/src/call/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use crate::error_code::{CodedError, documented_codes};
 
-/// Guards the page: it has this program's codes, and no other of its kind.
+/// The operations page documents exactly this program's error codes: none is missing, none is obsolete.
 #[test]
-fn the_page_has_every_code_of_this_program() {
+fn operations_page_lists_exactly_the_ops_error_codes() {
     let page = documented_codes(include_str!("../../../docs/operations.md"));
     let own: Vec<&str> = page.into_iter().filter(|code| code.starts_with("ops.")).collect();
-    assert_eq!(own, NoWord::CODES);
+    assert_eq!(own, CallError::CODES);
 }
--- a/ops/src/members.rs
+++ b/ops/src/members.rs
@@ -1,4 +1,4 @@
-//! Who of the fleet is there: one table of what several senders say.
+//! The members of the fleet: one table made of the membership views of several senders.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,13 +8,13 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use super::call::{self, NoWord};
+use super::call::{self, CallError};
 use super::error_code::CodedError;
 
-/// Between two looks when changes are followed.
-const LOOK: Duration = Duration::from_secs(1);
+/// Time between two polls with `--follow`.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What one sender says, as far as the table needs it.
+/// One sender's membership view, as far as the table needs it.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct View {
     own: usize,
@@ -37,27 +37,29 @@
     accused_by: Vec<usize>,
 }
 
-type Words = Vec<(SocketAddr, Result<(Value, View), NoWord>)>;
+/// For each sender its raw answer with the view parsed from it, or why there is none.
+type Answers = Vec<(SocketAddr, Result<(Value, View), CallError>)>;
 
-/// Asks all of them at once, so that one that is slow keeps nobody waiting.
-fn ask(addresses: &[SocketAddr], within: Duration) -> Words {
+/// Asks all senders concurrently, so that a slow one doesn't delay the others.
+fn fetch_views(addresses: &[SocketAddr], within: Duration) -> Answers {
     std::thread::scope(|scope| {
-        let asked: Vec<_> = addresses
+        let calls: Vec<_> = addresses
             .iter()
             .map(|address| {
                 scope.spawn(move || {
-                    let told = call::get(*address, "/control/members", within)?;
-                    let view = View::deserialize(&told).map_err(|e| NoWord::Unread(e.to_string()))?;
-                    Ok((told, view))
+                    let answer = call::get(*address, "/control/members", within)?;
+                    let view =
+                        View::deserialize(&answer).map_err(|e| CallError::UnexpectedForm(e.to_string()))?;
+                    Ok((answer, view))
                 })
             })
             .collect();
-        let ended = asked.into_iter().map(|asked| asked.join().unwrap_or(Err(NoWord::Failed)));
-        addresses.iter().copied().zip(ended).collect()
+        let results = calls.into_iter().map(|call| call.join().unwrap_or(Err(CallError::Failed)));
+        addresses.iter().copied().zip(results).collect()
     })
 }
 
-fn seconds(ms: u64) -> String {
+fn human_duration(ms: u64) -> String {
     match ms {
         0..1000 => format!("{ms} ms"),
         1000..100_000 => format!("{:.1} s", ms as f64 / 1000.0),
@@ -66,17 +68,17 @@
     }
 }
 
-/// What the views say of one member: each different word with who says it.
-fn said(views: &[&View], rank: usize) -> BTreeMap<String, BTreeSet<usize>> {
-    let mut said: BTreeMap<String, BTreeSet<usize>> = BTreeMap::new();
+/// The states that the views give one member, each with the ranks of the senders that give it.
+fn states_of(views: &[&View], rank: usize) -> BTreeMap<String, BTreeSet<usize>> {
+    let mut states: BTreeMap<String, BTreeSet<usize>> = BTreeMap::new();
     for view in views {
-        let word = view.members.iter().find(|member| member.rank == rank).map_or("unknown", |m| &m.state);
-        said.entry(word.to_owned()).or_default().insert(view.own);
+        let state = view.members.iter().find(|member| member.rank == rank).map_or("unknown", |m| &m.state);
+        states.entry(state.to_owned()).or_default().insert(view.own);
     }
-    said
+    states
 }
 
-fn listed(ranks: &BTreeSet<usize>) -> String {
+fn join_ranks(ranks: &BTreeSet<usize>) -> String {
     ranks.iter().map(ToString::to_string).collect::<Vec<_>>().join(" ")
 }
 
@@ -98,54 +100,55 @@
     for rank in ranks {
         let of: Vec<&Member> =
             views.iter().filter_map(|v| v.members.iter().find(|m| m.rank == rank)).collect();
-        let said = said(views, rank);
-        // What most say stands in the table; who says otherwise behind it.
-        let most =
-            said.iter().max_by_key(|(_, who)| who.len()).map(|(word, _)| word.clone()).unwrap_or_default();
-        let others = said.iter().filter(|(word, _)| **word != most);
-        let others: Vec<String> = others.map(|(word, who)| format!("{word} to {}", listed(who))).collect();
+        let states = states_of(views, rank);
+        // The table shows the state that most views give; its last column names the senders that differ.
+        let most = states.iter().max_by_key(|(_, senders)| senders.len());
+        let most = most.map(|(state, _)| state.clone()).unwrap_or_default();
+        let others = states.iter().filter(|(state, _)| **state != most);
+        let others: Vec<String> =
+            others.map(|(state, senders)| format!("{state} to {}", join_ranks(senders))).collect();
         let first = of.iter().find(|member| member.state == most);
-        let accusers: BTreeSet<usize> = of.iter().flat_map(|m| m.accused_by.iter().copied()).collect();
+        let suspecters: BTreeSet<usize> = of.iter().flat_map(|m| m.accused_by.iter().copied()).collect();
         let heard = of.iter().filter_map(|member| member.heard_ms).min();
         table.add_row(vec![
             rank.to_string(),
             first.and_then(|m| m.address.clone()).unwrap_or_default(),
             first.and_then(|m| m.zone.clone()).unwrap_or_default(),
             most,
-            first.map(|m| seconds(m.for_ms)).unwrap_or_default(),
+            first.map(|m| human_duration(m.for_ms)).unwrap_or_default(),
             of.iter().map(|m| m.incarnation).max().unwrap_or(0).to_string(),
-            heard.map_or("never".into(), seconds),
-            listed(&accusers),
+            heard.map_or("never".into(), human_duration),
+            join_ranks(&suspecters),
             others.join(", "),
         ]);
     }
     table
 }
 
-/// The sender's own code and remedy, where its answer has them.
-fn advice(why: &NoWord) -> (&str, &str) {
+/// The code and remedy of the sender's answer, or else this program's own.
+fn code_and_remedy(why: &CallError) -> (&str, &str) {
     match why {
-        NoWord::Refused { told: Some((code, remedy)), .. } => (code, remedy),
+        CallError::Refused { coded: Some((code, remedy)), .. } => (code, remedy),
         why => (why.code(), why.remedy()),
     }
 }
 
-fn line(why: &NoWord) -> String {
-    let (code, remedy) = advice(why);
+fn error_line(why: &CallError) -> String {
+    let (code, remedy) = code_and_remedy(why);
     format!("{why} ({code}: {remedy})")
 }
 
-/// Shows it once. Tells the exit code.
+/// Shows the views once. Returns the exit code.
 pub fn show(addresses: &[SocketAddr], within: Duration, json: bool) -> u8 {
-    let told = ask(addresses, within);
+    let answers = fetch_views(addresses, within);
     let views: Vec<&View> =
-        told.iter().filter_map(|(_, told)| told.as_ref().ok().map(|told| &told.1)).collect();
+        answers.iter().filter_map(|(_, answer)| answer.as_ref().ok().map(|answer| &answer.1)).collect();
     if json {
-        for (address, told) in &told {
-            let line = match told {
-                Ok((told, _)) => serde_json::json!({"sender": address, "told": told}),
+        for (address, answer) in &answers {
+            let line = match answer {
+                Ok((body, _)) => serde_json::json!({"sender": address, "told": body}),
                 Err(why) => {
-                    let (code, remedy) = advice(why);
+                    let (code, remedy) = code_and_remedy(why);
                     serde_json::json!({"sender": address, "code": code, "error": why.to_string(), "remedy": remedy})
                 }
             };
@@ -154,45 +157,47 @@
     } else {
         println!("{}", table(&views));
         for view in &views {
-            let how = match (view.isolated, view.minority) {
-                (true, _) => ", hears nobody: what it says of others means nothing",
-                (false, true) => ", sees at most half of the fleet",
+            let warning = match (view.isolated, view.minority) {
+                (true, _) => ", isolated: it hears from no member, so its view of the others is meaningless",
+                (false, true) => ", in a minority: it sees at most half of the fleet",
                 (false, false) => "",
             };
-            println!("sender {}: view {}, version {}{how}", view.own, view.digest, view.version);
+            println!("sender {}: view {}, version {}{warning}", view.own, view.digest, view.version);
         }
-        for (address, told) in &told {
-            if let Err(why) = told {
-                println!("{address}: {}", line(why));
+        for (address, answer) in &answers {
+            if let Err(why) = answer {
+                println!("{address}: {}", error_line(why));
             }
         }
     }
     let digests: BTreeSet<&str> = views.iter().map(|view| view.digest.as_str()).collect();
     match () {
-        () if views.len() < told.len() => 3,
+        () if views.len() < answers.len() => 3,
         () if digests.len() > 1 => 1,
         () => 0,
     }
 }
 
-/// State and life of each member, as one sender says.
-type Lives = BTreeMap<usize, (String, u32)>;
+/// State and incarnation of each member by rank, as one sender sees them.
+type States = BTreeMap<usize, (String, u32)>;
 
-/// Shows what changes until it is ended.
+/// Prints each change until the program is ended.
 pub fn follow(addresses: &[SocketAddr], within: Duration) -> ! {
-    let mut before: BTreeMap<SocketAddr, Result<Lives, NoWord>> = BTreeMap::new();
+    let mut before: BTreeMap<SocketAddr, Result<States, CallError>> = BTreeMap::new();
     loop {
-        for (address, told) in ask(addresses, within) {
-            let now = told.map(|(_, view)| {
+        for (address, answer) in fetch_views(addresses, within) {
+            let now = answer.map(|(_, view)| {
                 let states = view.members.into_iter().map(|m| (m.rank, (m.state, m.incarnation)));
-                states.collect::<Lives>()
+                states.collect::<States>()
             });
             match (before.get(&address), &now) {
                 (Some(Err(b)), Err(n)) if b == n => {}
-                (_, Err(why)) => println!("{address}: {}", line(why)),
+                (_, Err(why)) => println!("{address}: {}", error_line(why)),
                 (Some(Ok(b)), Ok(n)) => {
-                    for (rank, (state, life)) in n.iter().filter(|(rank, now)| b.get(rank) != Some(now)) {
-                        println!("{address}: member {rank} is {state}, life {life}");
+                    for (rank, (state, incarnation)) in
+                        n.iter().filter(|(rank, now)| b.get(rank) != Some(now))
+                    {
+                        println!("{address}: member {rank} is {state}, incarnation {incarnation}");
                     }
                 }
                 (_, Ok(n)) => {
@@ -202,6 +207,6 @@
             }
             before.insert(address, now);
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/ops/tests/members.rs
+++ b/ops/tests/members.rs
@@ -1,4 +1,4 @@
-//! The operators' program against senders that are played: what it shows, and how it ends.
+//! Runs `linenwing members` against mock senders and checks its output and exit codes.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -10,9 +10,9 @@
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let mut stream = stream.unwrap();
-            let mut asked = [0; 1024];
-            let size = stream.read(&mut asked).unwrap();
-            assert!(asked[..size].starts_with(b"GET /control/members HTTP/1.1\r\n"));
+            let mut request = [0; 1024];
+            let size = stream.read(&mut request).unwrap();
+            assert!(request[..size].starts_with(b"GET /control/members HTTP/1.1\r\n"));
             let head = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n", body.len());
             stream.write_all((head + &body).as_bytes()).unwrap();
         }
@@ -38,46 +38,48 @@
     )
 }
 
-fn members(addresses: &[SocketAddr], more: &[&str]) -> Output {
+fn members(addresses: &[SocketAddr], flags: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_linenwing"));
-    command.arg("members").args(addresses.iter().map(ToString::to_string)).args(more);
+    command.arg("members").args(addresses.iter().map(ToString::to_string)).args(flags);
     command.output().unwrap()
 }
 
 #[test]
-fn senders_that_agree_are_one_table_and_those_that_do_not_are_told_apart() {
+fn members_exits_0_when_views_agree_and_1_naming_the_sender_that_differs() {
     let one = sender(200, view(0, "aa", &["alive", "alive", "alive"]));
     let same = sender(200, view(1, "aa", &["alive", "alive", "alive"]));
     let other = sender(200, view(2, "bb", &["alive", "dead", "alive"]));
-    let told = members(&[one, same], &[]);
-    let text = String::from_utf8(told.stdout).unwrap();
-    assert_eq!(told.status.code(), Some(0), "{text}");
+    let output = members(&[one, same], &[]);
+    let text = String::from_utf8(output.stdout).unwrap();
+    assert_eq!(output.status.code(), Some(0), "{text}");
     assert!(text.contains("127.0.0.2:7946") && text.contains("4.2 s") && !text.contains(" to "), "{text}");
-    let told = members(&[one, same, other], &[]);
-    let text = String::from_utf8(told.stdout).unwrap();
-    assert_eq!(told.status.code(), Some(1), "{text}");
+    let output = members(&[one, same, other], &[]);
+    let text = String::from_utf8(output.stdout).unwrap();
+    assert_eq!(output.status.code(), Some(1), "{text}");
     assert!(text.contains("dead to 2"), "{text}");
 }
 
 #[test]
-fn a_sender_that_does_not_answer_or_keeps_no_view_is_told_by_its_address() {
+fn members_exits_3_and_prints_address_and_reason_for_each_sender_without_a_view() {
     let one = sender(200, view(0, "aa", &["alive"]));
     let without = sender(404, "{\"error\":\"there is no view\"}".to_owned());
     let broken = sender(200, "{\"own\":".to_owned());
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let all = [one, without, broken, silent.local_addr().unwrap(), closed];
-    let told = members(&all, &["--within-ms", "300"]);
-    let text = String::from_utf8(told.stdout).unwrap();
-    assert_eq!(told.status.code(), Some(3), "{text}");
-    for (address, why) in
-        [(without, "there is no view"), (broken, "broke off"), (all[3], "no answer within 300 ms")]
-    {
+    let output = members(&all, &["--within-ms", "300"]);
+    let text = String::from_utf8(output.stdout).unwrap();
+    assert_eq!(output.status.code(), Some(3), "{text}");
+    for (address, why) in [
+        (without, "there is no view"),
+        (broken, "truncated or not valid JSON"),
+        (all[3], "no answer within 300 ms"),
+    ] {
         assert!(text.contains(&format!("{address}: ")) && text.contains(why), "{why}: {text}");
     }
     assert!(text.contains(&format!("{closed}: ")), "{text}");
-    let told = String::from_utf8(members(&all[..2], &["--json"]).stdout).unwrap();
-    assert_eq!(told.lines().count(), 2);
-    assert!(told.lines().all(|line| line.starts_with('{')));
+    let json = String::from_utf8(members(&all[..2], &["--json"]).stdout).unwrap();
+    assert_eq!(json.lines().count(), 2);
+    assert!(json.lines().all(|line| line.starts_with('{')));
     assert_eq!(members(&[], &[]).status.code(), Some(2));
 }
