--- a/fleet/src/ledger/checker.rs
+++ b/fleet/src/ledger/checker.rs
@@ -1,5 +1,5 @@
-//! Judges a history by the protocol's rules. It knows nothing of a sender's inside, and what it calls a broken
-//! rule is sure: where an outsider can't tell, it says nothing.
+//! Checks a history against the protocol's rules. It uses only what is visible from outside the senders, and
+//! has no false positives by design: where an outside observer can't decide, it reports nothing.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -7,57 +7,57 @@
 use super::{Asked, CallEnd, Entry, Head, History, What};
 use crate::Micros;
 
-/// Every time limit of the protocol is so much longer on sockets.
-const LONGER: Micros = 50_000;
-/// After its time a message may have so long until it is lost.
+/// Added to every time limit of the protocol when it is measured on sockets.
+const SOCKET_SLACK: Micros = 50_000;
+/// Time after its deadline at which a message without an end counts as lost.
 const LOST_AFTER: Micros = 300_000;
-/// A sender that came back has so long until its notices are overdue.
+/// Time that a sender has for overdue notices after it has returned.
 const BACK_SLACK: Micros = 1_500_000;
-/// Calls that come so soon after a wait was told are let through.
+/// Calls within this time after a Retry-After was received are tolerated.
 const WAIT_SLACK: Micros = 100_000;
-/// A process that went on after a stop may finish the write that it was stopped in.
+/// A process resumed after a stop may finish the write that the stop interrupted.
 const RESUME_SLACK: Micros = 200_000;
-/// A message's end and a call of it may cross on two connections.
+/// The end of a message and a call with it may cross on two connections.
 const END_SLACK: Micros = 100_000;
-/// Datagrams hold at most so many bytes.
+/// Maximum size of a datagram, in bytes.
 pub const DATAGRAM_LIMIT: usize = 256;
 
-/// One try of a message, as outsiders saw it.
+/// One try of a message, as seen from outside.
 #[derive(Debug, Clone, Default)]
 pub struct Try {
     /// The id of the first try.
     pub root: String,
-    /// The sender that it was handed to.
+    /// The sender that it was handed in at.
     pub sender: usize,
     /// Its class.
     pub class: usize,
     /// Its destination.
     pub dest: u16,
-    /// When it was meant to be handed in.
+    /// Scheduled hand-in time.
     pub meant: Micros,
-    /// Until when it may be delivered.
+    /// Latest time of delivery.
     pub deadline: Micros,
-    /// What the client heard and when.
+    /// When the client received an answer, and its status.
     pub heard: Option<(Micros, u16)>,
-    /// The client stopped waiting: nothing under this id counts.
+    /// When the client stopped waiting: nothing under this id is counted.
     pub void: Option<Micros>,
-    /// Its effects, the calls that made them.
+    /// Its effects: when, and in which call.
     pub effects: Vec<(Micros, u64)>,
-    /// When the endpoint wrote that it is delivered.
+    /// When the endpoint confirmed its delivery.
     pub delivered: Option<Micros>,
-    /// Notices of its end.
+    /// Notices of its end: when, from which sender, and their status.
     pub notices: Vec<(Micros, usize, String)>,
-    /// Calls with it.
+    /// Numbers of the calls that contain it.
     pub calls: Vec<u64>,
 }
 
 impl Try {
-    /// The client has heard that it is taken on.
+    /// Whether the client was told that it is accepted.
     pub fn taken(&self) -> bool {
         matches!(self.heard, Some((_, 200 | 202))) && self.void.is_none()
     }
 
-    /// When it ended, by whichever end came first.
+    /// Time of its first end.
     pub fn ended(&self) -> Option<Micros> {
         let noticed = self.notices.first().map(|notice| notice.0);
         [self.delivered, noticed].into_iter().flatten().min()
@@ -66,27 +66,27 @@
 
 /// A call, as the endpoint saw it.
 #[derive(Debug, Clone)]
-pub struct Seen {
-    /// Who made it.
+pub struct SeenCall {
+    /// The sender that made it.
     pub sender: usize,
-    /// The destination that it came to.
+    /// The destination at which it arrived.
     pub dest: u16,
     /// The endpoint.
     pub endpoint: String,
-    /// The sender wrote its first byte.
+    /// When the sender wrote its first byte.
     pub first: Micros,
-    /// The sender wrote its last byte.
+    /// When the sender wrote its last byte.
     pub last: Micros,
-    /// It had come.
+    /// When it had arrived whole.
     pub came: Micros,
-    /// When its answer was written, came to the sender, and what it said.
+    /// When its answer was written, when that arrived at the sender, and the outcome per message.
     pub answered: Option<(Micros, Micros, Vec<CallEnd>)>,
     /// The messages in it.
     pub ids: Vec<String>,
 }
 
-impl Seen {
-    /// Whether, as far as the sender can know at that time, the message may have run in this call.
+impl SeenCall {
+    /// Whether the message may have run in this call, as far as the sender can know at time `at`.
     fn may_have_run(&self, id: &str, at: Micros) -> bool {
         match &self.answered {
             Some((written, _, ends)) if *written <= at => {
@@ -98,42 +98,42 @@
     }
 }
 
-/// A sender's life, as outsiders saw it.
+/// Starts and interruptions of one sender, as seen from outside.
 #[derive(Debug, Clone, Default)]
 pub struct Life {
-    /// Times at which nothing can be asked of it: away, stopped, or not long back. The end may be open.
+    /// Periods in which it owes nothing: down, stopped, or only just returned. The end may be open.
     pub excused: Vec<(Micros, Micros)>,
-    /// It is not to come back.
+    /// When it left for good.
     pub away: Option<Micros>,
-    /// Its folder was emptied then.
+    /// When its state folder was emptied.
     pub emptied: Vec<Micros>,
-    /// Its processes were started then: what the one before was told is forgotten.
+    /// When its processes were started; a new process has forgotten what its predecessor was told.
     pub starts: Vec<Micros>,
-    /// It went on after a stop.
+    /// When it was resumed after a stop.
     pub resumed: Vec<Micros>,
 }
 
-/// The history by message, by call and by sender.
+/// The history, indexed by message, call and sender.
 #[derive(Debug, Clone, Default)]
 pub struct Reading {
     /// Tries, by id.
     pub tries: BTreeMap<String, Try>,
-    /// Calls.
-    pub calls: BTreeMap<u64, Seen>,
-    /// Senders.
+    /// Calls, by number.
+    pub calls: BTreeMap<u64, SeenCall>,
+    /// Senders, by rank.
     pub lives: Vec<Life>,
-    /// Tries that no client hands in again.
+    /// Messages that their client will not retry, by the id of the first try.
     pub closed: HashSet<String>,
-    /// When the run ended; what has its time after that is not judged.
+    /// When the run ended; what falls due afterwards is not judged.
     pub over: Micros,
 }
 
 impl Reading {
-    /// Reads a history.
+    /// Indexes a history.
     pub fn of(history: &History) -> Self {
         let mut reading = Self { lives: vec![Life::default(); history.head.senders], ..Self::default() };
         let mut down: HashMap<usize, Micros> = HashMap::new();
-        // After a handover the process before ends beside one that serves.
+        // After a handover the old process ends while its successor already serves.
         let mut newest: HashMap<usize, u32> = HashMap::new();
         reading.over = history.entries.last().map_or(0, |entry| entry.t);
         for Entry { t, what } in &history.entries {
@@ -166,7 +166,7 @@
                     }
                     let (endpoint, ids) = (endpoint.clone(), ids.clone());
                     let (sender, dest, first, last) = (*sender, *dest, *first, *last);
-                    let seen = Seen { sender, dest, endpoint, first, last, came: t, answered: None, ids };
+                    let seen = SeenCall { sender, dest, endpoint, first, last, came: t, answered: None, ids };
                     reading.calls.insert(*call, seen);
                 }
                 What::Effect { call, id, repeat } => {
@@ -201,11 +201,11 @@
                 What::Signal { sender, generation, .. } | What::Ended { sender, generation, .. }
                     if newest.get(sender) != Some(generation) => {}
                 What::Signal { sender, signal, .. } => match signal.as_str() {
-                    "SIGCONT" => reading.back(&mut down, *sender, t, true),
+                    "SIGCONT" => reading.mark_back(&mut down, *sender, t, true),
                     _ => drop(down.entry(*sender).or_insert(t)),
                 },
                 What::Ended { sender, .. } => drop(down.entry(*sender).or_insert(t)),
-                What::Ready { sender, .. } => reading.back(&mut down, *sender, t, false),
+                What::Ready { sender, .. } => reading.mark_back(&mut down, *sender, t, false),
                 What::Away { sender } => {
                     if let Some(life) = reading.lives.get_mut(*sender) {
                         life.away = Some(t);
@@ -222,7 +222,7 @@
         reading
     }
 
-    fn back(&mut self, down: &mut HashMap<usize, Micros>, sender: usize, t: Micros, resumed: bool) {
+    fn mark_back(&mut self, down: &mut HashMap<usize, Micros>, sender: usize, t: Micros, resumed: bool) {
         let Some(life) = self.lives.get_mut(sender) else { return };
         if let Some(since) = down.remove(&sender) {
             life.excused.push((since, t + BACK_SLACK));
@@ -232,18 +232,19 @@
         }
     }
 
-    /// Whether a sender that had taken a message on lost its folder, or went for good, before the message ended.
+    /// Whether the sender that had accepted a message lost its state folder, or left for good, before the
+    /// message ended.
     pub fn orphaned(&self, seen: &Try) -> bool {
         self.orphaned_at(seen).is_some()
     }
 
-    /// When that was.
+    /// When a message became orphaned, see [`Reading::orphaned`].
     pub fn orphaned_at(&self, seen: &Try) -> Option<Micros> {
         let life = self.lives.get(seen.sender)?;
         let since = seen.heard.map_or(0, |heard| heard.0);
-        // What ended before is not orphaned; what another ended afterwards was.
-        let open = |t: &Micros| since <= *t && seen.ended().is_none_or(|ended| ended > *t);
-        life.away.into_iter().chain(life.emptied.iter().copied()).filter(open).min()
+        // A message that ended before the loss is not orphaned; one that another sender ended after it is.
+        let still_open = |t: &Micros| since <= *t && seen.ended().is_none_or(|ended| ended > *t);
+        life.away.into_iter().chain(life.emptied.iter().copied()).filter(still_open).min()
     }
 
     /// When another sender first called for an orphaned message.
@@ -253,8 +254,8 @@
         calls.filter(|call| call.sender != seen.sender && call.first >= at).map(|call| call.first).min()
     }
 
-    /// Whether another could still deliver an orphaned message: it had so much time left, and no call of its owner's
-    /// may have run where it must not run twice.
+    /// Whether another sender could still deliver an orphaned message: it had at least `left` to its
+    /// deadline, and it is not an at-most-once message that may have run in one of its owner's calls.
     pub fn deliverable(&self, seen: &Try, once: bool, left: Micros) -> bool {
         let Some(at) = self.orphaned_at(seen) else { return false };
         let calls = seen.calls.iter().filter_map(|call| self.calls.get(call));
@@ -264,39 +265,40 @@
     }
 }
 
-/// Judges a history.
+/// Checks a history against all rules.
 pub fn check(history: &History) -> Vec<Breach> {
     let reading = Reading::of(history);
     let mut all = Vec::new();
     for (id, seen) in &reading.tries {
-        message(&history.head, &reading, id, seen, &mut all);
+        check_message(&history.head, &reading, id, seen, &mut all);
     }
-    standing(history, &reading, &mut all);
+    check_run(history, &reading, &mut all);
     all.extend(super::views::read(history).1);
     all.extend(super::reads::check(history));
     all.sort_by_key(|breach: &Breach| breach.t);
     all
 }
 
-fn message(head: &Head, reading: &Reading, id: &str, seen: &Try, all: &mut Vec<Breach>) {
+/// Checks the rules that concern one message.
+fn check_message(head: &Head, reading: &Reading, id: &str, seen: &Try, all: &mut Vec<Breach>) {
     let mut broken = |rule, t, what: String| all.push(Breach { rule, t, id: Some(id.to_owned()), what });
     let class = head.classes.get(seen.class);
-    let calls: Vec<&Seen> = seen.calls.iter().filter_map(|call| reading.calls.get(call)).collect();
+    let calls: Vec<&SeenCall> = seen.calls.iter().filter_map(|call| reading.calls.get(call)).collect();
 
-    let due = seen.deadline + LOST_AFTER + LONGER;
+    let due = seen.deadline + LOST_AFTER + SOCKET_SLACK;
     let late = seen.ended().is_none_or(|ended| ended > due);
     if seen.taken() && late && due < reading.over && !reading.orphaned(seen) {
         let life = reading.lives.get(seen.sender);
         let excused = life.is_some_and(|life| {
-            let covers = life.excused.iter().filter(|(from, to)| *from <= due && due < *to);
-            // An end that came while it was excused is in time.
-            covers.into_iter().any(|(_, to)| seen.ended().is_some_and(|e| e <= *to) || reading.over <= *to)
+            let excuses = life.excused.iter().filter(|(from, to)| *from <= due && due < *to);
+            // An end within an excused period is in time.
+            excuses.into_iter().any(|(_, to)| seen.ended().is_some_and(|e| e <= *to) || reading.over <= *to)
         });
         if !excused {
             let how = seen.ended().map_or("it has no end".to_owned(), |ended| {
-                format!("its end came {} ms after its time", (ended - seen.deadline) / 1000)
+                format!("it ended {} ms after its deadline", (ended - seen.deadline) / 1000)
             });
-            broken(Rule::Lost, due, format!("taken on by sender {}, and {how}", seen.sender));
+            broken(Rule::Lost, due, format!("accepted by sender {}, but {how}", seen.sender));
         }
     }
 
@@ -304,34 +306,39 @@
         let ends: HashSet<&str> = seen.notices.iter().map(|notice| notice.2.as_str()).collect();
         let last = seen.notices.last().map_or(0, |notice| notice.0);
         if ends.len() > 1 {
-            broken(Rule::OneEnd, last, "told as deferred and as undeliverable".into());
+            broken(Rule::OneEnd, last, "reported both as deferred and as undeliverable".into());
         }
         if let (true, Some(effect)) = (ends.contains("deferred"), seen.effects.first()) {
             let call = effect.1;
-            broken(Rule::OneEnd, last.max(effect.0), format!("deferred, and took effect in call {call}"));
+            broken(Rule::OneEnd, last.max(effect.0), format!("deferred, but took effect in call {call}"));
         }
         if let Some((refused, 429 | 503)) = seen.heard
             && let Some(call) = calls.iter().find(|call| call.first > refused + END_SLACK)
         {
-            broken(Rule::OneEnd, call.first, "called after it was refused to its client".into());
+            broken(Rule::OneEnd, call.first, "called after its client was told of the refusal".into());
         }
         if let Some(ended) = seen.ended()
             && let Some(call) = calls.iter().find(|call| call.first > ended + END_SLACK)
             && reading.lives.get(call.sender).is_some_and(|life| {
                 let soon = |t: &Micros| *t <= call.first && call.first <= t + BACK_SLACK;
-                // A process that came back may not know of an end that its last one did not write down.
+                // A restarted process may not know of an end that its predecessor had not written to its
+                // journal.
                 !life.starts.iter().any(|t| *t > ended) && !life.resumed.iter().any(soon)
             })
             && seen.notices.first().is_some_and(|notice| notice.0 == ended)
         {
             let sender = call.sender;
-            broken(Rule::OneEnd, call.first, format!("called by sender {sender} after its end was told"));
+            broken(
+                Rule::OneEnd,
+                call.first,
+                format!("called by sender {sender} after its end had been reported"),
+            );
         }
     }
 
     if calls.len() > head.try_limit {
         let first = calls.get(head.try_limit).map_or(0, |call| call.first);
-        broken(Rule::Attempts, first, format!("{} calls of {} allowed", calls.len(), head.try_limit));
+        broken(Rule::Attempts, first, format!("{} calls, {} allowed", calls.len(), head.try_limit));
     }
 
     let Some(class) = class else { return };
@@ -345,15 +352,15 @@
                 broken(
                     Rule::Duplicate,
                     call.first,
-                    format!("called again by sender {sender} though it may have run"),
+                    format!("called again by sender {sender} although it may have run"),
                 );
             }
         }
     } else if class.window > 0 {
         let ran: Vec<_> = calls.iter().filter(|call| call.may_have_run(id, Micros::MAX)).collect();
         if let Some(first) = ran.first() {
-            // The destination counts from when it came; the sender from when it wrote.
-            let until = first.first + class.window + LONGER;
+            // The destination counts the window from the arrival of the call, the sender from its first byte.
+            let until = first.first + class.window + SOCKET_SLACK;
             for call in calls.iter().filter(|call| call.first > until) {
                 let after = (call.first - first.first) / 1000;
                 broken(Rule::Window, call.first, format!("called again {after} ms after it may have run"));
@@ -362,18 +369,18 @@
     }
 }
 
-/// Rules that are not of one message.
-fn standing(history: &History, reading: &Reading, all: &mut Vec<Breach>) {
+/// Checks the rules that don't concern a single message.
+fn check_run(history: &History, reading: &Reading, all: &mut Vec<Breach>) {
     let head = &history.head;
-    // Waits by sender and destination: when it came to know, from when, until when.
+    // Retry-After by sender and destination: when the sender received it, and until when it lasts.
     let mut waits: HashMap<(usize, u16), Vec<(Micros, Micros)>> = HashMap::new();
     let mut leaving: HashMap<(usize, &str), Micros> = HashMap::new();
     let mut ready: HashMap<usize, u32> = HashMap::new();
     let mut broken = |rule, t, id: Option<&String>, what| all.push(Breach { rule, t, id: id.cloned(), what });
-    let forgot = |sender: usize, from: Micros, to: Micros| {
+    let restarted = |sender: usize, from: Micros, to: Micros| {
         reading.lives.get(sender).is_some_and(|l| l.starts.iter().any(|t| from <= *t && *t <= to))
     };
-    let stopped = |sender: usize, at: Micros| {
+    let just_resumed = |sender: usize, at: Micros| {
         reading.lives.get(sender).is_some_and(|l| l.resumed.iter().any(|t| *t <= at && at < t + RESUME_SLACK))
     };
     for Entry { t, what } in &history.entries {
@@ -394,30 +401,33 @@
             What::Call { sender, endpoint, dest, ids, first, .. } => {
                 let told = waits.get(&(*sender, *dest)).into_iter().flatten();
                 for (known, until) in told {
-                    let within = *first > known + WAIT_SLACK + LONGER && *first + 1_000 < *until;
-                    if within && !forgot(*sender, *known, *first) && !stopped(*sender, *first) {
+                    let within = *first > known + WAIT_SLACK + SOCKET_SLACK && *first + 1_000 < *until;
+                    if within && !restarted(*sender, *known, *first) && !just_resumed(*sender, *first) {
                         let left = (until - first) / 1000;
-                        let what = format!("sender {sender} called {endpoint} with {left} ms left to wait");
+                        let what = format!(
+                            "sender {sender} called {endpoint} {left} ms before its Retry-After had elapsed"
+                        );
                         broken(Rule::Wait, *first, ids.first(), what);
                         break;
                     }
                 }
                 if let Some(told) = leaving.get(&(*sender, endpoint.as_str()))
-                    && *first > told + head.drain_grace + LONGER
-                    && !stopped(*sender, *first)
+                    && *first > told + head.drain_grace + SOCKET_SLACK
+                    && !just_resumed(*sender, *first)
                 {
                     let after = (first - told) / 1000;
-                    let what = format!("sender {sender} called {endpoint} {after} ms after it was told");
+                    let what =
+                        format!("sender {sender} called {endpoint} {after} ms after its drain or removal");
                     broken(Rule::Drain, *first, ids.first(), what);
                 }
                 for id in ids {
                     match reading.tries.get(id) {
                         None => {
-                            let what = format!("sender {sender} sent what no client handed in");
+                            let what = format!("sender {sender} sent a message that no client handed in");
                             broken(Rule::Misdirected, *first, Some(id), what);
                         }
                         Some(seen) if seen.dest != *dest => {
-                            let what = format!("for destination {}, sent to {dest}", seen.dest);
+                            let what = format!("meant for destination {}, sent to {dest}", seen.dest);
                             broken(Rule::Misdirected, *first, Some(id), what);
                         }
                         Some(_) => {}
@@ -436,13 +446,13 @@
             }
             What::Ready { sender, generation } => drop(ready.insert(*sender, *generation)),
             What::Oversize { sender, bytes } => {
-                broken(Rule::Oversize, *t, None, format!("sender {sender} sent {bytes} bytes"));
+                broken(Rule::Oversize, *t, None, format!("sender {sender} sent a datagram of {bytes} bytes"));
             }
             What::Ended { sender, asked, code, generation } => {
                 let well = match asked {
                     Asked::Kill => true,
                     Asked::Terminate => *code == Some(0),
-                    // One that has handed over may end when it likes.
+                    // A process that has handed over may end at any time.
                     Asked::No => {
                         *code == Some(0) && ready.get(sender).is_some_and(|newer| newer > generation)
                     }
@@ -458,7 +468,9 @@
                 let calls: u64 = by.iter().map(|(_, calls, _)| calls).sum();
                 let knew: u64 = by.iter().filter(|by| by.2).map(|(_, calls, _)| calls).sum();
                 if calls > 0 && knew * 3 >= calls * 2 {
-                    let what = format!("destination {dest} fell over, {knew} of {calls} calls by who knew");
+                    let what = format!(
+                        "destination {dest} overloaded, {knew} of {calls} calls by senders that saw it fail"
+                    );
                     broken(Rule::Fallback, *t, None, what);
                 }
             }
--- a/fleet/src/ledger/figures.rs
+++ b/fleet/src/ledger/figures.rs
@@ -1,4 +1,4 @@
-//! Figures of a history: what became of each message, when, and what it took.
+//! Statistics of a history: the outcome of each message, its latency, and the work it took.
 
 use std::collections::BTreeMap;
 
@@ -9,51 +9,51 @@
 use super::{History, What};
 use crate::Micros;
 
-/// A message that had so much time left when its sender was lost could still be delivered by another.
-const LEFT: Micros = 3_000_000;
+/// Minimum time to the deadline at the loss of its sender for a message to count as still deliverable by
+/// another.
+const MIN_TIME_LEFT: Micros = 3_000_000;
 
-/// What became of a message, all its tries together.
+/// The outcome of a message over all its tries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fate {
     /// Delivered within its aim.
     InTime,
-    /// Delivered later.
+    /// Delivered after its aim.
     Late,
-    /// Refused, for the last time.
+    /// Its last try was refused or deferred.
     Deferred,
     /// Failed.
     Failed,
-    /// It had no end that anybody heard of.
+    /// No end was reported for it.
     Without,
 }
 
-/// Figures of one class, or of all.
+/// Statistics of one class, or of all classes.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Tally {
     /// Messages.
     pub messages: u64,
     /// Delivered within the aim.
     pub in_time: u64,
-    /// Delivered later.
+    /// Delivered after the aim.
     pub late: u64,
-    /// Refused for the last time.
+    /// Their last try was refused or deferred.
     pub deferred: u64,
     /// Failed.
     pub failed: u64,
-    /// Without an end.
+    /// Without a reported end.
     pub without: u64,
-    /// From the time that it was meant to be handed in until it was delivered, ms: median, 90th, 99th
-    /// percentile, most.
+    /// From the scheduled hand-in to the delivery, ms: median, 90th percentile, 99th percentile, maximum.
     pub latency_ms: [f64; 4],
 }
 
-/// One second of a run, by the time that messages were meant to be handed in.
+/// One second of a run; messages belong to the second of their scheduled hand-in.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Second {
-    /// What became of them: in time, late, deferred, failed, without an end.
+    /// Messages by outcome: in time, late, deferred, failed, without an end.
     pub fates: [u64; 5],
-    /// Messages taken on that have no end yet, at the second's end.
+    /// Accepted messages without an end, counted in each second until they end.
     pub owed: u64,
     /// Datagrams sent between senders.
     pub datagrams: u64,
@@ -61,7 +61,7 @@
     pub bytes: u64,
 }
 
-/// Figures of a run.
+/// Statistics of a run.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Figures {
     /// All messages.
@@ -70,46 +70,47 @@
     pub classes: BTreeMap<String, Tally>,
     /// By second.
     pub seconds: Vec<Second>,
-    /// Messages owed by a sender that went for good or lost its folder.
+    /// Messages that were in hand at a sender when it left for good or lost its state folder.
     pub orphaned: u64,
-    /// Of these, delivered or ended in their time all the same.
+    /// Of these, delivered or otherwise ended in time.
     pub orphaned_ended: u64,
     /// Of these, delivered.
     pub orphaned_delivered: u64,
-    /// Orphaned with three seconds or more left, and no call of their owner's that must not be repeated.
+    /// Orphaned with at least three seconds left, and without a call of their owner's that must not be
+    /// repeated.
     pub deliverable: u64,
     /// Of these, delivered.
     pub deliverable_delivered: u64,
-    /// From the loss of an orphaned message's sender to its first call by another, ms, in order.
+    /// From the loss of an orphaned message's sender to its first call by another sender, ms, sorted.
     pub takeover_ms: Vec<f64>,
-    /// Tries that a message took on the average.
+    /// Mean number of tries per message.
     pub tries: f64,
-    /// Calls that came to endpoints.
+    /// Calls that arrived at endpoints.
     pub calls: u64,
-    /// Effects that a destination dropped by their key.
+    /// Effects that a destination dropped as duplicates by their key.
     pub repeats: u64,
-    /// Notices that told an end a second time.
+    /// Notices that repeated an end already reported.
     pub second_notices: u64,
-    /// Datagrams sent, their bytes, those that arrived, and those given up by the bench.
+    /// Datagrams sent, their bytes, datagrams that arrived, and datagrams dropped by the bench.
     pub datagrams: [u64; 4],
-    /// What the start of the tier took.
+    /// Statistics of the start of the tier.
     pub start: super::starts::Starts,
-    /// Reads, by plan.
+    /// Statistics of the reads, by plan.
     pub reads: Vec<super::reads::Reads>,
-    /// What the senders said of each other, where they keep a view.
+    /// Statistics of the membership views, where the senders keep them.
     pub views: super::views::Views,
     /// The run's length, seconds.
     pub length_s: f64,
 }
 
-fn fate(class_aim: Micros, tries: &[&Try]) -> (Fate, Option<Micros>) {
+fn outcome(class_aim: Micros, tries: &[&Try]) -> (Fate, Option<Micros>) {
     let Some(first) = tries.first() else { return (Fate::Without, None) };
     if let Some(at) = tries.iter().filter(|seen| seen.void.is_none()).filter_map(|seen| seen.delivered).min()
     {
         let took = at.saturating_sub(first.meant);
         return (if took <= class_aim { Fate::InTime } else { Fate::Late }, Some(took));
     }
-    // The last try that counts says how it ended.
+    // The last try that counts determines the outcome.
     let Some(last) = tries.iter().rfind(|seen| seen.void.is_none()) else { return (Fate::Without, None) };
     let noticed = last.notices.first().map(|notice| notice.2.as_str());
     let fate = match (last.heard, noticed) {
@@ -133,14 +134,14 @@
         } += 1;
     }
 
-    /// A count as a share of all messages, in a hundred.
+    /// A count as a percentage of all messages.
     pub fn share(&self, count: u64) -> f64 {
         if self.messages == 0 { 0.0 } else { count as f64 * 100.0 / self.messages as f64 }
     }
 }
 
 impl Figures {
-    /// Of this history.
+    /// Computes the statistics of a history.
     pub fn of(history: &History) -> Self {
         let reading = Reading::of(history);
         let views = super::views::read(history).0;
@@ -156,7 +157,7 @@
         for tries in roots.values() {
             let class = tries.first().and_then(|seen| history.head.classes.get(seen.class));
             let Some(class) = class else { continue };
-            let (fate, took) = fate(class.aim, tries);
+            let (fate, took) = outcome(class.aim, tries);
             figures.all.add(fate);
             messages.push((tries.first().map_or(0, |seen| seen.meant), fate == Fate::InTime));
             figures.classes.entry(class.name.clone()).or_default().add(fate);
@@ -200,7 +201,7 @@
                     figures.orphaned_delivered +=
                         u64::from(seen.delivered.is_some_and(|at| at <= seen.deadline));
                     let once = history.head.classes.get(seen.class).is_some_and(|class| class.once);
-                    if reading.deliverable(seen, once, LEFT) {
+                    if reading.deliverable(seen, once, MIN_TIME_LEFT) {
                         figures.deliverable += 1;
                         figures.deliverable_delivered +=
                             u64::from(seen.delivered.is_some_and(|at| at <= seen.deadline));
--- a/fleet/src/ledger/mod.rs
+++ b/fleet/src/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! The history of all that outsiders saw, and what is made of it.
+//! The history of a run as observed from outside the senders, and its evaluation.
 
 pub mod checker;
 pub mod figures;
@@ -21,27 +21,29 @@
 
 use crate::Micros;
 
-/// Entries that may wait to be written; beyond that they are dropped, and the run is not to be trusted.
-const WAITING: usize = 1 << 16;
+/// Capacity of the queue of entries to be written. Beyond it entries are dropped, which makes the run's
+/// result untrustworthy.
+const QUEUE_CAPACITY: usize = 1 << 16;
 
 /// A class of messages, as the checker needs it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ClassRules {
     /// Its name.
     pub name: String,
-    /// It must never take effect twice.
+    /// Its messages must never take effect twice.
     pub once: bool,
-    /// Wanted within so long.
+    /// Time from hand-in within which delivery is wanted.
     pub aim: Micros,
-    /// How long a destination remembers a key, from the first attempt that may have run; 0 without keys.
+    /// How long a destination remembers a key, counted from the first attempt that may have run; 0 without
+    /// keys.
     pub window: Micros,
 }
 
-/// How a process came to its end.
+/// What had been asked of a process that ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Asked {
-    /// Nobody asked it to.
+    /// It was not asked to end.
     No,
     /// SIGTERM had been sent.
     Terminate,
@@ -49,15 +51,15 @@
     Kill,
 }
 
-/// What an outsider saw.
+/// An observed event.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "ev", rename_all = "snake_case")]
 pub enum What {
-    /// A client hands a message in; the time is when the request's last byte was written.
+    /// A client handed in a message; the entry's time is when the request's last byte was written.
     Offered {
         /// The `Req-Id`.
         id: String,
-        /// The id of its first try, under which all tries are one message.
+        /// The id of its first try, which identifies the message across all its tries.
         root: String,
         /// The sender.
         sender: usize,
@@ -65,37 +67,37 @@
         class: usize,
         /// The destination.
         dest: u16,
-        /// When it was meant to be handed in; the first try's counts for latency (open loop).
+        /// Scheduled hand-in time; that of the first try counts for latency (open loop).
         meant: Micros,
-        /// Until when it may be delivered.
+        /// Latest time of delivery.
         deadline: Micros,
     },
-    /// The client heard this status; 0 when the connection ended without an answer.
+    /// The client received this status; 0 when the connection ended without an answer.
     Heard {
         /// The `Req-Id`.
         id: String,
         /// HTTP status.
         status: u16,
     },
-    /// The client stopped waiting: what is sent under this id from now on counts for nothing.
+    /// The client stopped waiting: whatever is sent under this id from now on is not counted.
     GaveUp {
         /// The `Req-Id`.
         id: String,
     },
-    /// The client will not hand the message in again.
+    /// The client will not retry the message.
     Closed {
         /// The id of the first try.
         root: String,
     },
-    /// The last byte of a call came to an endpoint.
+    /// The last byte of a call arrived at an endpoint.
     Call {
         /// Its number in the run.
         call: u64,
-        /// Who made it.
+        /// The sender that made it.
         sender: usize,
         /// The endpoint's name.
         endpoint: String,
-        /// The destination that the endpoint belongs to.
+        /// The endpoint's destination.
         dest: u16,
         /// The messages in it.
         ids: Vec<String>,
@@ -110,66 +112,66 @@
         call: u64,
         /// The message.
         id: String,
-        /// The destination remembered its key and dropped it.
+        /// The destination remembered its key and dropped it as a duplicate.
         repeat: bool,
     },
-    /// An answer to a call was written to the sender, whole.
+    /// A whole answer to a call was written to the sender.
     Answered {
         /// The call.
         call: u64,
-        /// HTTP status; 0 for what can't be read.
+        /// HTTP status; 0 for an unreadable answer.
         status: u16,
-        /// When the endpoint wrote it; the entry's time is when it came to the sender.
+        /// When the endpoint wrote it; the entry's time is when it arrived at the sender.
         written: Micros,
-        /// The wait that it told.
+        /// Its Retry-After, if it has one.
         wait: Option<Micros>,
-        /// For each message of the call whether it never ran, was delivered, or may have run.
+        /// For each message of the call: never ran, delivered, or may have run.
         ends: Vec<CallEnd>,
     },
-    /// A notice came to the platform.
+    /// A notice arrived at the platform.
     Notice {
-        /// From whom.
+        /// The sender that sent it.
         sender: usize,
         /// The message.
         id: String,
         /// `undeliverable` or `deferred`.
         status: String,
     },
-    /// Discovery wrote an endpoint's state to a sender.
+    /// Discovery reported an endpoint's state to a sender.
     Told {
-        /// To whom.
+        /// The sender.
         sender: usize,
         /// The endpoint's name.
         endpoint: String,
         /// `active`, `leaving` or `left`.
         status: String,
     },
-    /// A sender asked for the list.
+    /// A sender requested the list of endpoints.
     ListCall {
-        /// Which.
+        /// The sender.
         sender: usize,
-        /// It is a watch, which may be held.
+        /// It is a watch (long poll), which may be held.
         held: bool,
-        /// 200 if it was borne, 503 if it was turned away, 0 if the service is silent.
+        /// 200 if it was accepted, 503 if it was rejected, 0 if the service is silent.
         status: u16,
     },
     /// A sender opened a connection to an endpoint.
     Connected {
-        /// Which.
+        /// The sender.
         sender: usize,
         /// The endpoint's name.
         endpoint: String,
     },
-    /// A destination came back from an outage, cold.
+    /// A destination returned from an outage, cold.
     Cold {
         /// The destination.
         dest: u16,
     },
-    /// A destination was sent more than it can bear on its cold return, and stays down.
+    /// A destination was overloaded on its cold return, and stays down.
     Fell {
         /// The destination.
         dest: u16,
-        /// Calls within the window by sender, and whether that one had seen it fail.
+        /// Per sender: its calls within the overload window, and whether it had seen the destination fail.
         by: Vec<(usize, u64, bool)>,
     },
     /// A fault begins or ends.
@@ -178,87 +180,87 @@
         number: usize,
         /// It begins.
         on: bool,
-        /// In words.
+        /// Its description.
         what: String,
-        /// It separates senders from each other altogether.
+        /// It blocks all traffic between some senders.
         #[serde(default)]
         cuts: bool,
     },
-    /// What a sender says of the fleet, where it keeps a view.
+    /// A sender's membership view, where the senders keep one.
     View {
-        /// Whose view.
+        /// The sender.
         sender: usize,
-        /// Of its processes.
+        /// Number of the process.
         generation: u32,
-        /// A letter for each member: joining, alive, suspect, dead, left.
+        /// One letter per member, the first of its state: joining, alive, suspect, dead, left.
         states: String,
-        /// The same for views that are the same.
+        /// Digest of the view; equal views have equal digests.
         digest: String,
-        /// It hears nobody.
+        /// It hears from no member.
         isolated: bool,
-        /// It sees at most half.
+        /// It sees at most half of the members.
         minority: bool,
     },
     /// A process was started.
     Started {
         /// The sender.
         sender: usize,
-        /// Of its processes, from 0.
+        /// Number of the process among the sender's processes, from 0.
         generation: u32,
-        /// The folder was emptied before.
+        /// Its state folder was emptied before the start.
         empty: bool,
     },
-    /// A process answers that it takes clients.
+    /// A process reports that it accepts clients.
     Ready {
         /// The sender.
         sender: usize,
-        /// Of its processes.
+        /// Number of the process.
         generation: u32,
     },
     /// A process was sent a signal.
     Signal {
         /// The sender.
         sender: usize,
-        /// Of its processes.
+        /// Number of the process.
         generation: u32,
-        /// Its name.
+        /// The signal's name.
         signal: String,
     },
     /// A process ended.
     Ended {
         /// The sender.
         sender: usize,
-        /// Of its processes.
+        /// Number of the process.
         generation: u32,
-        /// Whether that was asked for.
+        /// Whether it had been asked to end.
         asked: Asked,
-        /// The exit code, if it ended by itself.
+        /// The exit code, unless a signal ended it.
         code: Option<i32>,
     },
-    /// A sender is not to come back in this run.
+    /// A sender will not return in this run.
     Away {
         /// The sender.
         sender: usize,
     },
-    /// A datagram over the limit was sent.
+    /// A datagram above the size limit was sent.
     Oversize {
-        /// By whom.
+        /// The sender that sent it.
         sender: usize,
-        /// Its size.
+        /// Its size in bytes.
         bytes: usize,
     },
-    /// Datagrams of a second, all links together.
+    /// Datagram counts of one second, summed over all links.
     Datagrams {
         /// Sent by senders.
         sent: u64,
         /// Bytes sent.
         bytes: u64,
-        /// That reached the other end, repeats among them.
+        /// Delivered to the other end, including repeats made by a fault.
         arrived: u64,
-        /// Given up because too many were under way.
+        /// Dropped by the bench because too many were in flight.
         overflow: u64,
     },
-    /// A session's message was taken on.
+    /// A session's message was accepted.
     Wrote {
         /// The session.
         session: usize,
@@ -269,62 +271,64 @@
         /// The answer carried a token.
         token: bool,
     },
-    /// A session asked what became of some of its messages; the time is when the answer had come.
+    /// A session queried the status of some of its messages; the entry's time is when the answer had arrived.
     Read {
         /// The session.
         session: usize,
         /// Its plan.
         plan: usize,
-        /// Who was asked.
+        /// The sender that was asked.
         sender: usize,
-        /// When.
+        /// When the request was sent.
         sent: Micros,
-        /// HTTP status; 0 where no answer came.
+        /// HTTP status; 0 without an answer.
         status: u16,
-        /// Tokens went with it, which cover what the session has written and was told from then on.
+        /// Set if the request carried tokens: they cover what the session has written and read from this time
+        /// on.
         since: Option<Micros>,
-        /// A token came back.
+        /// The answer carried a token.
         given: bool,
-        /// The messages that were asked for.
+        /// The messages that were queried.
         asked: Vec<String>,
-        /// What was told of them.
+        /// The answer's rows.
         rows: Vec<Row>,
-        /// It says that parts are missing.
+        /// The answer states that parts are missing.
         partial: bool,
-        /// It says that it is less than the plan has.
+        /// The answer states that it falls short of the plan.
         less: bool,
-        /// Senders whose parts it says are missing.
+        /// Senders whose parts the answer lists as missing.
         missing: Vec<usize>,
-        /// The logs that it says it was made from.
+        /// The logs that the answer lists as its sources.
         logs: Vec<Log>,
     },
-    /// The run's end; nothing is overdue that has its time after it.
+    /// The run's end; what falls due after it is not overdue.
     Over,
 }
 
-/// A message, as a sender told what it knows of it.
+/// A message's status in a sender's answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// The `Req-Id`.
     pub id: String,
-    /// What has happened to it, as a set: taken 1, calling 2, deferred 4, undeliverable 8, unknown 16, delivered 32.
+    /// What has happened to it, as a bit set: taken 1, calling 2, deferred 4, undeliverable 8, unknown 16,
+    /// delivered 32.
     pub states: u8,
-    /// Calls begun.
+    /// Attempts begun.
     pub attempts: u16,
 }
 
-/// A sender's log, as an answer says that it was read.
+/// A sender's log that an answer lists as a source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Log {
-    /// Whose.
+    /// The sender that owns it.
     pub owner: usize,
-    /// All is in it that had happened there by then.
+    /// It contains everything that had happened at its owner by this time.
     pub as_of: Micros,
-    /// What was taken on before may have been left out.
+    /// Messages accepted before this time may be absent.
     pub known_since: Micros,
 }
 
-/// What an answer says of one message.
+/// The outcome of one message in a call's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallEnd {
@@ -336,17 +340,17 @@
     Never,
 }
 
-/// An entry of the history.
+/// One entry of the history.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// When.
+    /// Time of the event.
     pub t: Micros,
-    /// What.
+    /// The event.
     #[serde(flatten)]
     pub what: What,
 }
 
-/// The history's first line: what was played, with the figures that the rules need.
+/// The history's first line: what was run, with the parameters that the rules need.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Head {
     /// Scenario.
@@ -357,19 +361,20 @@
     pub senders: usize,
     /// Classes.
     pub classes: Vec<ClassRules>,
-    /// Attempts for a message at most.
+    /// Maximum attempts for a message.
     pub try_limit: usize,
-    /// Nothing new goes to an endpoint so long after the sender was told that it drains or is gone.
+    /// Grace period after a sender was told that an endpoint drains or is gone; no new call goes to it
+    /// afterwards.
     pub drain_grace: Micros,
-    /// The period of the senders' view of the fleet, where they keep one.
+    /// The protocol period of the senders' membership views, where they keep them.
     #[serde(default)]
     pub view_period: Option<Micros>,
-    /// The plans of those who read, where there are any.
+    /// The plans of the sessions, where there are any.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub plans: Vec<reads::PlanRules>,
 }
 
-/// Takes down what outsiders see, from any task, without waiting.
+/// Records events from any task without blocking.
 #[derive(Clone)]
 pub struct Recorder {
     start: Instant,
@@ -379,17 +384,17 @@
 }
 
 impl Recorder {
-    /// Begins a history in a file; it ends with [`What::Over`].
+    /// Creates the history file and starts its writer thread, which ends with [`What::Over`].
     ///
     /// # Errors
-    /// Fails when the file can't be made.
+    /// Fails when the file can't be created.
     pub fn begin(path: &Path, head: &Head) -> io::Result<(Self, JoinHandle<io::Result<()>>)> {
         let mut file = BufWriter::new(File::create(path)?);
         serde_json::to_writer(&mut file, head)?;
         file.write_all(b"\n")?;
-        let (entries, taken) = sync_channel::<Entry>(WAITING);
+        let (entries, queued) = sync_channel::<Entry>(QUEUE_CAPACITY);
         let writer = std::thread::spawn(move || {
-            for entry in taken {
+            for entry in queued {
                 serde_json::to_writer(&mut file, &entry)?;
                 file.write_all(b"\n")?;
                 if entry.what == What::Over {
@@ -408,17 +413,17 @@
         Ok((recorder, writer))
     }
 
-    /// The time of the run.
+    /// The time since the start of the run.
     pub fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
 
-    /// That time for timers.
+    /// Converts a time of the run for use in timers.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
         tokio::time::Instant::from_std(self.start + std::time::Duration::from_micros(at))
     }
 
-    /// Waits until then, and takes down how much later it became.
+    /// Waits until this time, and records how late the wake-up was.
     pub async fn until(&self, at: Micros) {
         if at <= self.now() {
             return;
@@ -427,30 +432,30 @@
         self.late(self.now().saturating_sub(at));
     }
 
-    /// The bench was so much later with something than it should have been.
+    /// Records that the bench itself was late by this much.
     pub fn late(&self, by: Micros) {
         if let Ok(mut lateness) = self.lateness.lock() {
             lateness.saturating_record(by);
         }
     }
 
-    /// Lateness of the bench itself, microseconds: median, 99th percentile, most.
+    /// Lateness of the bench itself in microseconds: median, 99th percentile, maximum.
     pub fn lateness(&self) -> [u64; 3] {
         let lateness = self.lateness.lock();
         lateness.map_or([0; 3], |l| [l.value_at_quantile(0.5), l.value_at_quantile(0.99), l.max()])
     }
 
-    /// Entries that could not be kept.
+    /// Entries dropped because the queue was full.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Takes something down that was seen now.
+    /// Records an event that happens now.
     pub fn see(&self, what: What) {
         self.saw(self.now(), what);
     }
 
-    /// Takes something down that was seen then.
+    /// Records an event that happened at time `t`.
     pub fn saw(&self, t: Micros, what: What) {
         if self.entries.try_send(Entry { t, what }).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
@@ -458,20 +463,20 @@
     }
 }
 
-/// A history as it stands in a file.
+/// A history as read from its file.
 #[derive(Debug, Clone)]
 pub struct History {
-    /// What was played.
+    /// The run's parameters.
     pub head: Head,
-    /// What was seen, in order of time.
+    /// The events in order of time.
     pub entries: Vec<Entry>,
 }
 
 impl History {
-    /// Reads one.
+    /// Reads a history file.
     ///
     /// # Errors
-    /// Fails, naming the line, when one can't be read.
+    /// Fails, naming the line, when a line can't be parsed.
     pub fn read(path: &Path) -> io::Result<Self> {
         let mut lines = BufReader::new(File::open(path)?).lines();
         let bad = |n: usize, e: &dyn std::fmt::Display| {
@@ -486,7 +491,7 @@
         Ok(Self::new(head, entries))
     }
 
-    /// Puts entries in order: tasks take them down a little out of it.
+    /// Sorts the entries by time: concurrent tasks record them slightly out of order.
     pub fn new(head: Head, mut entries: Vec<Entry>) -> Self {
         entries.sort_by_key(|entry: &Entry| entry.t);
         Self { head, entries }
--- a/fleet/src/ledger/reads.rs
+++ b/fleet/src/ledger/reads.rs
@@ -1,5 +1,5 @@
-//! What sessions were told of their messages, held against what they had written and been told before. Where an answer
-//! says that it has less, it is taken at its word.
+//! Checks the answers to sessions' reads against what the sessions had written and read before. An answer
+//! that states that it falls short of the plan is accepted as such.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,17 +10,17 @@
 use super::{Entry, History, Log, Row, What};
 use crate::Micros;
 
-/// Every time limit of the protocol is so much longer on sockets.
-const LONGER: Micros = 50_000;
+/// Added to every time limit of the protocol when it is measured on sockets.
+const SOCKET_SLACK: Micros = 50_000;
 
-/// How fresh a plan's reads are, as the scenario has it.
+/// The consistency level of a plan's reads, as set in the scenario.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
-    /// Whatever is nearest, with its age.
+    /// Any replica's data, with its age.
     #[default]
     Any,
-    /// Not older than a time.
+    /// Bounded staleness.
     Bounded,
     /// Read-your-writes and monotonic reads.
     Session,
@@ -29,49 +29,49 @@
 /// A plan, as the checker needs it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlanRules {
-    /// Its level.
+    /// Its consistency level.
     pub level: Level,
-    /// For [`Level::Bounded`].
+    /// Maximum staleness, for [`Level::Bounded`].
     pub staleness: Micros,
-    /// Whether tokens are judged: the senders keep plans.
+    /// Whether tokens are checked, which requires that the senders have plans.
     pub tokens: bool,
 }
 
-/// Figures of the reads of one plan.
+/// Statistics of the reads of one plan.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Reads {
-    /// Reads.
+    /// All reads.
     pub all: u64,
-    /// Answered as the plan has it.
+    /// Answered at the plan's level.
     pub served: u64,
-    /// Answered with less, and saying so.
+    /// Answered below the plan's level, and marked so.
     pub less: u64,
-    /// Answered with parts missing, and saying so.
+    /// Answered with parts missing, and marked so.
     pub partial: u64,
     /// Refused.
     pub refused: u64,
     /// Without an answer.
     pub silent: u64,
-    /// Until the answer, ms: median, 99th percentile, most.
+    /// Time to the answer, ms: median, 99th percentile, maximum.
     pub latency_ms: [f64; 3],
 }
 
 /// A message that a session has written.
 struct Written {
-    /// Its 202 was heard.
+    /// When its 202 was received.
     heard: Micros,
-    /// At whom.
+    /// The sender that accepted it.
     owner: usize,
 }
 
 #[derive(Default)]
 struct Session<'a> {
     written: BTreeMap<&'a str, Written>,
-    /// By message, what earlier reads said, and when the answer had come.
-    told: HashMap<&'a str, (Micros, &'a Row)>,
+    /// By message: the row of the latest earlier read, and when that answer had arrived.
+    seen: HashMap<&'a str, (Micros, &'a Row)>,
 }
 
-/// One read.
+/// One answered read.
 struct Read<'a> {
     t: Micros,
     sent: Micros,
@@ -79,7 +79,7 @@
     rows: &'a [Row],
     partial: bool,
     less: bool,
-    /// What the session wrote and was told from then on is covered by its tokens.
+    /// The session's tokens cover what it has written and read from this time on.
     since: Micros,
     missing: &'a [usize],
     logs: &'a [Log],
@@ -90,20 +90,20 @@
         self.rows.iter().find(|row| row.id == id)
     }
 
-    /// It says that it may not know of a message that this sender took on then.
-    fn admits(&self, owner: usize, heard: Micros) -> bool {
+    /// Whether the answer states that it may lack a message that this sender accepted at time `heard`.
+    fn declares_missing(&self, owner: usize, heard: Micros) -> bool {
         let logs = || self.logs.iter().filter(|log| log.owner == owner);
         self.missing.contains(&owner) || logs().any(|log| log.known_since > heard)
     }
 
-    /// It says that it has this sender's log only up to a time before that.
+    /// Whether the answer states that all its copies of this sender's log end before time `heard`.
     fn behind(&self, owner: usize, heard: Micros) -> bool {
         let mut logs = self.logs.iter().filter(|log| log.owner == owner).peekable();
         logs.peek().is_some() && logs.all(|log| log.as_of < heard)
     }
 }
 
-/// Judges all reads of a history.
+/// Checks all reads of a history.
 pub fn check(history: &History) -> Vec<Breach> {
     let mut broken = Vec::new();
     let mut owners: HashMap<&str, usize> = HashMap::new();
@@ -115,7 +115,7 @@
                 let owner = owners.get(id.as_str()).copied().unwrap_or(usize::MAX);
                 let written = Written { heard: *t, owner };
                 sessions.entry(*session).or_default().written.insert(id, written);
-                entitled(history, *plan, *token, *t, Some(id), "its 202", &mut broken);
+                check_token(history, *plan, *token, *t, Some(id), "its 202", &mut broken);
             }
             What::Read {
                 session,
@@ -139,10 +139,10 @@
                 let since = since.unwrap_or(Micros::MAX);
                 let read = Read { t, sent, asked, rows, partial, less, since, missing, logs };
                 let session = sessions.entry(*session).or_default();
-                judge(history.head.plans.get(*plan), session, &read, &mut broken);
-                entitled(history, *plan, *given, t, None, "a read", &mut broken);
+                check_read(history.head.plans.get(*plan), session, &read, &mut broken);
+                check_token(history, *plan, *given, t, None, "a read", &mut broken);
                 for row in rows {
-                    session.told.insert(&row.id, (t, row));
+                    session.seen.insert(&row.id, (t, row));
                 }
             }
             _ => {}
@@ -151,8 +151,8 @@
     broken
 }
 
-/// A token is given where the plan has it, and nowhere else.
-fn entitled(
+/// Checks that a token is given exactly where the plan has sessions.
+fn check_token(
     history: &History,
     plan: usize,
     token: bool,
@@ -164,12 +164,17 @@
     let Some(plan) = history.head.plans.get(plan).filter(|plan| plan.tokens) else { return };
     let entitled = plan.level == Level::Session;
     if token != entitled {
-        let how = if token { "gives a token that the plan does not have" } else { "gives no token" };
+        let how = if token {
+            "has a token, to which the plan does not entitle"
+        } else {
+            "has no token, to which the plan entitles"
+        };
         broken.push(Breach { rule: Rule::Entitlement, t, id: id.cloned(), what: format!("{at} {how}") });
     }
 }
 
-fn judge(plan: Option<&PlanRules>, session: &Session<'_>, read: &Read<'_>, all: &mut Vec<Breach>) {
+/// Checks one answer against what its session has written and read.
+fn check_read(plan: Option<&PlanRules>, session: &Session<'_>, read: &Read<'_>, all: &mut Vec<Breach>) {
     let Some(plan) = plan else { return };
     let mut broken = |rule, id: &str, what: String| {
         all.push(Breach { rule, t: read.t, id: Some(id.to_owned()), what });
@@ -180,39 +185,45 @@
             continue;
         }
         let ms = (read.sent - written.heard) / 1000;
-        let (owner, admits) = (written.owner, read.admits(written.owner, written.heard));
-        if admits || read.less {
+        let (owner, declared) = (written.owner, read.declares_missing(written.owner, written.heard));
+        if declared || read.less {
             continue;
         }
         match plan.level {
             Level::Session if written.heard >= read.since => {
                 broken(Rule::Session, id, format!("written {ms} ms before, and not in the answer"));
             }
-            Level::Bounded if written.heard + plan.staleness + LONGER < read.sent => {
+            Level::Bounded if written.heard + plan.staleness + SOCKET_SLACK < read.sent => {
                 broken(Rule::Staleness, id, format!("written {ms} ms before, and not in the answer"));
             }
             _ if !read.behind(owner, written.heard) => {
-                let what = format!("written {ms} ms before at sender {owner}, which is not told as missing");
+                let what = format!(
+                    "written {ms} ms before at sender {owner}, neither in the answer nor declared missing"
+                );
                 broken(Rule::Partial, id, what);
             }
             _ => {}
         }
     }
     if plan.level == Level::Bounded && !read.less {
-        // A log of a folder that was lost gets no older: its owner's newest says how old its part is.
+        // The log of a lost state folder no longer advances: the owner's newest log gives the age of its
+        // part.
         let mut newest: BTreeMap<usize, Micros> = BTreeMap::new();
         for log in read.logs {
             let as_of = newest.entry(log.owner).or_default();
             *as_of = log.as_of.max(*as_of);
         }
-        for (owner, as_of) in newest.into_iter().filter(|log| log.1 + plan.staleness + LONGER < read.sent) {
+        for (owner, as_of) in
+            newest.into_iter().filter(|log| log.1 + plan.staleness + SOCKET_SLACK < read.sent)
+        {
             let age = (read.sent - as_of) / 1000;
-            let what = format!("sender {owner}'s part is {age} ms old, and it does not say that it is less");
+            let what = format!("sender {owner}'s part is {age} ms old, and the answer is not marked as less");
             broken(Rule::Staleness, read.asked.first().map_or("-", String::as_str), what);
         }
     }
     if !read.missing.is_empty() && !read.partial {
-        let what = format!("parts of {:?} are missing, and it does not say that it is partial", read.missing);
+        let what =
+            format!("parts of {:?} are missing, and the answer is not marked as partial", read.missing);
         broken(Rule::Partial, read.asked.first().map_or("-", String::as_str), what);
     }
     if plan.level != Level::Session || read.less {
@@ -220,7 +231,7 @@
     }
     for id in read.asked {
         let Some((came, before)) =
-            session.told.get(id.as_str()).filter(|told| told.0 < read.sent && told.0 >= read.since)
+            session.seen.get(id.as_str()).filter(|seen| seen.0 < read.sent && seen.0 >= read.since)
         else {
             continue;
         };
@@ -228,21 +239,22 @@
         match read.row(id) {
             Some(now) if now.states & before.states != before.states || now.attempts < before.attempts => {
                 let what = format!(
-                    "told as states {} and {} attempts, {ms} ms after {} and {}",
+                    "shows states {} and {} attempts, {ms} ms after {} and {} were shown",
                     now.states, now.attempts, before.states, before.attempts
                 );
                 broken(Rule::Monotonic, id, what);
             }
-            // One's own that is absent is told as that already; what is another's was seen, and is to be seen again.
+            // The absence of an own message is reported above already; another's message that was seen must
+            // be seen again.
             None if !session.written.contains_key(id.as_str()) && read.missing.is_empty() => {
-                broken(Rule::Monotonic, id, format!("not in the answer, {ms} ms after it was told"));
+                broken(Rule::Monotonic, id, format!("not in the answer, {ms} ms after it was shown"));
             }
             _ => {}
         }
     }
 }
 
-/// Figures of all reads, by plan.
+/// Statistics of all reads, by plan.
 pub fn figures(history: &History) -> Vec<Reads> {
     let mut all: Vec<(Reads, Option<Histogram<u64>>)> = history
         .head
@@ -265,9 +277,9 @@
             latency.saturating_record(t - sent);
         }
     }
-    let told = all.into_iter().map(|(reads, latency)| {
+    let reads = all.into_iter().map(|(reads, latency)| {
         let at = |share| latency.as_ref().map_or(0.0, |l| l.value_at_quantile(share) as f64 / 1000.0);
         Reads { latency_ms: [at(0.5), at(0.99), at(1.0)], ..reads }
     });
-    told.collect()
+    reads.collect()
 }
--- a/fleet/src/ledger/rules.rs
+++ b/fleet/src/ledger/rules.rs
@@ -1,4 +1,4 @@
-//! The rules by name, and how a broken one is told.
+//! The names of the rules, and the report of a violation.
 
 use std::fmt;
 
@@ -6,45 +6,47 @@
 
 use crate::Micros;
 
-/// The rules.
+/// A rule that every history must satisfy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// A message that was taken on has its end in time.
+    /// An accepted message ends in time.
     Lost,
-    /// It has one end: not refused and failed, not refused with an effect, not called after it.
+    /// A message has one end: it is not both deferred and failed, not deferred after an effect, and not
+    /// called after its end.
     OneEnd,
-    /// A disbursement never takes effect twice, nor is it called again once it may have run.
+    /// A message of an at-most-once class never takes effect twice, and is not called again once it may have
+    /// run.
     Duplicate,
-    /// A keyed message is called again within its window only.
+    /// A keyed message is called again only within its deduplication window.
     Window,
-    /// Nothing goes to a destination that told to wait.
+    /// No call goes to a destination before its Retry-After has elapsed.
     Wait,
-    /// Nothing new goes to an endpoint that drains or is gone.
+    /// No new call goes to an endpoint that drains or is gone.
     Drain,
-    /// A message goes to its own destination, as it was handed in.
+    /// A message goes to its own destination, and only if a client handed it in.
     Misdirected,
-    /// Attempts for a message are limited.
+    /// The attempts for a message stay within their limit.
     Attempts,
-    /// A request that was read gets an answer.
+    /// Every request of a client gets an answer.
     Unanswered,
-    /// Datagrams are limited.
+    /// Datagrams stay within their size limit.
     Oversize,
-    /// No process ends unless it was asked to.
+    /// No process ends unless asked to, and none asked to terminate ends with an error.
     Process,
-    /// A cold destination is not pushed over by those who had seen it fail.
+    /// A cold destination is not overloaded by senders that had seen it fail.
     Fallback,
-    /// Where senders keep a view: nobody that is there is held for dead, and in the end all views are the same.
+    /// Membership views: no running member is reported dead, and at the end all views are equal.
     View,
-    /// A read with a session's token shows what the session has written.
+    /// A read with a session's token shows what the session has written (read your writes).
     Session,
-    /// A read with a session's token never shows less of a message than an earlier one did.
+    /// A read with a session's token never shows less of a message than an earlier one (monotonic reads).
     Monotonic,
-    /// A read that may be so old is not older, or says so.
+    /// A read is within its staleness bound, or says that it is not.
     Staleness,
-    /// An answer that lacks something says what.
+    /// An incomplete answer states what is missing.
     Partial,
-    /// A token is given to those whose plan has sessions, and to nobody else.
+    /// Tokens are issued to exactly those whose plan has sessions.
     Entitlement,
 }
 
@@ -55,16 +57,16 @@
     }
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Breach {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// When.
+    /// Time of the violation.
     pub t: Micros,
-    /// The message, if it is about one.
+    /// The message concerned, if there is one.
     pub id: Option<String>,
-    /// What was seen.
+    /// Description of the violation.
     pub what: String,
 }
 
--- a/fleet/src/ledger/starts.rs
+++ b/fleet/src/ledger/starts.rs
@@ -1,5 +1,5 @@
-//! What a start of the whole tier took: calls for the list, connections, cold endpoints that fell, and how soon all was as
-//! usual again. The start is the last one before which no sender ran.
+//! Statistics of a start of the whole tier: list calls, connections, cold destinations that were overloaded,
+//! and the time until service was back to normal. The start is the last one before which no sender ran.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -10,77 +10,78 @@
 use crate::Micros;
 
 const S: Micros = 1_000_000;
-/// Calls for the list of each sender are told for so long from its start.
-const FIRST: Micros = 10 * S;
-/// Service is told for so long from the start.
-const SERVICE: Micros = 30 * S;
-/// Service is as usual again from when on it is at least so much of what it is in the end, over [`OVER`].
+/// Time from a sender's start over which its list calls are counted.
+const LIST_CALLS_FOR: Micros = 10 * S;
+/// Time from the start over which the first messages are counted.
+const FIRST_MESSAGES_FOR: Micros = 30 * S;
+/// Service is back to normal once its share in time, over every span of [`OVER`], stays at this fraction of
+/// the final share or above.
 const AS_USUAL: f64 = 0.95;
 /// See [`AS_USUAL`].
 const OVER: Micros = 3 * S;
 
-/// A destination that fell over.
+/// A destination that was overloaded.
 #[derive(Debug, Clone, Serialize)]
 pub struct Fall {
-    /// Which.
+    /// The destination.
     pub dest: u16,
-    /// When, seconds from the start.
+    /// Time from the start, seconds.
     pub at_s: f64,
-    /// Senders whose calls it fell under, and the calls.
+    /// Number of senders that contributed to the overload, and of their calls.
     pub senders: usize,
     /// See `senders`.
     pub calls: u64,
 }
 
-/// Figures of a start.
+/// Statistics of a start.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Starts {
-    /// When it began, seconds of the run.
+    /// Begin of the start, seconds of the run.
     pub at_s: f64,
     /// Senders that were started from then on.
     pub senders: usize,
-    /// Calls for the list.
+    /// List calls.
     pub list_calls: u64,
-    /// In the second with the most of them.
+    /// Maximum of list calls within one second.
     pub list_worst_second: u64,
-    /// Of each sender in the first ten seconds of its life: mean and most.
+    /// List calls per sender in the first ten seconds after its start: mean and maximum.
     pub list_first: (f64, u64),
-    /// Turned away.
+    /// List calls that were rejected.
     pub list_turned_away: u64,
-    /// Without an answer, since the service was silent.
+    /// List calls without an answer because the service was silent.
     pub list_silent: u64,
     /// New connections to endpoints.
     pub connections: u64,
-    /// In the second, and at the endpoint, with the most of them.
+    /// Maximum of new connections to one endpoint within one second.
     pub connections_worst: u64,
-    /// Destinations that fell over.
+    /// Destinations that were overloaded.
     pub falls: Vec<Fall>,
     /// Calls that were refused.
     pub refused: u64,
-    /// Calls that were not refused and delivered nothing.
+    /// Calls that were neither refused nor delivered anything.
     pub wasted: u64,
-    /// From a process's start until it takes clients, ms: median, 99th percentile, most. It is looked at every tenth of
-    /// a second where hundreds start.
+    /// From a process's start until it accepts clients, ms: median, 99th percentile, maximum. Where hundreds
+    /// start, readiness is polled every tenth of a second.
     pub ready_ms: [f64; 3],
     /// From the start until the last was ready, seconds.
     pub all_ready_s: f64,
-    /// Processes that never were, and were not asked to end.
+    /// Processes that never became ready, and were not asked to end.
     pub never_ready: usize,
-    /// Messages of the first thirty seconds, and those of them that were in time.
+    /// Messages of the first thirty seconds, and how many of them were in time.
     pub first: (u64, u64),
-    /// From the start until the share in time stays at 95 in 100 of what it is in the last third, or above.
+    /// Time from the start until the share in time stays at 95 % of the last third's share or above.
     pub as_usual_s: Option<f64>,
 }
 
 impl Starts {
-    /// Of the messages of the first thirty seconds, the share in time, in a hundred.
+    /// Percentage in time of the messages of the first thirty seconds.
     pub fn in_time(&self) -> f64 {
         if self.first.0 == 0 { 0.0 } else { self.first.1 as f64 * 100.0 / self.first.0 as f64 }
     }
 }
 
-/// The most of these within a second, from any moment on.
-fn worst_second(times: &[Micros]) -> u64 {
+/// The maximum number of events within any window of one second.
+fn max_per_second(times: &[Micros]) -> u64 {
     let mut from = 0;
     let counts = times.iter().enumerate().map(|(n, t)| {
         while times[from] + S <= *t {
@@ -91,7 +92,7 @@
     counts.max().unwrap_or(0) as u64
 }
 
-/// When the last start of the whole tier began.
+/// The begin of the last start of the whole tier.
 fn origin(entries: &[Entry]) -> Option<Micros> {
     let mut running: BTreeSet<(usize, u32)> = BTreeSet::new();
     let mut at = None;
@@ -110,7 +111,8 @@
     at
 }
 
-/// When service was as usual again; `messages` has when each was meant to be handed in and whether it was in time.
+/// Time until service was back to normal; `messages` has each message's scheduled hand-in and whether it was
+/// in time.
 fn as_usual(origin: Micros, messages: &[(Micros, bool)]) -> Option<f64> {
     let (first, last) = (messages.first()?.0, messages.last()?.0);
     let share = |from: Micros, to: Micros| {
@@ -120,13 +122,14 @@
     };
     let settled = last - (last - first) / 3;
     let steady = share(settled, last + 1)?;
-    // From the first span on after which none is below it, up to those that say what is usual.
+    // Service is normal after the last span below the threshold. The last third defines the final share, so
+    // spans end before it.
     let spans = (0..).map(|n| origin + n * S).take_while(|from| from + OVER <= settled);
     let below = spans.filter(|from| share(*from, from + OVER).is_none_or(|now| now < steady * AS_USUAL));
     Some(below.last().map_or(0.0, |from| (from + S - origin) as f64 / S as f64))
 }
 
-/// Reads a history; `messages` as for [`as_usual`], in order.
+/// Computes the statistics of a start; `messages` as for [`as_usual`], sorted.
 pub fn read(history: &History, reading: &Reading, messages: &[(Micros, bool)]) -> Starts {
     let Some(origin) = origin(&history.entries) else { return Starts::default() };
     let mut starts = Starts { at_s: origin as f64 / S as f64, ..Starts::default() };
@@ -153,7 +156,7 @@
                 list.push(*t);
                 starts.list_turned_away += u64::from(*status == 503);
                 starts.list_silent += u64::from(*status == 0);
-                if begun.get(sender).is_some_and(|since| *t < since + FIRST) {
+                if begun.get(sender).is_some_and(|since| *t < since + LIST_CALLS_FOR) {
                     *own.entry(*sender).or_default() += 1;
                 }
             }
@@ -172,22 +175,22 @@
             _ => {}
         }
     }
-    // What never had an answer delivered nothing either.
+    // Calls without an answer count as wasted too.
     let silent = reading.calls.values().filter(|call| call.came >= origin && call.answered.is_none());
     starts.wasted += silent.count() as u64;
     starts.senders = begun.len();
     starts.list_calls = list.len() as u64;
-    starts.list_worst_second = worst_second(&list);
+    starts.list_worst_second = max_per_second(&list);
     let mean = own.values().sum::<u64>() as f64 / begun.len().max(1) as f64;
     starts.list_first = (mean, own.values().copied().max().unwrap_or(0));
     starts.connections = connected.values().map(|times| times.len() as u64).sum();
-    starts.connections_worst = connected.values().map(|times| worst_second(times)).max().unwrap_or(0);
+    starts.connections_worst = connected.values().map(|times| max_per_second(times)).max().unwrap_or(0);
     up.sort_by(f64::total_cmp);
     let at = |share: f64| up.get(((up.len().max(1) - 1) as f64 * share) as usize).copied().unwrap_or(0.0);
     starts.ready_ms = [at(0.5), at(0.99), at(1.0)];
     starts.never_ready = waiting.len();
     let messages: Vec<_> = messages.iter().copied().filter(|message| message.0 >= origin).collect();
-    for (_, in_time) in messages.iter().filter(|message| message.0 < origin + SERVICE) {
+    for (_, in_time) in messages.iter().filter(|message| message.0 < origin + FIRST_MESSAGES_FOR) {
         starts.first.0 += 1;
         starts.first.1 += u64::from(*in_time);
     }
--- a/fleet/src/ledger/views.rs
+++ b/fleet/src/ledger/views.rs
@@ -1,4 +1,4 @@
-//! What the senders said of each other, held against what befell them.
+//! Checks the senders' membership views against the faults and ends that occurred.
 
 use std::collections::BTreeMap;
 
@@ -8,39 +8,40 @@
 use super::{Entry, History, What};
 use crate::Micros;
 
-/// Figures of the views, milliseconds.
+/// Statistics of the views; times in milliseconds.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Views {
-    /// From the end of a process until all others that run hold its sender for dead.
+    /// From the end of a process until all running senders see its sender as dead.
     pub death_ms: Vec<u64>,
-    /// From its being ready until all that run hold it for alive and their views are equal.
+    /// From a process's readiness until all running senders see its sender as alive and have equal views.
     pub back_ms: Vec<u64>,
-    /// Changes of a view that were seen.
+    /// Observed changes of a view.
     pub changes: u64,
-    /// Deaths that were told of somebody who was there.
+    /// Times that a running, reachable sender was reported dead.
     pub wrong: u64,
 }
 
-/// A sender, as the history has it at a time.
+/// State of a sender at a point of the history.
 #[derive(Debug, Clone, Default)]
 struct Sender {
-    /// It runs and has been ready, since then.
+    /// Since when it runs and is ready.
     up: Option<Micros>,
-    /// Of its processes.
+    /// Number of its current process.
     generation: u32,
-    /// It is stopped, or was until then.
+    /// Until when it was stopped; `Micros::MAX` while it still is.
     stopped: Option<Micros>,
+    /// Its latest view: states, digest, and whether it is isolated.
     view: Option<(String, String, bool)>,
 }
 
-/// Follows a history.
+/// Replays a history.
 struct Follower<'a> {
     senders: Vec<Sender>,
-    /// Senders that ended, and when, until all know.
+    /// Senders that ended, and when, until all others see them as dead.
     gone: BTreeMap<usize, Micros>,
-    /// Senders that are back, and when.
+    /// Senders that returned, and when, until all others see them as alive.
     back: BTreeMap<usize, Micros>,
-    /// Faults that separate senders: how many are on, and when the last one changed.
+    /// Faults that block traffic between senders: how many are active, and when that last changed.
     cuts: (i32, Micros),
     period: Micros,
     views: Views,
@@ -48,10 +49,11 @@
     entries: &'a [Entry],
 }
 
-/// Periods after a fault in which views may still be settling; twice what the part's own page states.
+/// Protocol periods after a fault in which views may still be converging; twice what the membership page
+/// states.
 const SETTLING: Micros = 30;
 
-/// Reads what the senders said. The period is the view's own; nothing is judged where no sender told a view.
+/// Checks the views of a history. Nothing is checked where the senders keep no views.
 pub fn read(history: &History) -> (Views, Vec<Breach>) {
     let Some(period) = history.head.view_period else { return Default::default() };
     let mut follower = Follower {
@@ -98,7 +100,7 @@
                     if let Some(this) = self.senders.get_mut(*sender).filter(|s| s.generation == *generation)
                     {
                         match signal.as_str() {
-                            // From then on it is on its way out, and says so.
+                            // It announces its leaving from now on.
                             "SIGTERM" => this.up = None,
                             "SIGSTOP" => this.stopped = Some(Micros::MAX),
                             "SIGCONT" => this.stopped = Some(t),
@@ -109,49 +111,51 @@
                 What::Fault { on, cuts: true, .. } => self.cuts = (self.cuts.0 + if *on { 1 } else { -1 }, t),
                 What::View { sender, generation, states, digest, isolated, .. } => {
                     self.views.changes += 1;
-                    // It may be asked for its view before it is seen to be ready.
+                    // A sender may be asked for its view before it is seen to be ready.
                     if let Some(this) = self.senders.get_mut(*sender).filter(|s| s.generation == *generation)
                     {
                         this.view = Some((states.clone(), digest.clone(), *isolated));
                     }
-                    self.judge(*sender, states, t);
-                    self.settle(t);
+                    self.check_view(*sender, states, t);
+                    self.record_detection(t);
                 }
-                What::Over => self.end(t),
+                What::Over => self.check_end(t),
                 _ => {}
             }
         }
     }
 
-    /// It is there, has been for long enough to be known, and nothing was in its way.
-    fn there(&self, sender: &Sender, t: Micros) -> bool {
+    /// Whether the sender has been up, running and reachable for long enough that others must see it as
+    /// alive.
+    fn settled_up(&self, sender: &Sender, t: Micros) -> bool {
         let long = SETTLING * self.period;
         let up = sender.up.is_some_and(|since| since + long < t);
         let ran = sender.stopped.is_none_or(|until| until < Micros::MAX && until + long < t);
         up && ran && self.cuts.0 == 0 && (self.cuts.1 == 0 || self.cuts.1 + long < t)
     }
 
-    /// Nobody that is there is held for dead or gone by one that is there.
-    fn judge(&mut self, by: usize, states: &str, t: Micros) {
-        if !self.senders.get(by).is_some_and(|sender| self.there(sender, t)) {
+    /// Checks that a settled sender reports no settled sender as dead or left.
+    fn check_view(&mut self, by: usize, states: &str, t: Micros) {
+        if !self.senders.get(by).is_some_and(|sender| self.settled_up(sender, t)) {
             return;
         }
-        let wronged: Vec<usize> = states
+        let wrongly_dead: Vec<usize> = states
             .chars()
             .enumerate()
             .filter(|(of, state)| {
-                matches!(state, 'd' | 'l') && self.senders.get(*of).is_some_and(|s| self.there(s, t))
+                matches!(state, 'd' | 'l') && self.senders.get(*of).is_some_and(|s| self.settled_up(s, t))
             })
             .map(|(of, _)| of)
             .collect();
-        for of in wronged {
+        for of in wrongly_dead {
             self.views.wrong += 1;
-            let what = format!("sender {by} holds sender {of} for dead, which is there");
+            let what = format!("sender {by} reports sender {of} as dead or left, but it is up and reachable");
             self.broken.push(Breach { rule: Rule::View, t, id: None, what });
         }
     }
 
-    fn settle(&mut self, t: Micros) {
+    /// Records the detection times of ends and returns that all running senders now agree on.
+    fn record_detection(&mut self, t: Micros) {
         let views = || self.senders.iter().filter(|s| s.up.is_some()).map(|s| s.view.as_ref());
         let all = |of: usize, state: char| {
             views().all(|view| view.is_some_and(|view| view.0.chars().nth(of) == Some(state)))
@@ -169,8 +173,8 @@
         }
     }
 
-    /// In the end all that run hold each other for alive, and hold everybody for the same.
-    fn end(&mut self, t: Micros) {
+    /// Checks that at the end all running senders see each other as alive and have equal views.
+    fn check_end(&mut self, t: Micros) {
         if self.cuts.0 != 0 {
             return;
         }
@@ -179,17 +183,17 @@
         let views: Vec<_> = running.iter().filter_map(|of| self.senders[*of].view.as_ref()).collect();
         let mut wrong = Vec::new();
         if views.len() < running.len() {
-            wrong.push(format!("{} of {} senders told a view", views.len(), running.len()));
+            wrong.push(format!("{} of {} senders reported a view", views.len(), running.len()));
         }
         if views.windows(2).any(|two| two[0].1 != two[1].1) {
             let digests: Vec<&str> = views.iter().map(|view| view.1.as_str()).collect();
-            wrong.push(format!("the views differ in the end: {}", digests.join(", ")));
+            wrong.push(format!("the views differ at the end: {}", digests.join(", ")));
         }
         for (by, view) in running.iter().zip(&views) {
             let lost = running.iter().filter(|of| view.0.chars().nth(**of) != Some('a'));
             let lost: Vec<String> = lost.map(ToString::to_string).collect();
             if !lost.is_empty() {
-                wrong.push(format!("sender {by} does not hold for alive in the end: {}", lost.join(", ")));
+                wrong.push(format!("sender {by} does not report as alive at the end: {}", lost.join(", ")));
             }
         }
         self.broken.extend(wrong.into_iter().map(|what| Breach { rule: Rule::View, t, id: None, what }));
--- a/ops/src/call.rs
+++ b/ops/src/call.rs
@@ -43,7 +43,7 @@
 
 coded_error! { CallError {
     Timeout => "ops.late", "allow more time with --within-ms; otherwise check that the machine is up";
-    Unreachable => "ops.unreached", "check that the address is the sender's mgmt address and that its process runs";
+    Unreachable => "ops.unreached", "check the sender's mgmt address, and that its process runs";
     TooLong => "ops.long", "check that the address is a sender's mgmt address";
     InvalidJson => "ops.broken", "try again, and check that the address is a sender's mgmt address";
     UnexpectedForm => "ops.unread", "use the version of this program that belongs to the sender's version";
--- a/ops/src/main.rs
+++ b/ops/src/main.rs
@@ -1,5 +1,5 @@
-//! Tools for the operators of a fleet of senders. `members` asks several senders for their membership views and shows
-//! them as one table, with the points on which they disagree.
+//! Tools for the operators of a fleet of senders. `members` asks several senders for their membership views
+//! and shows them as one table, with the points on which they disagree.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -28,8 +28,8 @@
 enum Command {
     /// Shows the members of the fleet, as each of these senders sees them.
     ///
-    /// Exit codes: 0 all senders answered and agree, 1 they disagree, 2 wrong arguments, 3 a sender did not answer
-    /// or has no membership view.
+    /// Exit codes: 0 all senders answered and agree, 1 they disagree, 2 wrong arguments, 3 a sender did not
+    /// answer or has no membership view.
     Members {
         /// Management addresses of the senders.
         #[arg(required = true)]
--- a/ops/src/members.rs
+++ b/ops/src/members.rs
@@ -149,7 +149,8 @@
                 Ok((body, _)) => serde_json::json!({"sender": address, "told": body}),
                 Err(why) => {
                     let (code, remedy) = code_and_remedy(why);
-                    serde_json::json!({"sender": address, "code": code, "error": why.to_string(), "remedy": remedy})
+                    let error = why.to_string();
+                    serde_json::json!({"sender": address, "code": code, "error": error, "remedy": remedy})
                 }
             };
             println!("{line}");
