--- a/fleet/src/experiment.rs
+++ b/fleet/src/experiment.rs
@@ -278,7 +278,7 @@
             let list = List { index: version.0, endpoints };
             for agent in &self.agents {
                 let delay = self.news.lock().map_or(0, |mut rng| rng.random_range(NEWS_MS.0..=NEWS_MS.1));
-                agent.news(list.clone(), delay * 1000);
+                agent.update(list.clone(), delay * 1000);
             }
         }
     }
--- a/fleet/src/world/clients.rs
+++ b/fleet/src/world/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: arrivals that don't wait for answers, one more try after a refusal, and what they do when a
-//! sender dies. Latency counts from the time at which a message was meant to be handed in.
+//! Clients: open-loop arrivals, retries after a refusal, and fail-over when a sender dies. Latency counts
+//! from the scheduled hand-in of a message.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,34 +21,35 @@
 use crate::scenario::{Scenario, bank};
 use crate::{Micros, micros};
 
-/// A client waits so long for its answer.
-const ANSWER: Duration = Duration::from_millis(400);
-/// Until a connection is there.
-const CONNECT: Duration = Duration::from_millis(400);
-/// After a sender died, what it was handed comes again within this range, milliseconds.
-const AGAIN_MS: (u64, u64) = (400, 1500);
-/// After a refusal, milliseconds.
+/// Time that a client waits for its answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time limit for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Range of the wait before a message of a dead sender is handed in again, milliseconds.
+const FAILOVER_MS: (u64, u64) = (400, 1500);
+/// Range of the wait before a retry after a refusal, milliseconds.
 const BACKOFF_MS: (u64, u64) = (640, 1300);
-/// Tries that a sender's death may cost, over those that a refusal may.
-const LOST_TRIES: u32 = 4;
-/// Looks at readiness a second, and how many must go unanswered until a sender counts as dead.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-const UNSEEN: u32 = 10;
-/// Looks a second at all senders together at most: hundreds of them are looked at less often.
-const LOOKS_PER_S: usize = 300;
-/// Idle connections kept to a sender.
-const KEPT: usize = 64;
-/// So long after its time a client still listens for a message's end.
+/// Maximum retries because of dead senders, in addition to those after refusals.
+const MAX_LOST_TRIES: u32 = 4;
+/// Time between two readiness checks of a sender.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Checks at that interval that must go unanswered before a sender counts as dead.
+const UNANSWERED_CHECKS: u32 = 10;
+/// Maximum readiness checks per second over all senders: with hundreds of senders each is checked less often.
+const MAX_CHECKS_PER_S: usize = 300;
+/// Maximum idle connections kept per sender.
+const MAX_IDLE: usize = 64;
+/// Time after its deadline during which a client still waits for a message's end.
 const LISTEN_ON: Micros = 3_000_000;
-/// Bytes of an answer's head and body at most.
-const ANSWER_LIMIT: usize = 1 << 20;
+/// Maximum bytes of an answer's head and body.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// A message that is to be handed in.
+/// A scheduled hand-in of a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrival {
     /// When.
     pub at: Micros,
-    /// At which sender, unless that one is away.
+    /// The sender, unless it is down.
     pub home: usize,
     /// Its class.
     pub class: usize,
@@ -56,7 +57,7 @@
     pub dest: u16,
 }
 
-/// Draws the arrivals of a run; `factor` is how many times the usual load there is at a time.
+/// Draws the arrivals of a run; `factor` gives the multiple of the usual load at a time.
 pub fn arrivals(scenario: &Scenario, seed: u64, factor: impl Fn(f64) -> f64) -> Vec<Arrival> {
     if !scenario.load.trace.is_empty() {
         let arrival = |(at, home, class, dest): &(f64, usize, usize, u16)| Arrival {
@@ -81,7 +82,7 @@
     loop {
         let rate = load.per_s * factor(t);
         let Ok(gap) = Exp::new(rate) else { return all };
-        // A rate of nothing has gaps without end.
+        // A rate of zero gives infinite gaps.
         t += f64::min(gap.sample(&mut rng), 3600.0);
         if t >= scenario.length_s {
             return all;
@@ -105,25 +106,25 @@
     recorder: Recorder,
     body_bytes: usize,
     retries: u32,
-    /// Aim-independent times of the classes: how long a message may be delivered.
-    lives: [Micros; 2],
+    /// Time from the scheduled hand-in to the deadline, by class.
+    lifetimes: [Micros; 2],
     names: [&'static str; 2],
     open: AtomicUsize,
     done: watch::Sender<bool>,
 }
 
-/// The tenant of all that is not a session's.
+/// The tenant of all messages that don't belong to a session.
 pub const TENANT: &str = "weatherization";
 
-/// What a request says beside its message.
+/// Further headers of a request.
 struct More<'a> {
     tenant: &'a str,
-    /// That it comes again, and after what.
+    /// Value of the retry header; empty for the first try.
     mark: &'a str,
 }
 
-enum Told {
-    /// Taken on, with a session's token if the tenant's plan has them.
+enum HandIn {
+    /// Accepted, with a session's token if the tenant's plan has them.
     Taken(Option<String>),
     Refused(Option<Micros>),
     Failed,
@@ -131,7 +132,7 @@
 }
 
 impl Clients {
-    /// Clients of these senders.
+    /// Creates the clients of these senders.
     pub fn new(
         scenario: &Scenario,
         senders: Vec<SocketAddr>,
@@ -146,34 +147,36 @@
             recorder,
             body_bytes: scenario.load.body_bytes,
             retries: scenario.load.retries,
-            lives: [scenario.notice, scenario.disbursement].map(|times| micros(times.deadline_s)),
+            lifetimes: [scenario.notice, scenario.disbursement].map(|times| micros(times.deadline_s)),
             names: ["notice", "disbursement"],
             open: AtomicUsize::new(0),
             done: watch::Sender::new(false),
         })
     }
 
-    /// Looks at each sender's readiness for as long as the run lasts.
+    /// Checks each sender's readiness during the run.
     pub fn watch(self: &Arc<Self>) -> tokio::task::JoinSet<()> {
         let mut looking = tokio::task::JoinSet::new();
-        let every = LOOK_EVERY.max(Duration::from_secs(1) * self.senders.len() as u32 / LOOKS_PER_S as u32);
-        let unseen_most = (LOOK_EVERY * UNSEEN).div_duration_f64(every).ceil().max(2.0) as u32;
+        let every =
+            CHECK_INTERVAL.max(Duration::from_secs(1) * self.senders.len() as u32 / MAX_CHECKS_PER_S as u32);
+        let max_unanswered =
+            (CHECK_INTERVAL * UNANSWERED_CHECKS).div_duration_f64(every).ceil().max(2.0) as u32;
         for sender in 0..self.senders.len() {
             let clients = self.clone();
             looking.spawn(async move {
-                let mut unseen = 0;
-                // One after another, not all at once.
+                let mut unanswered = 0;
+                // Spread over the interval instead of all at once.
                 tokio::time::sleep(every.mul_f64(sender as f64 / clients.senders.len() as f64)).await;
                 loop {
                     tokio::time::sleep(every).await;
-                    match timeout(ANSWER, clients.look(sender)).await.ok().flatten() {
+                    match timeout(ANSWER_TIMEOUT, clients.is_ready(sender)).await.ok().flatten() {
                         Some(ready) => {
-                            unseen = 0;
+                            unanswered = 0;
                             clients.usable[sender].store(ready, Ordering::Relaxed);
                         }
-                        None => unseen += 1,
+                        None => unanswered += 1,
                     }
-                    if unseen >= unseen_most {
+                    if unanswered >= max_unanswered {
                         clients.usable[sender].store(false, Ordering::Relaxed);
                     }
                 }
@@ -182,13 +185,13 @@
         looking
     }
 
-    async fn look(&self, sender: usize) -> Option<bool> {
+    async fn is_ready(&self, sender: usize) -> Option<bool> {
         let mut stream = TcpStream::connect(self.senders[sender]).await.ok()?;
         stream.write_all(b"GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n").await.ok()?;
         Some(answer(&mut stream).await?.status == 200)
     }
 
-    /// Hands all of them in at their times; comes back once each has its end.
+    /// Hands in all messages at their times; returns once each has ended.
     pub async fn play(self: &Arc<Self>, arrivals: Vec<Arrival>, seed: u64, begin: Micros) {
         for (n, arrival) in arrivals.into_iter().enumerate() {
             self.recorder.until(begin + arrival.at).await;
@@ -203,13 +206,13 @@
         self.over().await;
     }
 
-    /// Waits until each message has its end.
+    /// Waits until every message has ended.
     pub async fn over(&self) {
         let mut done = self.done.subscribe();
         let _ = done.wait_for(|_| self.open.load(Ordering::Relaxed) == 0).await;
     }
 
-    /// Messages that are not over.
+    /// Number of messages that have not ended.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
@@ -218,7 +221,7 @@
     async fn message(&self, n: usize, arrival: Arrival, begin: Micros, mut rng: ChaCha8Rng) {
         let root = format!("m{n}");
         let meant = begin + arrival.at;
-        let deadline = meant + self.lives[arrival.class];
+        let deadline = meant + self.lifetimes[arrival.class];
         let key = (arrival.class == 0).then(|| format!("key-{n}"));
         let mut body = format!("message {n} ").into_bytes();
         body.resize(self.body_bytes.max(body.len()), b'.');
@@ -257,16 +260,16 @@
             let more = More { tenant: TENANT, mark };
             let told = self.hand_in(at, &id, &arrival, key.as_deref(), deadline, &more, &body).await;
             let end = match told {
-                Told::Taken(_) => {
+                HandIn::Taken(_) => {
                     let until = self.recorder.instant(deadline + LISTEN_ON);
                     match tokio::time::timeout_at(until, end).await {
                         Ok(Ok(end)) => end,
                         _ => End::Failed,
                     }
                 }
-                Told::Refused(again) => End::Deferred(again),
-                Told::Failed => End::Failed,
-                Told::Nobody => End::Orphaned,
+                HandIn::Refused(again) => End::Deferred(again),
+                HandIn::Failed => End::Failed,
+                HandIn::Nobody => End::Orphaned,
             };
             let rest = match end {
                 End::Delivered | End::Failed => break,
@@ -280,11 +283,11 @@
                 }
                 End::Orphaned => {
                     losses += 1;
-                    if losses > LOST_TRIES {
+                    if losses > MAX_LOST_TRIES {
                         break;
                     }
                     mark = "again";
-                    rng.random_range(AGAIN_MS.0..=AGAIN_MS.1) * 1000
+                    rng.random_range(FAILOVER_MS.0..=FAILOVER_MS.1) * 1000
                 }
             };
             let next = self.recorder.now() + rest;
@@ -296,12 +299,12 @@
         self.recorder.see(What::Closed { root });
     }
 
-    /// Hands one message in, once; tells whether it was taken on, and with which token. What becomes of it later is
-    /// followed in the background.
+    /// Hands in one message without retries; returns its token, if any, when it was accepted. Its end is
+    /// awaited in the background.
     pub async fn once(self: &Arc<Self>, id: &str, arrival: &Arrival, tenant: &str) -> Option<Option<String>> {
         let at = arrival.home;
         let meant = self.recorder.now();
-        let deadline = meant + self.lives[arrival.class];
+        let deadline = meant + self.lifetimes[arrival.class];
         let key = (arrival.class == 0).then(|| format!("key-{id}"));
         let mut body = format!("message {id} ").into_bytes();
         body.resize(self.body_bytes.max(body.len()), b'.');
@@ -327,7 +330,7 @@
         let more = More { tenant, mark: "" };
         let told = self.hand_in(at, id, arrival, key.as_deref(), deadline, &more, &body).await;
         let root = id.to_owned();
-        let Told::Taken(token) = told else {
+        let HandIn::Taken(token) = told else {
             self.recorder.see(What::Closed { root });
             return None;
         };
@@ -343,7 +346,8 @@
         Some(token)
     }
 
-    /// Another sender that takes clients, or the same if there is none.
+    /// A usable sender: the given one unless it is to be avoided or is down, else another; the same if there
+    /// is none.
     fn other(&self, at: usize, leave: bool, rng: &mut ChaCha8Rng) -> usize {
         if !leave && self.usable[at].load(Ordering::Relaxed) {
             return at;
@@ -363,7 +367,7 @@
         deadline: Micros,
         more: &More<'_>,
         body: &[u8],
-    ) -> Told {
+    ) -> HandIn {
         let left = deadline.saturating_sub(self.recorder.now()) / 1000;
         let class = self.names[arrival.class];
         let key = key.map_or(String::new(), |key| format!("Idempotency-Key: {key}\r\n"));
@@ -381,13 +385,13 @@
         let void = || {
             self.registry.with(id, |message| message.void = true);
             self.recorder.see(What::GaveUp { id: id.to_owned() });
-            Told::Nobody
+            HandIn::Nobody
         };
         let kept = self.kept[at].lock().ok().and_then(|mut kept| kept.pop());
         let mut fresh = kept.is_none();
         let mut stream = match kept {
             Some(stream) => stream,
-            None => match timeout(CONNECT, TcpStream::connect(self.senders[at])).await {
+            None => match timeout(CONNECT_TIMEOUT, TcpStream::connect(self.senders[at])).await {
                 Ok(Ok(stream)) => stream,
                 _ => return void(),
             },
@@ -398,11 +402,11 @@
                 stream.write_all(&request).await.ok()?;
                 answer(&mut stream).await
             };
-            match timeout(ANSWER, asked).await {
+            match timeout(ANSWER_TIMEOUT, asked).await {
                 Err(_) => return void(),
                 Ok(Some(Answer { status, headers, keep, .. })) => {
                     if let (true, Ok(mut kept)) = (keep, self.kept[at].lock())
-                        && kept.len() < KEPT
+                        && kept.len() < MAX_IDLE
                     {
                         kept.push(stream);
                     }
@@ -411,20 +415,21 @@
                     self.recorder.see(What::Heard { id: id.to_owned(), status });
                     let again = headers.get("retry-after").and_then(|s| s.parse().ok()).map(micros);
                     return match status {
-                        200 | 202 => Told::Taken(headers.get("session-token").cloned()),
-                        429 | 503 => Told::Refused(again),
-                        _ => Told::Failed,
+                        200 | 202 => HandIn::Taken(headers.get("session-token").cloned()),
+                        429 | 503 => HandIn::Refused(again),
+                        _ => HandIn::Failed,
                     };
                 }
                 Ok(None) if fresh => {
                     self.registry.with(id, |message| message.void = true);
                     self.recorder.see(What::Heard { id: id.to_owned(), status: 0 });
-                    return Told::Nobody;
+                    return HandIn::Nobody;
                 }
-                // An idle connection may be closed as a request crosses; it is sent once more on a new one.
+                // The sender may close an idle connection while a request is in flight: it is sent again on a
+                // new one.
                 Ok(None) => {
                     fresh = true;
-                    stream = match timeout(CONNECT, TcpStream::connect(self.senders[at])).await {
+                    stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(self.senders[at])).await {
                         Ok(Ok(stream)) => stream,
                         _ => return void(),
                     };
@@ -442,11 +447,11 @@
     pub headers: HashMap<String, String>,
     /// Its body.
     pub body: Vec<u8>,
-    /// The connection goes on.
+    /// The connection stays open.
     keep: bool,
 }
 
-/// The next answer of a connection; nothing if it ends before.
+/// The next answer on a connection; `None` if the connection ends before.
 pub(super) async fn answer(stream: &mut TcpStream) -> Option<Answer> {
     let mut buffer = Vec::with_capacity(512);
     loop {
@@ -466,7 +471,7 @@
                 return Some(Answer { status, headers, body, keep: !close });
             }
         }
-        if buffer.len() > ANSWER_LIMIT || stream.read_buf(&mut buffer).await.ok()? == 0 {
+        if buffer.len() > MAX_ANSWER_BYTES || stream.read_buf(&mut buffer).await.ok()? == 0 {
             return None;
         }
     }
--- a/fleet/src/world/discovery.rs
+++ b/fleet/src/world/discovery.rs
@@ -1,5 +1,6 @@
-//! Discovery and the place for notices, as an agent on each sender's own machine. Where the scenario bounds it, the
-//! agents pass calls for the list on to one service, which bears so many in any second and turns away what comes beyond.
+//! Discovery and the receiver of notices, as an agent on each sender's own machine. Where the scenario sets a
+//! limit, the agents forward list calls to one service, which accepts that many in any second and rejects the
+//! rest.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -16,10 +17,10 @@
 use crate::links::tcp::Conduit;
 use crate::scenario::BACK_BY;
 
-/// A watch is held so long at most, milliseconds.
-const HOLD_MOST: u64 = 60_000;
+/// Maximum hold time of a watch, milliseconds.
+const MAX_HOLD_MS: u64 = 60_000;
 
-/// An endpoint as discovery has it.
+/// An endpoint as listed by discovery.
 #[derive(Debug, Clone)]
 pub struct Listed {
     /// Its name.
@@ -32,7 +33,7 @@
     pub group: u16,
     /// `active` or `leaving`.
     pub status: &'static str,
-    /// A rough rate for its destination, calls a second.
+    /// A rough rate for its destination, calls per second.
     pub weight: f64,
     /// When it last started, Unix time in milliseconds; 0 for long ago.
     pub since_ms: u64,
@@ -40,11 +41,11 @@
 
 /// The version of the list at the start of a run.
 pub const FIRST: u64 = 41;
-/// Of a list that ends in the middle, one part in so many is left out.
-const HALF: usize = 2;
+/// A truncated list lacks one part in this many.
+const TRUNCATED_PART: usize = 2;
 
-/// The list as it was so many changes ago: every second change is an endpoint that has joined since, of a destination
-/// that has another, and the others are weights that have changed.
+/// The list as it was `changes` changes ago: every second change is an endpoint that has joined since, at a
+/// destination with further endpoints; the others are changed weights.
 pub fn older(list: &List, changes: usize) -> List {
     let (mut index, mut endpoints) = (list.index, list.endpoints.clone());
     for change in 0..changes {
@@ -62,36 +63,36 @@
     List { index, endpoints }
 }
 
-/// What bears the agents' calls for the list.
+/// The list service behind the agents.
 pub struct Service {
-    /// Calls that it bears in any second; 0 is no bound.
+    /// Calls that it accepts in any second; 0 is no limit.
     calls_per_s: usize,
-    /// Those of the last second that it bore.
-    borne: Mutex<VecDeque<Micros>>,
+    /// Times of the calls accepted in the last second.
+    accepted: Mutex<VecDeque<Micros>>,
     recorder: Recorder,
 }
 
 impl Service {
-    /// One that bears so many calls in any second.
+    /// A service that accepts this many calls in any second.
     pub fn new(calls_per_s: u32, recorder: Recorder) -> Arc<Self> {
-        Arc::new(Self { calls_per_s: calls_per_s as usize, borne: Mutex::default(), recorder })
+        Arc::new(Self { calls_per_s: calls_per_s as usize, accepted: Mutex::default(), recorder })
     }
 
-    /// Whether it bears a call; each is counted.
-    fn bears(&self, sender: usize, held: bool, condition: Condition) -> bool {
-        let Ok(mut borne) = self.borne.lock() else { return false };
+    /// Whether the service accepts a call; records the call.
+    fn accept(&self, sender: usize, held: bool, condition: Condition) -> bool {
+        let Ok(mut accepted) = self.accepted.lock() else { return false };
         let now = self.recorder.now();
-        while borne.front().is_some_and(|at| at + 1_000_000 <= now) {
-            borne.pop_front();
+        while accepted.front().is_some_and(|at| at + 1_000_000 <= now) {
+            accepted.pop_front();
         }
-        let room = self.calls_per_s == 0 || borne.len() < self.calls_per_s;
+        let has_capacity = self.calls_per_s == 0 || accepted.len() < self.calls_per_s;
         let status = match () {
             () if condition.silent => 0,
-            () if condition.shut || !room => 503,
+            () if condition.shut || !has_capacity => 503,
             () => 200,
         };
         if status == 200 && self.calls_per_s > 0 {
-            borne.push_back(now);
+            accepted.push_back(now);
         }
         self.recorder.saw(now, What::ListCall { sender, held, status });
         status != 503
@@ -107,26 +108,26 @@
     pub endpoints: Vec<Listed>,
 }
 
-/// How discovery fares at a sender.
+/// Faults of discovery at one sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Condition {
-    /// It does not answer, but takes notices.
+    /// List calls get no answer, but notices are accepted.
     pub silent: bool,
-    /// News come so much later.
+    /// Added delay of list changes.
     pub delay: Micros,
-    /// Every call for the list is turned away.
+    /// Every list call is rejected.
     pub shut: bool,
-    /// Lists come so much later.
+    /// Added delay of every list.
     pub slow: Micros,
-    /// Lists end in the middle, and their connection with them.
+    /// Lists are truncated, and their connection ends.
     pub half: bool,
-    /// Its version has gone back.
+    /// The list's version has gone back.
     pub back: bool,
-    /// Lists come indented.
+    /// Lists are indented JSON.
     pub indent: bool,
 }
 
-/// What one sender's agent knows.
+/// The agent of one sender.
 pub struct Agent {
     sender: usize,
     /// The addresses at which this sender dials the endpoints, by name.
@@ -140,7 +141,7 @@
 }
 
 impl Agent {
-    /// One that has this list.
+    /// Creates an agent with this list.
     pub fn new(
         sender: usize,
         addresses: HashMap<String, SocketAddr>,
@@ -154,7 +155,7 @@
         Arc::new(Self { sender, addresses, list, service, condition, silent, registry, recorder })
     }
 
-    /// How it fares from now on.
+    /// Sets the faults from now on.
     pub fn condition(&self, condition: Condition) {
         if let Ok(mut current) = self.condition.write() {
             *current = condition;
@@ -162,8 +163,8 @@
         self.silent.send_replace(condition.silent);
     }
 
-    /// News, which it has after its delay.
-    pub fn news(self: &Arc<Self>, list: List, delay: Micros) {
+    /// Updates the list, after the delay.
+    pub fn update(self: &Arc<Self>, list: List, delay: Micros) {
         let added = self.condition.read().map_or(0, |condition| condition.delay);
         let agent = self.clone();
         tokio::spawn(async move {
@@ -178,7 +179,7 @@
         });
     }
 
-    /// The list as this sender is written it.
+    /// The list as sent to this sender.
     pub fn body(&self, list: &List) -> Value {
         let entries = list.endpoints.iter().filter_map(|listed| {
             let address = self.addresses.get(&listed.name)?.to_string();
@@ -194,7 +195,7 @@
         self.body(&older(&self.list.borrow(), behind))
     }
 
-    /// Serves one connection to its end.
+    /// Serves one connection until it ends.
     pub async fn serve(self: Arc<Self>, mut conduit: Conduit) {
         let mut reader = Reader::default();
         while let Some(request) = reader.next(&mut conduit).await {
@@ -217,11 +218,11 @@
         self.condition.read().map_or_else(|_| Condition::default(), |condition| *condition)
     }
 
-    /// One call for the list: nothing if its connection ends with it, a status if it gets no list.
+    /// Serves a list call: `None` if the connection ends with it, `Some(Some(status))` if it gets no list.
     #[allow(clippy::option_option)]
     async fn list(&self, request: &Request, conduit: &mut Conduit) -> Option<Option<u16>> {
-        let hold = request.query("hold_ms").unwrap_or(0).min(HOLD_MOST);
-        if !self.service.bears(self.sender, hold > 0, self.now()) {
+        let hold = request.query("hold_ms").unwrap_or(0).min(MAX_HOLD_MS);
+        if !self.service.accept(self.sender, hold > 0, self.now()) {
             return Some(Some(503));
         }
         let list = self.watched(request.query("from"), hold).await?;
@@ -233,7 +234,7 @@
         let text = if condition.indent { format!("{body:#}") } else { body.to_string() };
         let whole = answer(200, &[], text.as_bytes());
         if condition.half {
-            let some = whole.slice(..whole.len() - text.len() / HALF);
+            let some = whole.slice(..whole.len() - text.len() / TRUNCATED_PART);
             conduit.send(some).await?;
             return None;
         }
@@ -245,14 +246,14 @@
         Some(None)
     }
 
-    /// The list, once it is newer than what is known or the watch has been held long enough. None is told
-    /// while discovery is silent.
+    /// Waits until the list is newer than version `from` or the hold time is over, and while discovery is
+    /// silent.
     async fn watched(&self, from: Option<u64>, hold_ms: u64) -> Option<List> {
         let mut list = self.list.subscribe();
         let mut silent = self.silent.subscribe();
         let back = if self.now().back { BACK_BY } else { 0 };
         let newer = list.wait_for(|list| from.is_none_or(|from| list.index.saturating_sub(back) > from));
-        // What is still the same after the hold is told again: an empty change would do as well.
+        // An unchanged list is sent again after the hold; an empty change would also be correct.
         let _ = tokio::time::timeout(Duration::from_millis(hold_ms), newer).await;
         silent.wait_for(|silent| !silent).await.ok()?;
         let mut list = self.list.borrow().clone();
--- a/fleet/src/world/endpoints.rs
+++ b/fleet/src/world/endpoints.rs
@@ -24,7 +24,8 @@
 pub const FALL_FOR: Micros = 3_000_000;
 /// See [`FALL_FOR`].
 pub const FALL_MULTIPLE: f64 = 2.0;
-/// Calls that a cold destination bears in [`FALL_FOR`] where the settings allow it so many: the protocol's slack.
+/// Calls that a cold destination bears in [`FALL_FOR`] where the settings allow it so many: the protocol's
+/// slack.
 fn bears(allowed: f64) -> f64 {
     allowed + 3.0 * allowed.sqrt() + 3.0
 }
--- a/fleet/src/world/http.rs
+++ b/fleet/src/world/http.rs
@@ -1,4 +1,4 @@
-//! Requests as a server reads them off a conduit, byte times kept.
+//! Parses HTTP requests from a conduit, and keeps the times of their first and last bytes.
 
 use std::collections::HashMap;
 
@@ -7,16 +7,17 @@
 use crate::Micros;
 use crate::links::tcp::Conduit;
 
-/// Headers of a request at most, and bytes of its head and body.
-const HEADERS: usize = 64;
-const REQUEST_LIMIT: usize = 4 << 20;
+/// Maximum headers of a request.
+const MAX_HEADERS: usize = 64;
+/// Maximum bytes of a request's head and body.
+const MAX_REQUEST_BYTES: usize = 4 << 20;
 
 /// A request.
 #[derive(Debug, Clone, Default)]
 pub struct Request {
     /// Its method.
     pub method: String,
-    /// Its path with what follows a `?`.
+    /// Its path and query.
     pub path: String,
     /// Headers, names in lower case.
     pub headers: HashMap<String, String>,
@@ -29,7 +30,7 @@
 }
 
 impl Request {
-    /// A figure of the query.
+    /// A numeric parameter of the query.
     pub fn query(&self, name: &str) -> Option<u64> {
         let query = self.path.split_once('?')?.1;
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -37,7 +38,7 @@
     }
 }
 
-/// What has come of a connection and was not read yet.
+/// Bytes received on a connection that were not parsed yet.
 #[derive(Debug, Default)]
 pub struct Reader {
     buffer: Vec<u8>,
@@ -46,13 +47,13 @@
 }
 
 impl Reader {
-    /// The next request; nothing at the connection's end, or when what comes is no request.
+    /// The next request; `None` at the end of the connection or for malformed input.
     pub async fn next(&mut self, conduit: &mut Conduit) -> Option<Request> {
         loop {
             if let Some(request) = self.take()? {
                 return Some(request);
             }
-            if self.buffer.len() > REQUEST_LIMIT {
+            if self.buffer.len() > MAX_REQUEST_BYTES {
                 return None;
             }
             let piece = conduit.receive().await?;
@@ -62,10 +63,11 @@
         }
     }
 
-    /// A whole request, if it is there; nothing at all if there can be none.
+    /// `Some(Some(_))` for a complete request, `Some(None)` for an incomplete one, `None` for malformed
+    /// input.
     #[allow(clippy::option_option)]
     fn take(&mut self) -> Option<Option<Request>> {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
         let head = match parsed.parse(&self.buffer).ok()? {
             httparse::Status::Complete(head) => head,
@@ -84,13 +86,13 @@
         let body = self.buffer[head..head + length].to_vec();
         self.buffer.drain(..head + length);
         let (first, last) = (self.first.unwrap_or(self.last), self.last);
-        // What is left came with the last piece.
+        // The remaining bytes arrived with the last piece.
         self.first = (!self.buffer.is_empty()).then_some(self.last);
         Some(Some(Request { method, path, headers, body, first, last }))
     }
 }
 
-/// An answer as bytes.
+/// Encodes an answer.
 pub fn answer(status: u16, headers: &[(&str, String)], body: &[u8]) -> Bytes {
     let mut text = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n", body.len());
     for (name, value) in headers {
--- a/fleet/src/world/mod.rs
+++ b/fleet/src/world/mod.rs
@@ -1,4 +1,5 @@
-//! What a sender meets, from the protocol: discovery, endpoints and clients, and the senders as processes.
+//! The environment of the senders as the protocol defines it (discovery, endpoints, clients), and the sender
+//! processes.
 
 pub mod clients;
 pub mod discovery;
@@ -13,12 +14,12 @@
 
 use crate::Micros;
 
-/// A message as it was handed in, for those who have to know what it was.
+/// A message as handed in, with its progress.
 #[derive(Debug, Clone)]
 pub struct Message {
     /// The id of its first try.
     pub root: String,
-    /// The sender that it was handed to.
+    /// The sender that it was handed in at.
     pub sender: usize,
     /// Its class.
     pub class: usize,
@@ -28,36 +29,36 @@
     pub key: Option<String>,
     /// A digest of its body.
     pub body: u32,
-    /// Until when it may be delivered.
+    /// Latest time of delivery.
     pub deadline: Micros,
-    /// The client has heard that it is taken on.
+    /// The client was told that it is accepted.
     pub taken: bool,
-    /// The client has gone away: its end is awaited by nobody.
+    /// The client gave up: nobody waits for its end.
     pub void: bool,
-    /// A call with it has come.
+    /// An endpoint received a call with it.
     pub called: bool,
-    /// Calls with it.
+    /// Number of calls with it.
     pub calls: u32,
-    /// It is delivered, or a notice has come.
+    /// It was delivered, or a notice has arrived.
     pub ended: bool,
-    /// It is delivered.
+    /// It was delivered.
     pub delivered: bool,
 }
 
-/// How a message ended, for its client.
+/// How a message ended, as its client sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
     /// Delivered.
     Delivered,
-    /// Failed: it does not come again.
+    /// Failed: it is not retried.
     Failed,
-    /// Refused: it may be handed in again, after so long if that was told.
+    /// Refused: it may be handed in again, after the given time if there is one.
     Deferred(Option<Micros>),
-    /// Lost with its sender's folder: it is handed to another.
+    /// Lost with its sender's state folder: it is handed in at another sender.
     Orphaned,
 }
 
-/// All messages of a run, by id. Bounded by what the clients hand in.
+/// All messages of a run, by id. Its size is bounded by what the clients hand in.
 #[derive(Default)]
 pub struct Registry {
     messages: Mutex<HashMap<String, Message>>,
@@ -65,7 +66,7 @@
 }
 
 impl Registry {
-    /// A message is handed in; its client is told its end.
+    /// Registers a message; the receiver yields its end.
     pub fn offer(&self, id: &str, message: Message) -> tokio::sync::oneshot::Receiver<End> {
         let (told, end) = tokio::sync::oneshot::channel();
         if let (Ok(mut messages), Ok(mut ends)) = (self.messages.lock(), self.ends.lock()) {
@@ -75,12 +76,12 @@
         end
     }
 
-    /// Looks at a message, or changes it.
+    /// Reads or changes a message.
     pub fn with<T>(&self, id: &str, look: impl FnOnce(&mut Message) -> T) -> Option<T> {
         self.messages.lock().ok()?.get_mut(id).map(look)
     }
 
-    /// A message has its end; only the first is told.
+    /// Ends a message; only the first end is sent to its client.
     pub fn end(&self, id: &str, end: End) {
         self.with(id, |message| {
             message.ended = true;
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Messages that a sender owes.
+    /// Accepted messages of a sender that have not ended.
     pub fn owed(&self, sender: usize) -> Vec<String> {
         let Ok(messages) = self.messages.lock() else { return vec![] };
         let owed = messages.iter().filter(|(_, m)| m.sender == sender && m.taken && !m.void && !m.ended);
--- a/fleet/src/world/senders.rs
+++ b/fleet/src/world/senders.rs
@@ -37,8 +37,8 @@
 const LOOK: Duration = Duration::from_millis(20);
 /// Looks a second at all senders that start together, at most.
 const LOOKS_PER_S: u32 = 3_000;
-/// Beyond so many senders they run below the bench's own priority: the machine is theirs but for what the bench needs to
-/// be in time.
+/// Beyond so many senders they run below the bench's own priority: the machine is theirs but for what the
+/// bench needs to be in time.
 const MANY: usize = 30;
 /// By so much.
 const NICER: &str = "15";
@@ -216,8 +216,8 @@
 /// A process that is to be started, and who waits for it.
 type Launch = (Command, oneshot::Sender<io::Result<Child>>);
 
-/// Starts threads that start processes. A process ends with the thread that started it, so that these live as long as
-/// the run; the runtime's own would stand still meanwhile.
+/// Starts threads that start processes. A process ends with the thread that started it, so that these live as
+/// long as the run; the runtime's own would stand still meanwhile.
 fn launchers() -> io::Result<std::sync::mpsc::Sender<Launch>> {
     let (orders, ordered) = std::sync::mpsc::channel::<Launch>();
     let ordered = Arc::new(Mutex::new(ordered));
@@ -365,8 +365,8 @@
     fn command(&self, place: &Place, config: &Path, state: &Path, output: File) -> io::Result<Command> {
         let mut command = match &place.held {
             None if self.places.len() > MANY => {
-                // Programs that set this before they become the sender spare the bench a copy of its tables for each,
-                // during which all of it stands still.
+                // Programs that set this before they become the sender spare the bench a copy of its tables
+                // for each, during which all of it stands still.
                 let mut nice = Command::new("setpriv");
                 nice.args(["--pdeathsig", "KILL", "nice", "-n", NICER]).arg(&self.binary);
                 nice
--- a/fleet/src/world/sessions.rs
+++ b/fleet/src/world/sessions.rs
@@ -1,5 +1,6 @@
-//! Clients with sessions: each hands messages in at one sender and asks others what became of them, where operators and
-//! tenants' programs ask. What they are told goes into the history, and is judged from there alone.
+//! Clients with sessions: each hands in messages at one sender and queries their status at others, at the
+//! management addresses that operators and tenants' programs use. The answers go into the history, and are
+//! checked from there.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,13 +20,13 @@
 use crate::scenario::{Scenario, Sessions};
 use crate::{Micros, micros};
 
-/// The header of a token, at the 202 and at a read.
+/// The header that carries a token, in a 202 and in the answer to a read.
 const TOKEN: &str = "session-token";
-/// An answer is due within this time.
-const ANSWER: Duration = Duration::from_secs(1);
-/// HTTP: a session's token asks for what is lost.
+/// Time limit for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// HTTP status: the session's token refers to data that is lost.
 const GONE: u16 = 410;
-/// Earlier messages of its own that a read asks for beside the newest.
+/// Number of the session's newest messages that a read queries; it adds one random older message.
 const EARLIER: usize = 3;
 
 /// One session.
@@ -33,42 +34,42 @@
     number: usize,
     plan: usize,
     rules: Sessions,
-    /// What it must not be shown less than, as it was last told, and with each message taken on since.
+    /// Tokens of the last read and of each message accepted since: later reads must not show less.
     tokens: Vec<String>,
-    /// These cover what the session has written and was told from then on.
+    /// The tokens cover what the session has written and read from this time on.
     since: Micros,
     /// When the newest of its messages was handed in.
     last: Micros,
-    /// A read takes several tokens.
+    /// The senders accept several tokens in one read.
     joins: bool,
-    /// Messages that were taken on, the newest last.
+    /// Accepted messages, the newest last.
     written: Vec<String>,
     rng: ChaCha8Rng,
 }
 
-/// What the sessions of a run need.
+/// Shared context of a run's sessions.
 pub struct Readers {
-    /// Through whom they write.
+    /// The clients through which they write.
     pub clients: Arc<Clients>,
-    /// Whom they ask.
+    /// The senders that they query.
     pub tier: Arc<Tier>,
-    /// Where it is all taken down.
+    /// Records what the sessions see.
     pub recorder: Recorder,
     /// Senders.
     pub senders: usize,
-    /// When the run's clients begin, and how long they come.
+    /// Start and duration of the clients' load.
     pub times: (Micros, Micros),
-    /// Destinations that they write to.
+    /// Number of destinations that they write to.
     pub partners: u16,
 }
 
-/// Plays all sessions of a scenario until its clients go.
+/// Runs all sessions of a scenario until the clients' load ends.
 pub fn play(readers: &Arc<Readers>, scenario: &Scenario, seed: u64) -> JoinSet<()> {
     let mut playing = JoinSet::new();
     let mut number = 0;
     for (plan, rules) in scenario.sessions.iter().enumerate() {
         for _ in 0..rules.count {
-            // Not the stream that arrivals are drawn from.
+            // A random stream apart from that of the arrivals.
             let rng = ChaCha8Rng::seed_from_u64(seed ^ 0x7365_7373_0000_0000 ^ number as u64);
             let (rules, tokens, written) = (rules.clone(), vec![], vec![]);
             let session =
@@ -88,7 +89,7 @@
         let mut at = begin;
         for n in 0usize.. {
             at += micros(gap.sample(&mut session.rng).min(3600.0));
-            // One that is kept waiting does not come later for it.
+            // A delayed session does not run past the end of the load.
             if at.max(self.recorder.now()) >= begin + length {
                 return;
             }
@@ -97,7 +98,7 @@
             self.write(&mut session, n, home).await;
             for _ in 0..session.rules.reads {
                 tokio::time::sleep(Duration::from_millis(session.rules.every_ms)).await;
-                // Anywhere else; itself where there is nobody else.
+                // Any other sender; the same one if there is no other.
                 let other = match self.senders {
                     1 => 0,
                     all => (home + session.rng.random_range(1..all)) % all,
@@ -141,17 +142,18 @@
         }
         let query = json!({"tenant": session.rules.tenant, "ids": asked}).to_string();
         let mut sent = self.recorder.now();
-        let mut told = told(address, &query, &session.tokens).await;
-        if told.0 == 400 && session.tokens.len() > 1 {
-            // One that takes a single token: what the others cover can't be asked for any more.
+        let mut answer = query_status(address, &query, &session.tokens).await;
+        if answer.0 == 400 && session.tokens.len() > 1 {
+            // A sender that accepts only a single token: the guarantees of the other tokens can't be
+            // requested.
             session.joins = false;
             session.tokens.drain(..session.tokens.len() - 1);
             (session.since, sent) = (session.last, self.recorder.now());
-            told = self::told(address, &query, &session.tokens).await;
+            answer = query_status(address, &query, &session.tokens).await;
         }
         let came = self.recorder.now();
-        let (status, token, body) = told;
-        // Their clocks are this machine's; as the run counts they are so much ahead.
+        let (status, token, body) = answer;
+        // The senders use this machine's clock: the difference between Unix time and the time of the run.
         let unix =
             SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as Micros);
         let ahead = unix.saturating_sub(came);
@@ -174,7 +176,7 @@
                 logs: answer.logs,
             },
         );
-        // What is lost for good is given up with a token of its own.
+        // Lost data is given up by continuing with the token that excludes it.
         let without = body["read"]["token_without_lost"].as_str().filter(|_| status == GONE);
         if let Some(without) = without {
             (session.tokens, session.since) = (vec![without.to_owned()], came);
@@ -184,11 +186,11 @@
     }
 }
 
-/// An answer: its status, 0 where none came, its token and what it says.
+/// An answer: status (0 without an answer), token and body.
 type Heard = (u16, Option<String>, Value);
 
-async fn told(address: SocketAddr, query: &str, tokens: &[String]) -> Heard {
-    let heard = tokio::time::timeout(ANSWER, ask(address, query, tokens)).await;
+async fn query_status(address: SocketAddr, query: &str, tokens: &[String]) -> Heard {
+    let heard = tokio::time::timeout(ANSWER_TIMEOUT, ask(address, query, tokens)).await;
     heard.ok().flatten().unwrap_or((0, None, Value::Null))
 }
 
@@ -209,9 +211,9 @@
     Some((answer.status, answer.headers.get(TOKEN).cloned(), body))
 }
 
-/// What an answer says, as the history has it.
+/// An answer's content in the form of the history.
 #[derive(Debug, Default, PartialEq)]
-struct Told {
+struct StatusAnswer {
     rows: Vec<Row>,
     partial: bool,
     less: bool,
@@ -219,7 +221,7 @@
     logs: Vec<Log>,
 }
 
-/// States by name, as bits; the wire may have either.
+/// States by name and bit; an answer may use either form.
 const STATES: [(&str, u8); 6] =
     [("taken", 1), ("calling", 2), ("deferred", 4), ("undeliverable", 8), ("unknown", 16), ("delivered", 32)];
 
@@ -233,8 +235,8 @@
     }
 }
 
-/// Reads an answer; the senders' clocks are so much ahead of the run's.
-fn read(body: &Value, ahead: Micros) -> Told {
+/// Parses an answer; `ahead` is the difference between the senders' clocks and the time of the run.
+fn read(body: &Value, ahead: Micros) -> StatusAnswer {
     let of_run = |unix: &Value| unix.as_u64().unwrap_or(0).saturating_sub(ahead);
     let list = |key: &str| body[key].as_array().map(Vec::as_slice).unwrap_or_default();
     let rank = |value: &Value| value.as_u64().map(|rank| rank as usize);
@@ -248,7 +250,7 @@
         let (as_of, known_since) = (of_run(&log["reached"]["as_of"]), of_run(&log["known_since"]));
         Some(Log { owner, as_of, known_since })
     });
-    Told {
+    StatusAnswer {
         rows: rows.collect(),
         partial: body["partial"].as_bool().unwrap_or(false),
         less: body["read"]["outcome"] == "less",
--- a/fleet/src/world/views.rs
+++ b/fleet/src/world/views.rs
@@ -1,4 +1,4 @@
-//! What the senders say of each other, asked where operators ask. Only changes are taken down.
+//! Polls the senders' membership views at their management addresses and records changes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,30 +12,32 @@
 use super::senders::Tier;
 use crate::ledger::{Recorder, What};
 
-/// Between two looks at one sender.
-const LOOK: Duration = Duration::from_millis(100);
-/// Looks a second at all senders together at most: the view of hundreds is long.
-const LOOKS_PER_S: u32 = 100;
-/// An answer is due within this time.
-const ANSWER: Duration = Duration::from_secs(1);
-/// An answer is no longer.
-const LIMIT: u64 = 1 << 20;
+/// Time between two polls of one sender.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum polls per second over all senders: the views of hundreds of senders are long.
+const MAX_POLLS_PER_S: u32 = 100;
+/// Time limit for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum size of an answer, in bytes.
+const MAX_ANSWER_BYTES: u64 = 1 << 20;
 
-/// Looks at the views of all senders for as long as the run lasts. A sender without the part is asked once.
+/// Polls the views of all senders during the run. A sender without membership is polled only once.
 pub fn watch(tier: &Arc<Tier>, senders: usize, recorder: &Recorder) -> JoinSet<()> {
-    let mut looking = JoinSet::new();
-    let every = LOOK.max(Duration::from_secs(1) * senders as u32 / LOOKS_PER_S);
+    let mut polling = JoinSet::new();
+    let every = POLL_INTERVAL.max(Duration::from_secs(1) * senders as u32 / MAX_POLLS_PER_S);
     for sender in 0..senders {
         let (tier, recorder) = (tier.clone(), recorder.clone());
-        looking.spawn(async move {
+        polling.spawn(async move {
             let mut last = None;
             tokio::time::sleep(every.mul_f64(sender as f64 / senders as f64)).await;
             loop {
                 tokio::time::sleep(every).await;
                 let Some((address, generation)) = tier.mgmt(sender) else { continue };
-                let Ok(Some(told)) = tokio::time::timeout(ANSWER, members(address)).await else { continue };
+                let Ok(Some(told)) = tokio::time::timeout(ANSWER_TIMEOUT, members(address)).await else {
+                    continue;
+                };
                 let Some(view) = read(sender, generation, &told) else { return };
-                // Taken down when anything in it has changed.
+                // Recorded only when it has changed.
                 if last.as_ref() != Some(&view) {
                     recorder.see(view.clone());
                     last = Some(view);
@@ -43,7 +45,7 @@
             }
         });
     }
-    looking
+    polling
 }
 
 fn read(sender: usize, generation: u32, told: &Value) -> Option<What> {
@@ -64,7 +66,7 @@
     let mut stream = TcpStream::connect(address).await.ok()?;
     stream.write_all(b"GET /control/members HTTP/1.1\r\nHost: mgmt\r\n\r\n").await.ok()?;
     let mut told = Vec::new();
-    stream.take(LIMIT).read_to_end(&mut told).await.ok()?;
+    stream.take(MAX_ANSWER_BYTES).read_to_end(&mut told).await.ok()?;
     let head = told.windows(4).position(|four| four == b"\r\n\r\n")?;
     told.starts_with(b"HTTP/1.1 ").then(|| serde_json::from_slice(&told[head + 4..]).ok())?
 }
