--- a/fleet/src/experiment.rs
+++ b/fleet/src/experiment.rs
@@ -528,6 +528,6 @@
 pub fn bound(scenario: &Scenario) -> Micros {
     let lives = micros(scenario.notice.deadline_s.max(scenario.disbursement.deadline_s));
     let faults = scenario.fault.iter().map(|f| f.at_s + f.for_s.unwrap_or(0.0)).fold(0.0, f64::max);
-    let restarts = crate::world::senders::restart_most() * scenario.senders as Micros;
+    let restarts = crate::world::senders::max_restart_time() * scenario.senders as Micros;
     micros(scenario.length_s.max(faults)) + lives + restarts + 60_000_000
 }
--- a/fleet/src/links/mod.rs
+++ b/fleet/src/links/mod.rs
@@ -1,35 +1,35 @@
-//! What stands between the parties: a relay for datagrams between each two senders, and one for connections
-//! from each sender to each endpoint and to discovery. A link has a direction and a condition, which is
-//! looked at for each datagram and each piece of a connection.
+//! The network between the parties: a datagram relay between each two senders, and a connection relay from
+//! each sender to each endpoint and to discovery. A link has a direction and a condition, which is checked
+//! for each datagram and each piece of a connection.
 
 pub mod tcp;
 pub mod udp;
 
 use crate::Micros;
 
-/// How datagrams fare from one sender to another.
+/// Faults of the datagrams from one sender to another.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Datagrams {
     /// Share that is lost.
     pub drop: f64,
-    /// Share that comes twice.
+    /// Share that is duplicated.
     pub repeat: f64,
-    /// Share that is held back, and by how much at most.
+    /// Share that is delayed out of order, and the maximum delay.
     pub reorder: (f64, Micros),
-    /// Share that has a byte changed.
+    /// Share with a corrupted byte.
     pub spoil: f64,
-    /// Share that is cut short.
+    /// Share that is truncated.
     pub short: f64,
     /// Added to the usual delay.
     pub delay: Micros,
-    /// If not 0, all of this comes and goes in turns of so long.
+    /// If not 0, the faults alternate between on and off at this period.
     pub flap: Micros,
 }
 
-/// How connections fare from one sender to one endpoint or to discovery.
+/// Faults of the connections from one sender to one endpoint or to discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Connections {
-    /// They are reset, and new ones too.
+    /// Open connections are reset, and new ones refused.
     pub cut: bool,
     /// Nothing passes.
     pub silent: bool,
--- a/fleet/src/links/tcp.rs
+++ b/fleet/src/links/tcp.rs
@@ -1,5 +1,5 @@
-//! Relays for connections: a listener for one sender, behind which stands an endpoint or discovery in this
-//! process. Bytes take the link's delay in each direction, and carry the time at which the sender wrote them.
+//! Connection relays: a listener for one sender, in front of an endpoint or of discovery in this process.
+//! Bytes are delayed by the link in each direction, and carry the time at which the sender wrote them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,10 +19,10 @@
 use crate::Micros;
 use crate::ledger::Recorder;
 
-/// Pieces of a connection that may be under way in one direction; the writer waits beyond that.
-const PIECES: usize = 64;
+/// Maximum pieces in flight per direction of a connection; beyond it the writer waits.
+const MAX_PIECES: usize = 64;
 
-/// Bytes that came, and when they were written.
+/// Received bytes, and when they were written.
 #[derive(Debug, Clone)]
 pub struct Piece {
     /// The bytes.
@@ -42,25 +42,25 @@
     Reset,
 }
 
-/// Bytes that came to the sender's end.
+/// The arrival of bytes at the sender's end.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrived {
     /// When.
     pub at: Micros,
-    /// The sender had not given the connection up by then, so that it may have read them.
+    /// The sender had not closed the connection by then, so it may have read them.
     pub heard: bool,
 }
 
 impl Conduit {
-    /// The next bytes; nothing once the sender has closed, or the link has cut it.
+    /// The next bytes; `None` once the sender has closed the connection or the link is cut.
     pub async fn receive(&mut self) -> Option<Piece> {
         self.incoming.recv().await
     }
 
-    /// Writes bytes and waits until the sender has them; tells when, if it ever got them.
+    /// Writes bytes and waits until they have arrived at the sender; `None` if they never did.
     pub async fn send(&mut self, bytes: impl Into<Bytes>) -> Option<Arrived> {
-        let (told, arrived) = oneshot::channel();
-        self.outgoing.send(Outgoing::Bytes(bytes.into(), told)).await.ok()?;
+        let (notify, arrived) = oneshot::channel();
+        self.outgoing.send(Outgoing::Bytes(bytes.into(), notify)).await.ok()?;
         arrived.await.ok()
     }
 
@@ -72,16 +72,16 @@
 
 /// A relay's listener and its condition.
 pub struct Relay {
-    /// Where the sender dials.
+    /// The address that the sender connects to.
     pub address: SocketAddr,
     condition: watch::Sender<Connections>,
 }
 
 impl Relay {
-    /// Opens one; connections that come up go to `arrived`.
+    /// Opens a relay; new connections go to `arrived`.
     ///
     /// # Errors
-    /// Fails when no address is to be had.
+    /// Fails when no address is available.
     pub async fn open(
         host: std::net::IpAddr,
         usual: [f64; 2],
@@ -96,7 +96,7 @@
         Ok(Self { address, condition })
     }
 
-    /// How connections fare from now on.
+    /// Sets the faults of connections from now on.
     pub fn condition(&self, condition: Connections) {
         self.condition.send_if_modified(|current| std::mem::replace(current, condition) != condition);
     }
@@ -116,7 +116,7 @@
     loop {
         let condition = *conditions.borrow_and_update();
         if condition.cut {
-            // Without a listener the system refuses connections, as a dead machine's neighbour would.
+            // Without a listener the system refuses connections, as for a dead machine.
             listener = None;
         } else if listener.is_none() {
             listener = TcpListener::bind(address).await.ok();
@@ -127,7 +127,7 @@
         }
         let accept = async {
             match &listener {
-                // While nothing passes, connections stay where the system holds them.
+                // While the link is silent, connections stay in the system's accept queue.
                 Some(listener) if !condition.silent => listener.accept().await,
                 _ => std::future::pending().await,
             }
@@ -151,9 +151,9 @@
 ) -> Conduit {
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
-    let (came, incoming) = mpsc::channel(PIECES);
-    let (under_way, due) = mpsc::channel(PIECES);
-    let (outgoing, going) = mpsc::channel(PIECES);
+    let (came, incoming) = mpsc::channel(MAX_PIECES);
+    let (under_way, due) = mpsc::channel(MAX_PIECES);
+    let (outgoing, going) = mpsc::channel(MAX_PIECES);
     let closed = Arc::new(AtomicBool::new(false));
     tokio::spawn(inward(read, delay, conditions.clone(), recorder.clone(), under_way, closed.clone()));
     tokio::spawn(deliver(due, came, conditions.clone(), recorder.clone()));
@@ -161,7 +161,7 @@
     Conduit { incoming, outgoing }
 }
 
-/// Waits while nothing passes; tells whether the connection is cut.
+/// Waits while the link is silent; returns false if the connection is cut.
 async fn passes(conditions: &mut watch::Receiver<Connections>) -> bool {
     loop {
         let condition = *conditions.borrow_and_update();
@@ -196,7 +196,7 @@
                 }
                 continue;
             }
-            // The far end has gone: with both halves dropped the connection is closed.
+            // The far end is gone: the connection closes once both halves are dropped.
             () = under_way.closed() => return,
         };
         if size == 0 {
@@ -251,10 +251,10 @@
             }
         };
         match next {
-            // The endpoint closes as a server does.
+            // The endpoint closes the connection regularly.
             None => return,
             Some(Outgoing::Reset) => return reset(write),
-            Some(Outgoing::Bytes(bytes, told)) => {
+            Some(Outgoing::Bytes(bytes, notify)) => {
                 let added = conditions.borrow().delay;
                 recorder.until(recorder.now() + delay + added).await;
                 if !passes(&mut conditions).await {
@@ -264,14 +264,14 @@
                 if write.write_all(&bytes).await.is_err() {
                     return;
                 }
-                let _ = told.send(Arrived { at: recorder.now(), heard });
+                let _ = notify.send(Arrived { at: recorder.now(), heard });
             }
         }
     }
 }
 
 fn reset(write: OwnedWriteHalf) {
-    // Closing with this set sends a reset in place of an end; a shutdown before would be an end.
+    // Closing with zero linger sends RST instead of FIN; a shutdown before it would send FIN.
     let _ = write.as_ref().set_zero_linger();
     write.forget();
 }
--- a/fleet/src/links/udp.rs
+++ b/fleet/src/links/udp.rs
@@ -1,7 +1,7 @@
-//! Relays for datagrams. Each sender has one address, its relay's, by which all others know it: what comes there from
-//! another's own address goes on to the sender from the address by which that one is known, as the protocol wants it.
-//! One thread holds what is under way, by the time at which it is due: a task for each datagram would cost more than
-//! all else where hundreds of senders talk.
+//! Datagram relays. Each sender is known to all others by the address of its relay: a datagram that arrives
+//! there from another sender's own address is forwarded from the address by which that sender is known, as
+//! the protocol requires. One thread holds all datagrams in flight, ordered by due time: with hundreds of
+//! senders, a task per datagram would cost more than everything else.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -21,25 +21,25 @@
 use crate::ledger::checker::DATAGRAM_LIMIT;
 use crate::ledger::{Recorder, What};
 
-/// Datagrams under way on all links at most; what comes beyond is lost, and counted.
-const UNDER_WAY: usize = 200_000;
-/// Larger ones than the protocol has are read up to this.
-const READ: usize = 2048;
-/// The thread sleeps so long at least, so that it wakes once for many.
-const TOGETHER: Micros = 200;
-/// With nothing under way, the thread looks this often whether the run is over.
-const IDLE: Duration = Duration::from_millis(100);
+/// Maximum datagrams in flight on all links; those beyond it are dropped and counted.
+const MAX_IN_FLIGHT: usize = 200_000;
+/// Read buffer; larger than the protocol's limit, so that oversized datagrams are noticed.
+const READ_BYTES: usize = 2048;
+/// Minimum sleep of the thread, so that one wake-up serves many datagrams.
+const MIN_SLEEP: Micros = 200;
+/// With nothing in flight, the interval at which the thread checks whether the run is over.
+const IDLE_CHECK: Duration = Duration::from_millis(100);
 
 /// All relays of a run.
 pub struct Relays {
-    /// By sender: where others send for it.
+    /// By sender: where the others send to it.
     ways: Vec<SocketAddr>,
-    /// By sender: where it sends for all.
+    /// By sender: where it sends to all others.
     all: Vec<SocketAddr>,
     conditions: Arc<RwLock<Vec<Vec<Datagrams>>>>,
 }
 
-/// A datagram under way; the earliest due, and of these the first that came, goes first.
+/// A datagram in flight; ordered by due time, then by arrival.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Due {
     at: Micros,
@@ -50,7 +50,7 @@
 }
 
 struct Shared {
-    /// By sender: the socket at the address by which it is known.
+    /// By sender: the socket of the address by which it is known.
     sockets: Vec<Arc<UdpSocket>>,
     senders: Vec<SocketAddr>,
     ranks: HashMap<SocketAddr, usize>,
@@ -58,7 +58,7 @@
     conditions: Arc<RwLock<Vec<Vec<Datagrams>>>>,
     recorder: Recorder,
     rng: Mutex<ChaCha8Rng>,
-    under_way: AtomicUsize,
+    in_flight: AtomicUsize,
     sent: AtomicU64,
     bytes: AtomicU64,
     arrived: AtomicU64,
@@ -66,11 +66,11 @@
 }
 
 impl Relays {
-    /// Opens a relay for each sender, which listen at these addresses; `usual` has the usual delay of each pair, from
-    /// and to, in milliseconds.
+    /// Opens a relay for each sender; `senders` has their listening addresses, `usual` the usual delay range
+    /// of each pair, from and to, in milliseconds.
     ///
     /// # Errors
-    /// Fails when an address can't be had.
+    /// Fails when an address is not available.
     pub async fn open(
         host: std::net::IpAddr,
         senders: &[SocketAddr],
@@ -95,24 +95,24 @@
             conditions: conditions.clone(),
             recorder,
             rng: Mutex::new(ChaCha8Rng::seed_from_u64(seed)),
-            under_way: AtomicUsize::new(0),
+            in_flight: AtomicUsize::new(0),
             sent: AtomicU64::new(0),
             bytes: AtomicU64::new(0),
             arrived: AtomicU64::new(0),
             overflow: AtomicU64::new(0),
         });
-        let (under_way, due) = mpsc::channel();
+        let (in_flight, due) = mpsc::channel();
         for to in 0..n {
-            let (shared, under_way, socket) = (shared.clone(), under_way.clone(), shared.sockets[to].clone());
-            tokio::spawn(async move { relay(&shared, &socket, None, &[to], &under_way).await });
+            let (shared, in_flight, socket) = (shared.clone(), in_flight.clone(), shared.sockets[to].clone());
+            tokio::spawn(async move { relay(&shared, &socket, None, &[to], &in_flight).await });
         }
         for (from, socket) in to_all.into_iter().enumerate() {
-            let (shared, under_way) = (shared.clone(), under_way.clone());
+            let (shared, in_flight) = (shared.clone(), in_flight.clone());
             let others: Vec<usize> = (0..n).filter(|to| *to != from).collect();
-            tokio::spawn(async move { relay(&shared, &socket, Some(from), &others, &under_way).await });
+            tokio::spawn(async move { relay(&shared, &socket, Some(from), &others, &in_flight).await });
         }
         let delivering = shared.clone();
-        // It ends when the relays do, with the run.
+        // The thread ends with the relays, at the end of the run.
         std::thread::Builder::new().name("datagrams".into()).spawn(move || deliver(&delivering, &due))?;
         tokio::spawn(async move {
             loop {
@@ -126,7 +126,7 @@
         Ok(Self { ways, all, conditions })
     }
 
-    /// The addresses by which a sender knows all senders; its own place holds its own address.
+    /// The addresses by which a sender knows all senders; its own entry is its own address.
     pub fn peers(&self, sender: usize, own: SocketAddr) -> Vec<SocketAddr> {
         let mut peers = self.ways.clone();
         peers[sender] = own;
@@ -138,7 +138,7 @@
         self.all[sender]
     }
 
-    /// How datagrams fare from now on, by sender and receiver.
+    /// Sets the faults of datagrams from now on, by sender and receiver.
     pub fn condition(&self, conditions: Vec<Vec<Datagrams>>) {
         if let Ok(mut current) = self.conditions.write() {
             *current = conditions;
@@ -146,17 +146,17 @@
     }
 }
 
-/// Passes on what comes to one socket, from the sender that it belongs to, or from any.
+/// Forwards the datagrams that arrive at one socket, from its owner, or from any sender if it has none.
 async fn relay(
     shared: &Shared,
     socket: &UdpSocket,
     owner: Option<usize>,
     to: &[usize],
-    under_way: &mpsc::Sender<Due>,
+    in_flight: &mpsc::Sender<Due>,
 ) {
-    let mut buffer = vec![0; READ];
+    let mut buffer = vec![0; READ_BYTES];
     loop {
-        // An error here is an earlier datagram's that found nobody.
+        // An error here reports an earlier datagram that could not be delivered.
         let Ok((size, source)) = socket.recv_from(&mut buffer).await else { continue };
         let Some(from) = shared.ranks.get(&source).copied() else { continue };
         if owner.is_some_and(|owner| owner != from) {
@@ -169,13 +169,13 @@
         }
         let bytes = Bytes::copy_from_slice(&buffer[..size]);
         for other in to.iter().filter(|other| **other != from) {
-            pass(shared, &bytes, from, *other, under_way);
+            pass(shared, &bytes, from, *other, in_flight);
         }
     }
 }
 
-/// Sends a datagram on its way, as the link's condition has it.
-fn pass(shared: &Shared, bytes: &Bytes, from: usize, to: usize, under_way: &mpsc::Sender<Due>) {
+/// Queues a datagram for delivery, subject to the link's faults.
+fn pass(shared: &Shared, bytes: &Bytes, from: usize, to: usize, in_flight: &mpsc::Sender<Due>) {
     let now = shared.recorder.now();
     let condition = shared.conditions.read().map_or_else(|_| Datagrams::default(), |all| all[from][to]);
     let on = condition.flap == 0 || (now / condition.flap).is_multiple_of(2);
@@ -200,16 +200,16 @@
         if !bytes.is_empty() && rng.random_bool(condition.short) {
             bytes.truncate(rng.random_range(0..bytes.len()));
         }
-        if shared.under_way.fetch_add(1, Ordering::Relaxed) >= UNDER_WAY {
-            shared.under_way.fetch_sub(1, Ordering::Relaxed);
+        if shared.in_flight.fetch_add(1, Ordering::Relaxed) >= MAX_IN_FLIGHT {
+            shared.in_flight.fetch_sub(1, Ordering::Relaxed);
             shared.overflow.fetch_add(1, Ordering::Relaxed);
             continue;
         }
-        let _ = under_way.send(Due { at: now + delay, number: 0, from, to, bytes });
+        let _ = in_flight.send(Due { at: now + delay, number: 0, from, to, bytes });
     }
 }
 
-/// Holds what is under way, and hands each over when it is due, until no relay is left.
+/// Holds the datagrams in flight and delivers each when it is due, until no relay is left.
 fn deliver(shared: &Shared, incoming: &mpsc::Receiver<Due>) {
     let mut waiting: BinaryHeap<Reverse<Due>> = BinaryHeap::new();
     let mut number = 0;
@@ -218,14 +218,14 @@
         while waiting.peek().is_some_and(|next| next.0.at <= now) {
             let Some(Reverse(due)) = waiting.pop() else { break };
             shared.recorder.late(now.saturating_sub(due.at));
-            // What the receiver has no room for is lost, as on any network.
+            // A datagram that the receiver's buffer can't hold is lost, as on any network.
             if shared.sockets[due.from].try_send_to(&due.bytes, shared.senders[due.to]).is_ok() {
                 shared.arrived.fetch_add(1, Ordering::Relaxed);
             }
-            shared.under_way.fetch_sub(1, Ordering::Relaxed);
+            shared.in_flight.fetch_sub(1, Ordering::Relaxed);
         }
-        let rest = waiting.peek().map_or(IDLE, |next| {
-            Duration::from_micros(next.0.at.saturating_sub(shared.recorder.now()).max(TOGETHER))
+        let rest = waiting.peek().map_or(IDLE_CHECK, |next| {
+            Duration::from_micros(next.0.at.saturating_sub(shared.recorder.now()).max(MIN_SLEEP))
         });
         let mut next = match incoming.recv_timeout(rest) {
             Ok(due) => Some(due),
--- a/fleet/src/world/endpoints.rs
+++ b/fleet/src/world/endpoints.rs
@@ -1,4 +1,4 @@
-//! Destinations and their endpoints: limits, queues, ways to fail, cold returns, and every effect taken down.
+//! Destinations and their endpoints: limits, queues, faults, cold returns, and a record of every effect.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -20,49 +20,49 @@
 use crate::ledger::{CallEnd, Recorder, What};
 use crate::links::tcp::Conduit;
 
-/// How long a cold destination bears too much, and how many times what it can do that is.
+/// A cold destination is overloaded by calls above [`FALL_MULTIPLE`] times its capacity over this time.
 pub const FALL_FOR: Micros = 3_000_000;
 /// See [`FALL_FOR`].
 pub const FALL_MULTIPLE: f64 = 2.0;
-/// Calls that a cold destination bears in [`FALL_FOR`] where the settings allow it so many: the protocol's
-/// slack.
-fn bears(allowed: f64) -> f64 {
+/// Calls that a cold destination tolerates in [`FALL_FOR`] where the settings allow `allowed`: adds the
+/// protocol's slack.
+fn tolerated_calls(allowed: f64) -> f64 {
     allowed + 3.0 * allowed.sqrt() + 3.0
 }
 
-/// What a destination can do over its limit.
-const SPARE: f64 = 1.3;
-/// Seconds of its limit that may come at once.
+/// Capacity of a destination as a multiple of its limit.
+const CAPACITY_FACTOR: f64 = 1.3;
+/// Burst size, in seconds of the limit.
 const BURST_S: f64 = 1.0;
-/// Calls that may wait at an endpoint for each that is served.
-const QUEUE: usize = 4;
-/// The wait that is told, milliseconds.
-const WAIT_MS: (u64, u64) = (400, 900);
-/// Of calls that fail, the share that took effect all the same.
+/// Calls that may wait at an endpoint per call in service.
+const QUEUE_FACTOR: usize = 4;
+/// Range of Retry-After, milliseconds.
+const RETRY_AFTER_MS: (u64, u64) = (400, 900);
+/// Share of failed calls that take effect nevertheless.
 const FAILED_RAN: f64 = 0.3;
-/// Attempts for a message at most.
+/// Maximum attempts for a message.
 pub const TRY_LIMIT: usize = 6;
-/// Calls that a sender may have out.
+/// Maximum calls that a sender may have in flight.
 pub const SLOTS: usize = 40;
-/// Messages of a batch at most.
+/// Maximum messages of a batch.
 pub const BATCH: usize = 20;
 
-/// How a destination fares.
+/// Faults of a destination.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Condition {
-    /// It takes no connections; the links see to that.
+    /// It accepts no connections; the links enforce that.
     pub down: bool,
-    /// It refuses all.
+    /// It refuses every call.
     pub shut: bool,
     /// It does not answer.
     pub silent: bool,
-    /// It answers what can't be read.
+    /// Its answers are malformed.
     pub wrong: bool,
     /// Share of calls that fail.
     pub failing: f64,
-    /// How many times as long calls take.
+    /// Multiple of the usual time of a call.
     pub slow: f64,
-    /// Its limit, of the usual.
+    /// Its limit as a fraction of the usual.
     pub limit: f64,
 }
 
@@ -78,28 +78,28 @@
     }
 }
 
-/// What does not change about a destination.
+/// The fixed properties of a destination.
 #[derive(Debug, Clone)]
 pub struct Nature {
     /// Its number.
     pub dest: u16,
-    /// Calls a second that it takes from all senders together.
+    /// Calls per second that it accepts from all senders together.
     pub limit: f64,
     /// Mean time of a call, seconds.
     pub work: f64,
-    /// Share of calls that fail when nothing is wrong.
+    /// Share of calls that fail without a fault.
     pub error_share: f64,
-    /// Share of refusals that tell a wait.
+    /// Share of refusals with Retry-After.
     pub tells_wait: f64,
-    /// Refused calls use up the limit too.
+    /// Refused calls count against the limit too.
     pub refused_count: bool,
-    /// Share of its capacity with which it comes back.
+    /// Share of its capacity right after a return.
     pub cold_share: f64,
-    /// Until it is warm.
+    /// Time until it is warm.
     pub warm: Micros,
-    /// For how long it remembers a key.
+    /// How long it remembers a key.
     pub window: Micros,
-    /// It starts with the run, and is cold then.
+    /// It starts cold at the begin of the run.
     pub cold_start: bool,
 }
 
@@ -108,7 +108,7 @@
     tokens: f64,
     filled: Micros,
     cold_since: Option<Micros>,
-    /// Since it came back: calls, and by whom.
+    /// Calls since its return: time and sender.
     recent: VecDeque<(Micros, usize)>,
     fallen: bool,
     /// Senders that saw it fail during the outage.
@@ -124,8 +124,8 @@
     registry: Arc<Registry>,
     recorder: Recorder,
     calls: Arc<AtomicU64>,
-    /// Calls that each sender has out, at all destinations.
-    out: Arc<Vec<AtomicUsize>>,
+    /// Calls in flight by sender, over all destinations.
+    in_flight: Arc<Vec<AtomicUsize>>,
 }
 
 /// One of its endpoints.
@@ -135,7 +135,7 @@
     partner: Arc<Partner>,
     servers: Semaphore,
     waiting: AtomicUsize,
-    room: usize,
+    queue_limit: usize,
 }
 
 #[derive(Deserialize)]
@@ -153,8 +153,8 @@
     body: Vec<u8>,
 }
 
-/// What becomes of a call before it is served.
-enum Fate {
+/// The decision on a call before it is served.
+enum Decision {
     Refused(Option<Micros>),
     Busy,
     Silent,
@@ -163,23 +163,23 @@
     Served(f64),
 }
 
-/// A call that is out, for as long as it lives.
-struct Out(Arc<Vec<AtomicUsize>>, usize);
+/// Counts a call as in flight until it is dropped.
+struct InFlight(Arc<Vec<AtomicUsize>>, usize);
 
-impl Drop for Out {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.0[self.1].fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Partner {
-    /// A destination in its usual condition.
+    /// Creates a destination without faults.
     pub fn new(
         nature: Nature,
         registry: Arc<Registry>,
         recorder: Recorder,
         calls: Arc<AtomicU64>,
-        out: Arc<Vec<AtomicUsize>>,
+        in_flight: Arc<Vec<AtomicUsize>>,
         seed: u64,
     ) -> Arc<Self> {
         let state = State {
@@ -193,19 +193,25 @@
             keys: HashMap::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
-        Arc::new(Self { nature, state: Mutex::new(state), registry, recorder, calls, out })
+        Arc::new(Self { nature, state: Mutex::new(state), registry, recorder, calls, in_flight })
     }
 
-    /// One of its endpoints.
+    /// Creates one of its endpoints.
     pub fn endpoint(self: &Arc<Self>, name: String, endpoints: usize) -> Arc<Endpoint> {
-        let busy = self.nature.limit * SPARE * self.nature.work / endpoints as f64;
+        let busy = self.nature.limit * CAPACITY_FACTOR * self.nature.work / endpoints as f64;
         let servers = (busy.ceil() as usize).max(2);
         let waiting = AtomicUsize::new(0);
-        let room = servers * QUEUE;
-        Arc::new(Endpoint { name, partner: self.clone(), servers: Semaphore::new(servers), waiting, room })
+        let queue_limit = servers * QUEUE_FACTOR;
+        Arc::new(Endpoint {
+            name,
+            partner: self.clone(),
+            servers: Semaphore::new(servers),
+            waiting,
+            queue_limit,
+        })
     }
 
-    /// How it fares from now on. It comes back from an outage cold.
+    /// Sets its faults from now on. It returns from an outage cold.
     pub fn condition(&self, condition: Condition) {
         let Ok(mut state) = self.state.lock() else { return };
         let (before, now) = (state.condition.outage(), condition.outage());
@@ -221,18 +227,18 @@
         }
     }
 
-    /// Its capacity now, of the usual.
+    /// Its capacity now as a fraction of the usual.
     fn share(&self, state: &State, now: Micros) -> f64 {
         let Some(since) = state.cold_since else { return 1.0 };
         let warm = (now - since) as f64 / self.nature.warm.max(1) as f64;
         self.nature.cold_share + (1.0 - self.nature.cold_share) * warm.min(1.0)
     }
 
-    /// Whether a call is let in, and how it fares.
-    fn fate(&self, sender: usize, now: Micros) -> Fate {
-        let Ok(mut guard) = self.state.lock() else { return Fate::Silent };
+    /// Decides whether a call is admitted, and how it ends.
+    fn decide(&self, sender: usize, now: Micros) -> Decision {
+        let Ok(mut guard) = self.state.lock() else { return Decision::Silent };
         let state = &mut *guard;
-        // Tasks come to the lock in another order than they looked at the clock.
+        // Tasks may take the lock in another order than they read the clock.
         let now = now.max(state.filled).max(state.cold_since.unwrap_or(0));
         let share = self.share(state, now);
         if let Some(since) = state.cold_since {
@@ -240,9 +246,9 @@
             while state.recent.front().is_some_and(|call| call.0 + FALL_FOR < now) {
                 state.recent.pop_front();
             }
-            let able = self.nature.limit * state.condition.limit * SPARE * share;
-            let bears = bears(FALL_MULTIPLE * able * FALL_FOR as f64 / 1e6);
-            if !state.fallen && state.recent.len() as f64 > bears {
+            let able = self.nature.limit * state.condition.limit * CAPACITY_FACTOR * share;
+            let tolerated = tolerated_calls(FALL_MULTIPLE * able * FALL_FOR as f64 / 1e6);
+            if !state.fallen && state.recent.len() as f64 > tolerated {
                 state.fallen = true;
                 let mut by: BTreeMap<usize, u64> = BTreeMap::new();
                 state.recent.iter().for_each(|call| *by.entry(call.1).or_default() += 1);
@@ -255,7 +261,7 @@
             }
         }
         if state.fallen {
-            return Fate::Refused(None);
+            return Decision::Refused(None);
         }
         let condition = state.condition;
         if condition.outage() {
@@ -267,28 +273,28 @@
         state.filled = now;
         let refused = condition.shut || state.tokens < 1.0;
         if !refused || self.nature.refused_count {
-            // What is refused can take it below nothing, but not for ever.
+            // Refused calls can make the balance negative, down to one burst.
             state.tokens = (state.tokens - 1.0).max(-rate * BURST_S);
         }
         if refused {
             let tells = state.rng.random_bool(self.nature.tells_wait);
-            let wait = state.rng.random_range(WAIT_MS.0..=WAIT_MS.1) * 1000;
-            return Fate::Refused(tells.then_some(wait));
+            let wait = state.rng.random_range(RETRY_AFTER_MS.0..=RETRY_AFTER_MS.1) * 1000;
+            return Decision::Refused(tells.then_some(wait));
         }
         if condition.silent {
-            return Fate::Silent;
+            return Decision::Silent;
         }
         if condition.wrong {
-            return Fate::Wrong;
+            return Decision::Wrong;
         }
         if state.rng.random_bool(condition.failing.max(self.nature.error_share).min(1.0)) {
-            return Fate::Fails;
+            return Decision::Fails;
         }
         let noise = LogNormal::new(-0.125, 0.5).map_or(1.0, |law| law.sample(&mut state.rng));
-        Fate::Served(self.nature.work * noise * condition.slow / share.max(0.05))
+        Decision::Served(self.nature.work * noise * condition.slow / share.max(0.05))
     }
 
-    /// Takes effect, unless its key is remembered.
+    /// Records a message's effect, or a repeat if its key is remembered.
     fn effect(&self, call: u64, sent: &Sent, now: Micros) {
         let Ok(mut state) = self.state.lock() else { return };
         let window = self.nature.window;
@@ -300,7 +306,7 @@
                 *first = now;
             }
         }
-        // Keys are forgotten when their time is over, so that the memory is bounded by the window.
+        // Expired keys are dropped, so that the window bounds the memory.
         if state.keys.len().is_multiple_of(1024) {
             state.keys.retain(|_, first| now <= *first + window);
         }
@@ -317,7 +323,7 @@
 }
 
 impl Endpoint {
-    /// Serves one connection of a sender to its end.
+    /// Serves one connection of a sender until it ends.
     pub async fn serve(self: Arc<Self>, sender: usize, mut conduit: Conduit) {
         self.partner.recorder.see(What::Connected { sender, endpoint: self.name.clone() });
         let mut reader = Reader::default();
@@ -327,10 +333,12 @@
                 ("POST", "/v1/messages") => None,
                 ("POST", "/v1/messages:batch") => None,
                 ("GET", "/health") | ("GET", "/status/load") => {
-                    match self.partner.fate(sender, self.partner.recorder.now()) {
-                        Fate::Silent => std::future::pending().await,
-                        Fate::Refused(_) | Fate::Busy | Fate::Fails | Fate::Wrong => Some(503),
-                        Fate::Served(_) => Some(200),
+                    match self.partner.decide(sender, self.partner.recorder.now()) {
+                        Decision::Silent => std::future::pending().await,
+                        Decision::Refused(_) | Decision::Busy | Decision::Fails | Decision::Wrong => {
+                            Some(503)
+                        }
+                        Decision::Served(_) => Some(200),
                     }
                 }
                 _ => Some(404),
@@ -345,6 +353,7 @@
         }
     }
 
+    /// Occupies one server for this time, after waiting for one.
     async fn work(&self, seconds: f64) {
         self.waiting.fetch_add(1, Ordering::Relaxed);
         let permit = self.servers.acquire().await;
@@ -353,15 +362,15 @@
         drop(permit);
     }
 
-    /// One call; whether the connection goes on.
+    /// Serves one call; returns whether the connection stays open.
     async fn call(self: &Arc<Self>, sender: usize, request: Request, conduit: &mut Conduit) -> bool {
         let partner = &self.partner;
         let Some(sent) = messages(&request) else {
             return conduit.send(answer(400, &[], b"")).await.is_some();
         };
         let call = partner.calls.fetch_add(1, Ordering::Relaxed);
-        partner.out[sender].fetch_add(1, Ordering::Relaxed);
-        let mut out = Some(Out(partner.out.clone(), sender));
+        partner.in_flight[sender].fetch_add(1, Ordering::Relaxed);
+        let mut in_flight = Some(InFlight(partner.in_flight.clone(), sender));
         partner.recorder.see(What::Call {
             call,
             sender,
@@ -372,7 +381,7 @@
             last: request.last,
         });
         let batch = request.path.ends_with(":batch");
-        // Those that are over, or have had all their attempts, or were never handed in like this, don't run.
+        // Messages that have ended, have used up their attempts, or differ from what was handed in don't run.
         let mut ends = Vec::with_capacity(sent.len());
         for sent in &sent {
             ends.push(partner.registry.with(&sent.id, |message| {
@@ -390,13 +399,15 @@
         }
         let mut ends: Vec<&'static str> = ends.into_iter().map(|end| end.unwrap_or("error")).collect();
         let now = partner.recorder.now();
-        let fate = match partner.out[sender].load(Ordering::Relaxed) > SLOTS {
-            true => Fate::Busy,
-            false => partner.fate(sender, now),
+        let decision = match partner.in_flight[sender].load(Ordering::Relaxed) > SLOTS {
+            true => Decision::Busy,
+            false => partner.decide(sender, now),
         };
-        let fate = match fate {
-            Fate::Served(_) if self.waiting.load(Ordering::Relaxed) >= self.room => Fate::Refused(None),
-            fate => fate,
+        let decision = match decision {
+            Decision::Served(_) if self.waiting.load(Ordering::Relaxed) >= self.queue_limit => {
+                Decision::Refused(None)
+            }
+            decision => decision,
         };
         let refused = |mut headers: Vec<(&str, String)>, wait: Option<Micros>, status| {
             headers.push(("Srv-Load", partner.report()));
@@ -405,20 +416,20 @@
             }
             (answer(status, &headers, b""), status, vec![CallEnd::Never; sent.len()], wait)
         };
-        let (bytes, status, said, wait) = match fate {
-            Fate::Refused(Some(wait)) => refused(vec![], Some(wait), 429),
-            Fate::Refused(None) => refused(vec![], None, 503),
-            Fate::Busy => refused(vec![("X-Line-Busy", "1".to_owned())], None, 503),
-            Fate::Silent => {
-                // It holds the slot until the sender gives the call up.
+        let (bytes, status, outcomes, wait) = match decision {
+            Decision::Refused(Some(wait)) => refused(vec![], Some(wait), 429),
+            Decision::Refused(None) => refused(vec![], None, 503),
+            Decision::Busy => refused(vec![("X-Line-Busy", "1".to_owned())], None, 503),
+            Decision::Silent => {
+                // The call holds its slot until the sender abandons it.
                 while conduit.receive().await.is_some() {}
                 return false;
             }
-            Fate::Wrong => {
+            Decision::Wrong => {
                 let ends = vec![CallEnd::Maybe; sent.len()];
                 ("HTP 2oo what\r\n\r\n".into(), 0, ends, None)
             }
-            Fate::Fails => {
+            Decision::Fails => {
                 let ran = partner.state.lock().is_ok_and(|mut state| state.rng.random_bool(FAILED_RAN));
                 for (sent, _) in sent.iter().zip(&ends).filter(|(_, end)| ran && end.is_empty()) {
                     partner.effect(call, sent, now);
@@ -430,16 +441,17 @@
                     None,
                 )
             }
-            Fate::Served(work) => {
-                // Each further message of a batch is a little work.
+            Decision::Served(work) => {
+                // Each further message of a batch adds a tenth of the work.
                 let work = work * (1.0 + 0.1 * (sent.len() - 1) as f64);
                 let mut service = std::pin::pin!(self.work(work));
                 loop {
                     tokio::select! {
                         () = &mut service => break,
-                        // A call runs to its end even if the sender has gone; its slot is free then.
-                        piece = conduit.receive(), if out.is_some() => if piece.is_none() {
-                            out = None;
+                        // A call runs to its end even if the sender has closed the connection, which frees
+                        // its slot.
+                        piece = conduit.receive(), if in_flight.is_some() => if piece.is_none() {
+                            in_flight = None;
                         },
                     }
                 }
@@ -448,12 +460,12 @@
                     partner.effect(call, sent, done);
                     *end = "ok";
                 }
-                let said = ends.iter().map(|end| match *end {
+                let outcomes = ends.iter().map(|end| match *end {
                     "ok" => CallEnd::Done,
                     "error" => CallEnd::Maybe,
                     _ => CallEnd::Never,
                 });
-                let said: Vec<CallEnd> = said.collect();
+                let outcomes: Vec<CallEnd> = outcomes.collect();
                 let load = [("Srv-Load", partner.report())];
                 let (bytes, status) = match (batch, ends.first()) {
                     (true, _) => {
@@ -466,25 +478,25 @@
                     (false, Some(&"exhausted")) => (answer(504, &load, b""), 504),
                     (false, _) => (answer(400, &load, b""), 400),
                 };
-                (bytes, status, said, None)
+                (bytes, status, outcomes, None)
             }
         };
         let written = partner.recorder.now();
-        // Its slot is free once the answer is written.
-        drop(out);
+        // The slot is free once the answer is written.
+        drop(in_flight);
         let arrived = conduit.send(bytes).await;
         let Some(arrived) = arrived else { return false };
-        for (sent, _) in sent.iter().zip(&said).filter(|(_, end)| **end == CallEnd::Done) {
+        for (sent, _) in sent.iter().zip(&outcomes).filter(|(_, end)| **end == CallEnd::Done) {
             partner.registry.end(&sent.id, End::Delivered);
         }
-        // What is written counts as delivered, but a wait binds only whom it reached.
+        // A written answer counts as delivery, but Retry-After binds a sender only if it arrived.
         let wait = wait.filter(|_| arrived.heard);
-        partner.recorder.saw(arrived.at, What::Answered { call, status, written, wait, ends: said });
+        partner.recorder.saw(arrived.at, What::Answered { call, status, written, wait, ends: outcomes });
         status != 0
     }
 }
 
-/// The messages of a call; nothing if it can't be read, is empty, or names one twice.
+/// The messages of a call; `None` if it is malformed, empty, too large or contains a message twice.
 fn messages(request: &Request) -> Option<Vec<Sent>> {
     if !request.path.ends_with(":batch") {
         let id = request.headers.get("req-id")?.clone();
@@ -500,7 +512,7 @@
     items.into_iter().map(read).collect()
 }
 
-/// A digest of a body, to hold what arrives against what was handed in (FNV-1a, 32 bits).
+/// Digest of a body (FNV-1a, 32 bits), to compare what arrives with what was handed in.
 pub fn digest(body: &[u8]) -> u32 {
     body.iter().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(*byte)).wrapping_mul(0x0100_0193))
 }
--- a/fleet/src/world/senders.rs
+++ b/fleet/src/world/senders.rs
@@ -1,6 +1,6 @@
-//! The senders, as real processes of any binary. Each has a folder, a configuration and addresses of its own.
-//! Only processes that this run started are sent signals, each by the task that holds it unreaped; and the
-//! system kills them when this process ends, by whichever way.
+//! The senders, as real processes of any binary. Each has its own folder, configuration and addresses.
+//! Signals go only to processes that this run started, each from the task that holds the process unreaped.
+//! The kernel kills all of them when this process ends, however it ends.
 
 use std::collections::BTreeSet;
 use std::fs::{File, OpenOptions};
@@ -27,40 +27,40 @@
 use crate::scenario::{LogLevel, Scenario};
 use crate::{Micros, coded_error, micros};
 
-/// From SIGTERM to SIGKILL, and from there to the next start.
+/// Time from SIGTERM to SIGKILL; [`BACK_AFTER`] is the time from there to the next start.
 pub const TERM_TO_KILL: Duration = Duration::from_millis(3700);
 /// See [`TERM_TO_KILL`].
 pub const BACK_AFTER: Duration = Duration::from_millis(600);
-/// A process has so long until it takes clients.
-const READY_WITHIN: Duration = Duration::from_secs(30);
-/// Between two looks at it.
-const LOOK: Duration = Duration::from_millis(20);
-/// Looks a second at all senders that start together, at most.
-const LOOKS_PER_S: u32 = 3_000;
-/// Beyond so many senders they run below the bench's own priority: the machine is theirs but for what the
-/// bench needs to be in time.
-const MANY: usize = 30;
-/// By so much.
-const NICER: &str = "15";
-/// Threads that start processes: a start takes a millisecond or more.
+/// Time limit for a process to accept clients after its start.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time between two readiness checks of a starting process.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum readiness checks per second over all senders that start together.
+const MAX_CHECKS_PER_S: u32 = 3_000;
+/// Above this number the senders run at a lower priority than the bench: they may use the whole machine
+/// except for what the bench needs to be in time.
+const MAX_AT_OWN_PRIORITY: usize = 30;
+/// Niceness that lowers their priority.
+const NICENESS: &str = "15";
+/// Number of threads that start processes: a start takes a millisecond or more.
 const LAUNCHERS: usize = 4;
-/// Lines of a log that a failure shows.
+/// Last lines of a log that a failure shows.
 const LAST_LINES: usize = 8;
-/// Bytes of a log's end that are read for that.
+/// Bytes read from the end of a log for [`LAST_LINES`].
 const LAST_BYTES: u64 = 16 * 1024;
 
-/// Why a sender does not take clients.
+/// Why a sender does not accept clients.
 #[derive(Debug, thiserror::Error)]
 pub enum NotReady {
-    /// There is no process.
+    /// The process could not be started.
     #[error("sender {sender} can't be started: {why}")]
     Unstarted {
         /// Its number.
         sender: usize,
-        /// What the machine says.
+        /// The system's error.
         why: io::Error,
     },
-    /// The process went.
+    /// The process ended before it was ready.
     #[error("sender {sender} ended before it was ready; its last lines:\n{lines}")]
     Ended {
         /// Its number.
@@ -68,7 +68,7 @@
         /// The end of its log.
         lines: String,
     },
-    /// It took longer than it has.
+    /// It was not ready in time.
     #[error("sender {sender} is not ready in 30 s; its last lines:\n{lines}")]
     Late {
         /// Its number.
@@ -79,33 +79,33 @@
 }
 
 coded_error! { NotReady {
-    Unstarted => "fleet.unstarted", "see that the program is there, and that the machine has room for processes";
-    Ended => "fleet.ended", "read its last lines: they name the key, the address or the folder";
-    Late => "fleet.late", "play with fewer senders, or on a machine with less to do";
+    Unstarted => "fleet.unstarted", "check that the program exists and that more processes can be started";
+    Ended => "fleet.ended", "read its last log lines: they name the key, the address or the folder";
+    Late => "fleet.late", "run fewer senders, or use a machine with less load";
 } }
 
-/// A piece of the loopback range that is this run's alone, whatever runs beside it.
+/// A block of loopback addresses that belongs to this run alone, whatever else runs on the machine.
 pub struct Block {
     net: [u8; 3],
     _claims: [TcpListener; 2],
 }
 
-/// Senders that have their addresses in one piece of 254.
-const IN_ONE: usize = 200;
-/// Senders that have addresses of their own in a [`Block`].
-pub const ADDRESSES: usize = 2 * IN_ONE;
+/// Senders with addresses in one subnet of 254.
+const PER_SUBNET: usize = 200;
+/// Senders that can have their own addresses in a [`Block`].
+pub const ADDRESSES: usize = 2 * PER_SUBNET;
 
 impl Block {
-    /// Claims one.
+    /// Claims a free block.
     ///
     /// # Errors
-    /// Fails when none is free.
+    /// Fails when none was free in 64 attempts.
     pub fn claim() -> io::Result<Self> {
         let mut rng = rand::rng();
         let mut last = io::Error::other("none was tried");
         for _ in 0..64 {
             let net = [127, rng.random_range(64..=250), 2 * rng.random_range(0..=127)];
-            // Whoever holds this port holds the piece; the system frees it with the process.
+            // The run that has this port bound owns the subnet; the system frees the port with the process.
             let claim =
                 |more: u8| TcpListener::bind((Ipv4Addr::new(net[0], net[1], net[2] + more, 254), 7999));
             match (claim(0), claim(1)) {
@@ -116,34 +116,34 @@
         Err(last)
     }
 
-    /// The address of all that is not a sender.
+    /// The address of everything that is not a sender.
     pub fn world(&self) -> IpAddr {
         Ipv4Addr::new(self.net[0], self.net[1], self.net[2], 253).into()
     }
 
     /// The address of a sender's host.
     fn host(&self, sender: usize) -> IpAddr {
-        let (piece, n) = (sender / IN_ONE, sender % IN_ONE + 1);
-        Ipv4Addr::new(self.net[0], self.net[1], self.net[2] + piece as u8, n as u8).into()
+        let (subnet, n) = (sender / PER_SUBNET, sender % PER_SUBNET + 1);
+        Ipv4Addr::new(self.net[0], self.net[1], self.net[2] + subnet as u8, n as u8).into()
     }
 
-    /// Where a sender takes clients.
+    /// Where a sender listens for clients.
     pub fn listen(&self, sender: usize) -> SocketAddr {
         (self.host(sender), 9000).into()
     }
 
-    /// Where a sender hears others.
+    /// Where a sender listens for its peers.
     pub fn peer_listen(&self, sender: usize) -> SocketAddr {
         (self.host(sender), 7946).into()
     }
 
-    /// Where operators call one of a sender's processes.
+    /// Management address of one of a sender's processes.
     pub fn mgmt(&self, sender: usize, generation: u32) -> SocketAddr {
         (self.host(sender), 9100 + (generation % 200) as u16).into()
     }
 }
 
-/// The tenants, each with room for all: the usual one, and those of the sessions.
+/// The tenants, each with a quota sufficient for all messages: the usual one, and those of the sessions.
 fn tenants(scenario: &Scenario) -> Value {
     let named = scenario.sessions.iter().map(|sessions| sessions.tenant.as_str());
     let all: BTreeSet<&str> = named.chain([TENANT]).collect();
@@ -152,7 +152,7 @@
     all.iter().map(tenant).collect()
 }
 
-/// The settings that all senders have, in the protocol's form.
+/// The settings common to all senders, in the protocol's form.
 pub fn settings(scenario: &Scenario, zones: &[&str], kinds: &[&str]) -> Value {
     let class = |name: &str, effect: &str, times: crate::scenario::Times| {
         json!({"name": name, "effect": effect, "group": "all", "dedup_window_us": micros(times.window_s),
@@ -162,7 +162,8 @@
     json!({
         "classes": [class("notice", "by_key", scenario.notice),
                     class("disbursement", "once", scenario.disbursement)],
-        "skus": kinds, "azs": zones, "balancers": scenario.senders, "period_us": 5000, "discovery": if scenario.discovery.asked { "ask" } else { "push" },
+        "skus": kinds, "azs": zones, "balancers": scenario.senders, "period_us": 5000,
+        "discovery": if scenario.discovery.asked { "ask" } else { "push" },
         "family_info": {"bundle_max": [BATCH, 1], "calls_out": SLOTS, "decay": "halves",
                         "own_limits": [false, false], "turned_away_price": 0.05, "toll": [0.0, 0.0]},
         "limits": {"max_open": 400, "try_limit": TRY_LIMIT, "connect_timeout_us": 1_000_000,
@@ -178,21 +179,21 @@
                         "stop_sending_within_us": 2_000_000}})
 }
 
-/// Where a sender is, and whom it talks to.
+/// The addresses of a sender and of its peers.
 pub struct Addresses {
-    /// Where it takes clients.
+    /// Where it listens for clients.
     pub listen: SocketAddr,
-    /// Its agent for the list.
+    /// Its discovery agent.
     pub discovery: SocketAddr,
-    /// Where it hears others.
+    /// Where it listens for its peers.
     pub peer_listen: SocketAddr,
-    /// All senders as it reaches them, itself among them, by rank.
+    /// The addresses at which it reaches all senders, itself included, by rank.
     pub peers: Vec<SocketAddr>,
-    /// Where a note to all of them goes.
+    /// The address for datagrams to all of them.
     pub peers_all: SocketAddr,
 }
 
-/// A sender's configuration but for `mgmt`, `known` and the sections of optional parts.
+/// A sender's configuration without `mgmt`, `known` and the sections of optional parts.
 pub fn document(sender: usize, seed: u64, at: &Addresses, settings: Value) -> Value {
     let text = |address: &SocketAddr| address.to_string();
     json!({
@@ -213,11 +214,11 @@
     ended: watch::Receiver<Option<Asked>>,
 }
 
-/// A process that is to be started, and who waits for it.
+/// A process to be started, and the channel for the result.
 type Launch = (Command, oneshot::Sender<io::Result<Child>>);
 
-/// Starts threads that start processes. A process ends with the thread that started it, so that these live as
-/// long as the run; the runtime's own would stand still meanwhile.
+/// Starts the threads that start processes. A process is killed when the thread that started it ends, so
+/// these threads live as long as the run. Starts on the runtime's own threads would block those meanwhile.
 fn launchers() -> io::Result<std::sync::mpsc::Sender<Launch>> {
     let (orders, ordered) = std::sync::mpsc::channel::<Launch>();
     let ordered = Arc::new(Mutex::new(ordered));
@@ -236,13 +237,13 @@
     Ok(orders)
 }
 
-/// What is needed to start a sender's processes.
+/// Folder, configuration and socket of a sender's processes.
 pub struct Place {
-    /// Its folder, with its configuration, its log and what lasts.
+    /// Its folder, with its configuration, its log and its state folder.
     pub folder: PathBuf,
-    /// Its configuration but for `mgmt` and `known`.
+    /// Its configuration without `mgmt` and `known`.
     pub config: Value,
-    /// The socket for clients, where the platform holds it.
+    /// The listening socket for clients, where the platform holds it.
     pub held: Option<TcpListener>,
 }
 
@@ -260,10 +261,10 @@
 }
 
 impl Tier {
-    /// Senders that are not started yet; `known` tells the list that one starts with.
+    /// Creates the senders without starting them; `known` gives the list that a sender starts with.
     ///
     /// # Errors
-    /// Fails when a thread can't be had.
+    /// Fails when a thread can't be started.
     pub fn new(
         binary: PathBuf,
         places: Vec<Place>,
@@ -279,10 +280,10 @@
         Ok(Self { binary, places, mgmt, known, recorder, current, started, log, launch })
     }
 
-    /// Starts a process and waits until it takes clients, or until it is asked to end.
+    /// Starts a process and waits until it accepts clients, or until it is asked to end.
     ///
     /// # Errors
-    /// Tells, with its last lines, that it does not start, ends, or is not ready in time.
+    /// Fails, with the last lines of its log, when it does not start, ends, or is not ready in time.
     pub async fn start(&self, sender: usize, empty: bool) -> Result<(), NotReady> {
         let place = &self.places[sender];
         let generation = self.started[sender].lock().map_or(0, |mut started| {
@@ -304,12 +305,13 @@
         let log = place.folder.join("log");
         let output = OpenOptions::new().create(true).append(true).open(&log).map_err(failed)?;
         let command = self.command(place, &file, &state, output).map_err(failed)?;
-        let (told, started) = oneshot::channel();
-        let _ = self.launch.send((command, told));
-        let gone = || io::Error::other("nobody is left to start it");
-        let mut child = started.await.unwrap_or_else(|_| Err(gone())).map_err(failed)?;
+        let (result, started) = oneshot::channel();
+        let _ = self.launch.send((command, result));
+        let no_launcher = || io::Error::other("the launcher threads have ended");
+        let mut child = started.await.unwrap_or_else(|_| Err(no_launcher())).map_err(failed)?;
         self.recorder.see(What::Started { sender, generation, empty });
-        // The list that it starts with is told; what was written to a process that had died was not.
+        // The sender knows the list that it starts with; it may lack what was written to its dead
+        // predecessor.
         for listed in config["known"]["endpoints"].as_array().into_iter().flatten() {
             let text = |key: &str| listed[key].as_str().unwrap_or_default().to_owned();
             self.recorder.see(What::Told { sender, endpoint: text("name"), status: text("status") });
@@ -326,7 +328,7 @@
                     Some((signal, how)) = ordered.recv() => {
                         asked = if how == Asked::No { asked } else { how };
                         recorder.see(What::Signal { sender, generation, signal: signal.to_string() });
-                        signalled(&child, signal);
+                        send_signal(&child, signal);
                     }
                 }
             };
@@ -337,7 +339,7 @@
         if let Ok(mut current) = self.current[sender].lock() {
             *current = Some(process);
         }
-        let every = LOOK.max(Duration::from_secs(1) * self.places.len() as u32 / LOOKS_PER_S);
+        let every = CHECK_INTERVAL.max(Duration::from_secs(1) * self.places.len() as u32 / MAX_CHECKS_PER_S);
         let ready = async {
             while !ready(mgmt).await {
                 if let Some(asked) = *ended.borrow() {
@@ -347,15 +349,15 @@
             }
             Ok(())
         };
-        match tokio::time::timeout(READY_WITHIN, ready).await {
+        match tokio::time::timeout(READY_TIMEOUT, ready).await {
             Ok(Ok(())) => {
                 self.recorder.see(What::Ready { sender, generation });
                 Ok(())
             }
             Ok(Err(Asked::Kill | Asked::Terminate)) => Ok(()),
-            told => {
+            failed => {
                 let lines = last_lines(&log);
-                let ended = told.is_ok();
+                let ended = failed.is_ok();
                 Err(if ended { NotReady::Ended { sender, lines } } else { NotReady::Late { sender, lines } })
             }
         }
@@ -364,16 +366,17 @@
     #[allow(unsafe_code)]
     fn command(&self, place: &Place, config: &Path, state: &Path, output: File) -> io::Result<Command> {
         let mut command = match &place.held {
-            None if self.places.len() > MANY => {
-                // Programs that set this before they become the sender spare the bench a copy of its tables
-                // for each, during which all of it stands still.
+            None if self.places.len() > MAX_AT_OWN_PRIORITY => {
+                // `setpriv` sets the death signal and then execs the sender. A pre_exec hook would need a
+                // fork, which copies the bench's page tables for each start while the whole bench stands
+                // still.
                 let mut nice = Command::new("setpriv");
-                nice.args(["--pdeathsig", "KILL", "nice", "-n", NICER]).arg(&self.binary);
+                nice.args(["--pdeathsig", "KILL", "nice", "-n", NICENESS]).arg(&self.binary);
                 nice
             }
             None => Command::new(&self.binary),
             Some(listener) => {
-                // The socket is handed down as descriptor 3, as the platform does.
+                // The socket is passed as descriptor 3, as the platform does.
                 let mut shell = Command::new("sh");
                 shell.args(["-c", "exec \"$0\" 3<&0 </dev/null"]).arg(&self.binary);
                 shell.stdin(Stdio::from(OwnedFd::from(listener.try_clone()?))).env("NODE_LISTEN_FD", "3");
@@ -386,12 +389,12 @@
         for name in ["NODE_LISTEN", "NODE_MGMT", "NODE_DISCOVERY", "NODE_NAME"] {
             command.env_remove(name);
         }
-        // What each message met, for whoever asks later; bounded in rate by the sender itself.
+        // The log lets `explain` show each message's way; the sender itself limits its rate.
         command.env("NODE_LOG", self.log.name()).env("NODE_LOG_FORM", "json");
         command.env("NODE_CONFIG", config).env("NODE_STATE", state);
         command.stdout(output.try_clone()?).stderr(output).kill_on_drop(true);
-        if place.held.is_some() || self.places.len() <= MANY {
-            // SAFETY: between fork and exec only this one system call is made, which allocates nothing.
+        if place.held.is_some() || self.places.len() <= MAX_AT_OWN_PRIORITY {
+            // SAFETY: between fork and exec only this one system call is made, and it allocates nothing.
             unsafe {
                 command.pre_exec(|| nix::sys::prctl::set_pdeathsig(Signal::SIGKILL).map_err(io::Error::from));
             }
@@ -423,13 +426,13 @@
         }
     }
 
-    /// SIGTERM, and SIGKILL if it has not ended in its time.
+    /// Sends SIGTERM, and SIGKILL if the process has not ended after [`TERM_TO_KILL`].
     pub async fn terminate(&self, sender: usize) {
         let Some(process) = self.process(sender) else { return };
         stop(process).await;
     }
 
-    /// Starts a new process beside the old one, which is asked to end once the new one takes clients.
+    /// Starts a new process beside the old one, which is asked to end once the new one accepts clients.
     ///
     /// # Errors
     /// As [`Tier::start`].
@@ -442,17 +445,17 @@
         Ok(())
     }
 
-    /// Whether every sender's newest process still runs.
+    /// Whether a sender's newest process still runs.
     pub fn running(&self, sender: usize) -> bool {
         self.process(sender).is_some_and(|process| process.ended.borrow().is_none())
     }
 
-    /// The system's number of a sender's newest process while that runs.
+    /// The process id of a sender's newest process while that runs.
     pub fn id(&self, sender: usize) -> Option<u32> {
         self.process(sender).filter(|process| process.ended.borrow().is_none())?.id
     }
 
-    /// Where operators call a sender's newest process, and its number.
+    /// Management address and number of a sender's newest process.
     pub fn mgmt(&self, sender: usize) -> Option<(SocketAddr, u32)> {
         let generation = self.process(sender)?.generation;
         Some(((self.mgmt)(sender, generation), generation))
@@ -463,7 +466,7 @@
         last_lines(&self.places[sender].folder.join("log"))
     }
 
-    /// Kills all that run and waits for their end.
+    /// Kills all running processes and waits for their end.
     pub async fn end(&self) {
         for sender in (0..self.places.len()).filter(|sender| self.running(*sender)) {
             self.signal(sender, Signal::SIGKILL);
@@ -483,8 +486,8 @@
     }
 }
 
-fn signalled(child: &Child, signal: Signal) {
-    // A child that was reaped has no id, so that no stranger's is ever named.
+fn send_signal(child: &Child, signal: Signal) {
+    // A reaped child has no id, so a reused process id is never signalled.
     if let Some(id) = child.id().and_then(|id| i32::try_from(id).ok()) {
         let _ = kill(Pid::from_raw(id), signal);
     }
@@ -494,9 +497,9 @@
     let call = async {
         let mut stream = TcpStream::connect(mgmt).await.ok()?;
         stream.write_all(b"GET /control/ready HTTP/1.1\r\nHost: mgmt\r\n\r\n").await.ok()?;
-        let mut told = [0; 12];
-        stream.read_exact(&mut told).await.ok()?;
-        told.starts_with(b"HTTP/1.1 200").then_some(())
+        let mut status = [0; 12];
+        stream.read_exact(&mut status).await.ok()?;
+        status.starts_with(b"HTTP/1.1 200").then_some(())
     };
     matches!(tokio::time::timeout(Duration::from_secs(1), call).await, Ok(Some(())))
 }
@@ -516,7 +519,7 @@
     read().unwrap_or_else(|e| format!("(no log: {e})"))
 }
 
-/// The time in which a restart is over at the latest.
-pub fn restart_most() -> Micros {
-    (TERM_TO_KILL + BACK_AFTER + READY_WITHIN).as_micros() as Micros
+/// Maximum duration of a restart.
+pub fn max_restart_time() -> Micros {
+    (TERM_TO_KILL + BACK_AFTER + READY_TIMEOUT).as_micros() as Micros
 }
