--- a/fleet/src/cost.rs
+++ b/fleet/src/cost.rs
@@ -1,4 +1,4 @@
-//! What a run takes of the machine: the bench's own part and the senders'.
+//! Resource use of a run: the bench's own and the senders'.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,17 +8,17 @@
 use nix::sys::time::TimeValLike;
 use serde::Serialize;
 
-/// Between two looks at the descriptors.
-const LOOK: Duration = Duration::from_secs(1);
+/// Time between two counts of the open descriptors.
+const COUNT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a run takes. The processor's time is of all runs of this process that go on at the time.
+/// Resource use of a run. CPU time covers all runs that this process executes at the same time.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Cost {
-    /// The bench's own time on processors, seconds.
+    /// The bench's own CPU time, seconds.
     pub bench_cpu_s: f64,
-    /// The senders', of those that have ended.
+    /// CPU time of the senders that have ended, seconds.
     pub senders_cpu_s: f64,
-    /// Descriptors that the bench held, at most.
+    /// Maximum number of descriptors that the bench held.
     pub descriptors: u64,
     /// Bytes of the senders' logs.
     pub log_bytes: u64,
@@ -27,7 +27,7 @@
 }
 
 impl Cost {
-    /// Time on processors up to now.
+    /// CPU time up to now.
     pub fn now() -> Self {
         let seconds = |who| {
             getrusage(who).map_or(0.0, |usage| {
@@ -38,7 +38,7 @@
         Self { bench_cpu_s, senders_cpu_s: seconds(UsageWho::RUSAGE_CHILDREN), ..Self::default() }
     }
 
-    /// What was taken since then, by a run that left its files there.
+    /// Resource use since `before`, of a run with its files in `out`.
     pub fn since(self, before: &Self, out: &Path) -> Self {
         let size = |path: &Path| std::fs::metadata(path).map_or(0, |metadata| metadata.len());
         let folders = std::fs::read_dir(out).into_iter().flatten().flatten();
@@ -52,33 +52,33 @@
     }
 }
 
-/// Lets this process hold as many descriptors as the system allows: a listener for each sender and endpoint, and a
-/// connection on most of them, are thousands.
+/// Raises the descriptor limit to the maximum that the system allows: a listener for each pair of sender and
+/// endpoint, with a connection on most of them, needs thousands.
 pub fn raise_descriptors() {
     if let Ok((soft, hard)) = getrlimit(Resource::RLIMIT_NOFILE)
         && soft < hard
     {
-        // Where it can't be had, a run that needs more fails by itself, and says so.
+        // If this fails, a run that needs more descriptors fails with its own error.
         let _ = setrlimit(Resource::RLIMIT_NOFILE, hard, hard);
     }
 }
 
-/// Descriptors that this process holds at most.
+/// Maximum number of descriptors that this process has held.
 #[derive(Debug, Default)]
 pub struct Descriptors(AtomicU64);
 
 impl Descriptors {
-    /// The most that was seen.
-    pub fn most(&self) -> u64 {
+    /// The maximum counted so far.
+    pub fn max(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 
-    /// Looks for as long as it is let.
+    /// Counts at intervals until it is aborted.
     pub async fn watch(&self) {
         loop {
             let held = std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count);
             self.0.fetch_max(held as u64, Ordering::Relaxed);
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(COUNT_INTERVAL).await;
         }
     }
 }
--- a/fleet/src/experiment.rs
+++ b/fleet/src/experiment.rs
@@ -123,7 +123,7 @@
     });
     // Processes that a run given up left behind end here.
     runtime.shutdown_timeout(Duration::from_secs(2));
-    let cost = Cost { descriptors: descriptors.most(), ..Cost::now().since(&before, &play.out) };
+    let cost = Cost { descriptors: descriptors.max(), ..Cost::now().since(&before, &play.out) };
     let (lateness, dropped) = (recorder.lateness(), recorder.dropped());
     recorder.see(What::Over);
     writer.join().unwrap_or_else(|_| Err(io::Error::other("the writer of the history failed")))?;
--- a/fleet/src/explain.rs
+++ b/fleet/src/explain.rs
@@ -1,4 +1,4 @@
-//! The story of one message over all processes, in order, from the history and the senders' logs.
+//! The trace of one message over all processes, in order of time, from the history and the senders' logs.
 
 use std::fmt::Write as _;
 use std::io;
@@ -7,13 +7,13 @@
 use crate::ledger::checker::{Reading, check};
 use crate::ledger::{Entry, History, What};
 
-/// Lines of the senders' logs that a story holds at most.
-const LOG_LINES: usize = 200;
+/// Maximum log lines of the senders in a trace.
+const MAX_LOG_LINES: usize = 200;
 
-/// Tells it; `id` may be that of any of its tries.
+/// Returns the trace as text; `id` may be that of any try.
 ///
 /// # Errors
-/// Fails when the history can't be read, or knows no such message.
+/// Fails when the history can't be read or doesn't contain the message.
 pub fn story(folder: &Path, id: &str) -> io::Result<String> {
     let history = History::read(&folder.join("history.jsonl"))?;
     let reading = Reading::of(&history);
@@ -38,31 +38,31 @@
         let line = match what {
             What::Offered { id, sender, deadline, .. } if about(id) => {
                 format!(
-                    "{id} is handed to sender {sender}; its time is up at {:.3} s",
+                    "{id} is handed in at sender {sender}; its deadline is at {:.3} s",
                     *deadline as f64 / 1e6
                 )
             }
             What::Heard { id, status: 0 } if about(id) => {
                 format!("{id}: the connection ends without an answer")
             }
-            What::Heard { id, status } if about(id) => format!("{id}: its client hears {status}"),
-            What::GaveUp { id } if about(id) => format!("{id}: its client waits no longer"),
-            What::Closed { root: closed } if *closed == root => "its client does not come again".to_owned(),
+            What::Heard { id, status } if about(id) => format!("{id}: its client receives {status}"),
+            What::GaveUp { id } if about(id) => format!("{id}: its client stops waiting"),
+            What::Closed { root: closed } if *closed == root => "its client does not retry it".to_owned(),
             What::Call { call, sender, endpoint, ids, first, .. } if calls.contains(call) => format!(
-                "call {call} by sender {sender} comes to {endpoint} with {} messages, begun at {:.3} s",
+                "call {call} by sender {sender} arrives at {endpoint} with {} messages, begun at {:.3} s",
                 ids.len(),
                 *first as f64 / 1e6
             ),
             What::Effect { call, id, repeat } if about(id) => match repeat {
-                true => format!("{id} is dropped as a repeat, in call {call}"),
-                false => format!("{id} takes effect, in call {call}"),
+                true => format!("{id} is dropped as a duplicate in call {call}"),
+                false => format!("{id} takes effect in call {call}"),
             },
             What::Answered { call, status, wait, ends, .. } if calls.contains(call) => {
-                let wait = wait.map_or(String::new(), |wait| format!(", to wait {} ms", wait / 1000));
+                let wait = wait.map_or(String::new(), |wait| format!(", Retry-After {} ms", wait / 1000));
                 format!("call {call} is answered {status}{wait}: {ends:?}")
             }
             What::Notice { sender, id, status } if about(id) => {
-                format!("sender {sender} tells {id} as {status}")
+                format!("sender {sender} reports {id} as {status}")
             }
             What::Fault { number, on, what, .. } => {
                 format!("fault {number} {}: {what}", if *on { "begins" } else { "ends" })
@@ -90,7 +90,7 @@
             let names =
                 |id: &str| line.split(|c: char| !c.is_alphanumeric() && c != '-').any(|word| word == id);
             if tries.iter().any(|id| names(id)) {
-                // Of a line that is no object the time is not known; it comes first.
+                // The time of a line that is not a JSON object is unknown; such lines come first.
                 let read: Option<serde_json::Value> = serde_json::from_str(line).ok();
                 let time = read.and_then(|line| line["timestamp"].as_str().map(str::to_owned));
                 lines.push((time.unwrap_or_default(), sender, line.to_owned()));
@@ -98,7 +98,7 @@
         }
     }
     lines.sort();
-    for (_, sender, line) in lines.iter().take(LOG_LINES) {
+    for (_, sender, line) in lines.iter().take(MAX_LOG_LINES) {
         let _ = writeln!(text, "log of sender {sender}: {line}");
     }
     Ok(text)
--- a/fleet/src/failures.rs
+++ b/fleet/src/failures.rs
@@ -1,4 +1,4 @@
-//! Why the bench's program ends before its work.
+//! Errors that end the bench's program before its work is done.
 
 use std::io;
 use std::path::PathBuf;
@@ -7,55 +7,55 @@
 use crate::scale::command::NoScale;
 use crate::sweep::NoRuns;
 
-/// What ended a call before its work: exit code 2.
+/// An error that ends the program with exit code 2.
 #[derive(Debug, thiserror::Error)]
-pub enum Bad {
-    /// Something that the machine refuses.
+pub enum BenchError {
+    /// An error of the operating system.
     #[error("{0}")]
     Machine(#[from] io::Error),
-    /// A file that can't be had.
+    /// A file that can't be opened.
     #[error("{}: {why}", path.display())]
     File {
-        /// Where it should be.
+        /// The file's path.
         path: PathBuf,
-        /// Why not.
+        /// The system's error.
         why: io::Error,
     },
-    /// A scenario with faults, a line each.
+    /// An invalid scenario; one line per invalid key.
     #[error("{0}")]
     Scenario(String),
-    /// No such mix.
+    /// Unknown mix.
     #[error("expected processes, links, partners or all")]
     Mix,
-    /// A section is to be left out that is not there.
+    /// `--without` names a section that the scenario doesn't have.
     #[error("--without {0}: the scenario has no such section")]
     Section(String),
-    /// The run that is to be made smaller is sound.
-    #[error("this run breaks no rule: there is nothing to be made smaller")]
+    /// The run that is to be shrunk breaks no rule.
+    #[error("this run breaks no rule: there is nothing to shrink")]
     Sound,
-    /// The smaller scenario can't be written as text.
+    /// The shrunk scenario can't be serialized.
     #[error("{0}")]
     Text(String),
     /// The build failed.
     #[error("the sender could not be built: cargo build --release --locked")]
     Unbuilt,
-    /// No runs are begun.
+    /// The runs could not be started.
     #[error("{0}")]
     Runs(#[from] NoRuns),
-    /// No points are measured, or no page is written.
+    /// The subcommand `scale` failed.
     #[error("{0}")]
     Scale(#[from] NoScale),
 }
 
-coded_error! { Bad {
-    Machine => "fleet.machine", "see that the folder for runs can be written and the disk has room";
-    File => "fleet.file", "name a file that is there and can be read";
-    Scenario => "fleet.scenario", "mend each key that is named, as docs/fleet.md has it";
-    Mix => "fleet.mix", "name one of the four";
-    Section => "fleet.section", "leave --without out, or name a section that the scenario has";
+coded_error! { BenchError {
+    Machine => "fleet.machine", "check that the folder for runs is writable and the disk has free space";
+    File => "fleet.file", "name an existing, readable file";
+    Scenario => "fleet.scenario", "correct each named key as described in docs/fleet.md";
+    Mix => "fleet.mix", "use one of the four names";
+    Section => "fleet.section", "omit --without, or name a section of the scenario";
     Sound => "fleet.sound", "give the seed and the program of a run that broke a rule";
-    Text => "fleet.text", "tell the developers";
-    Unbuilt => "fleet.unbuilt", "run the build as the line says, and mend what it tells";
+    Text => "fleet.text", "report it to the developers";
+    Unbuilt => "fleet.unbuilt", "run the named build command, and fix the errors that it reports";
     ..Runs;
     ..Scale;
 } }
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,9 +1,10 @@
-//! The fleet bench: several real processes of the sender on loopback, a world round them, faults between
-//! them, and a history from which a checker proves what was lost.
+//! The fleet bench: runs several real processes of the sender on loopback in a simulated environment, injects
+//! faults, and records a history in which a checker finds lost messages and other violations.
 //!
-//! The rooms do not know each other's inside. [`world`] plays what a sender meets, over [`links`] that can
-//! be cut; [`nemesis`] turns the faults of a [`scenario`] into conditions of both; all that outsiders see
-//! goes into the history of the [`ledger`], which is judged afterwards and alone; [`report`] shows it.
+//! The modules don't depend on each other's internals. [`world`] simulates the environment of the senders,
+//! over [`links`] that can fail; [`nemesis`] turns the faults of a [`scenario`] into conditions of both;
+//! everything visible from outside goes into the history of the [`ledger`], which is checked afterwards and
+//! independently; [`report`] shows the result.
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -22,10 +23,11 @@
 pub mod sweep;
 pub mod world;
 
-/// Time in microseconds since the run began, on the monotonic clock: a wall clock that steps moves nothing.
+/// Time in microseconds since the run began, on the monotonic clock, so that steps of the wall clock have no
+/// effect.
 pub type Micros = u64;
 
-/// Seconds as microseconds; what is below zero or not a number is zero.
+/// Converts seconds to microseconds; negative values and NaN become zero.
 pub fn micros(seconds: f64) -> Micros {
     (seconds * 1e6) as Micros
 }
--- a/fleet/src/main.rs
+++ b/fleet/src/main.rs
@@ -1,5 +1,5 @@
-//! The fleet bench's command line. Exit codes of `run` and `check`: 0 all rules were kept, 1 one was broken, 2
-//! the call or the scenario is bad, 3 the run is not to be trusted.
+//! The fleet bench's command line. Exit codes of `run` and `check`: 0 no rule was broken, 1 a rule was
+//! broken, 2 wrong arguments or an invalid scenario, 3 the run is not trustworthy.
 #![deny(unsafe_code)]
 
 use std::path::{Path, PathBuf};
@@ -8,34 +8,34 @@
 use clap::{Args, Parser, Subcommand};
 use linenwing_fleet::error_code::CodedError;
 use linenwing_fleet::experiment::{Outcome, Play, judge, play};
-use linenwing_fleet::failures::Bad;
+use linenwing_fleet::failures::BenchError;
 use linenwing_fleet::ledger::History;
 use linenwing_fleet::scenario::{Mix, MixName, Scenario};
 use linenwing_fleet::{explain, report, scale, sweep};
 
-/// Plays many processes of the sender with faults between them, and proves from a ledger what was lost.
+/// Runs many processes of the sender with injected faults, and checks a recorded history for violations.
 ///
-/// With nothing more it builds the sender and plays the calm scenario.
+/// Without a command it builds the sender and runs the calm scenario.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
     #[command(subcommand)]
-    command: Option<Act>,
+    command: Option<Action>,
 }
 
 #[derive(Args, Clone)]
 struct Common {
-    /// The sender's program; the one built beside this if none is named.
+    /// The sender's program; by default the one built beside this program.
     #[arg(long)]
     binary: Option<PathBuf>,
-    /// Folder for what the runs leave.
+    /// Folder for the runs' files.
     #[arg(long, default_value = "target/fleet")]
     out: PathBuf,
 }
 
 #[derive(Subcommand)]
-enum Act {
-    /// Plays a scenario once.
+enum Action {
+    /// Runs a scenario once.
     Run {
         scenario: PathBuf,
         #[arg(long, default_value_t = 1)]
@@ -43,9 +43,9 @@
         #[command(flatten)]
         common: Common,
     },
-    /// Judges a history again.
+    /// Checks an existing history again.
     Check { history: PathBuf },
-    /// Plays scenarios over seeds, and shows a row for each.
+    /// Runs scenarios over a range of seeds, and prints one row per scenario.
     Sweep {
         #[arg(required = true)]
         scenarios: Vec<PathBuf>,
@@ -57,29 +57,29 @@
         #[command(flatten)]
         common: Common,
     },
-    /// Plays two programs in turn on the same seeds, and tells their differences pair by pair.
+    /// Runs two programs alternately on the same seeds, and prints their differences pair by pair.
     Compare {
         a: PathBuf,
         b: PathBuf,
         scenario: PathBuf,
         #[arg(long, default_value = "1..20")]
         seeds: String,
-        /// A section that the first one is played without; may be said more than once.
+        /// A section that is left out for the first program; may be repeated.
         #[arg(long)]
         without: Vec<String>,
         #[arg(long, default_value = "target/fleet")]
         out: PathBuf,
     },
-    /// Plays random schedules of a mix, and keeps those that break a rule.
+    /// Runs random fault schedules of a mix, and keeps the runs that break a rule.
     Hunt {
         #[arg(value_parser = mix)]
         mix: MixName,
         #[arg(long, default_value = "1..200")]
         seeds: String,
-        /// The scenario round the schedule; the calm one if none is named.
+        /// The scenario that the schedule is added to; by default the calm one.
         #[arg(long)]
         scenario: Option<PathBuf>,
-        /// Faults of a schedule.
+        /// Number of faults in a schedule.
         #[arg(long, default_value_t = 6)]
         faults: usize,
         /// Runs at a time.
@@ -88,61 +88,62 @@
         #[command(flatten)]
         common: Common,
     },
-    /// Leaves faults out of a schedule as long as it still breaks one of the rules that it broke.
+    /// Removes faults from a schedule as long as the run still breaks one of the same rules.
     Shrink {
         scenario: PathBuf,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Runs at most.
+        /// Maximum number of runs.
         #[arg(long, default_value_t = 60)]
         runs: usize,
-        /// Where the smaller scenario goes.
+        /// File for the shrunk scenario.
         #[arg(long, default_value = "shrunk.toml")]
         to: PathBuf,
         #[command(flatten)]
         common: Common,
     },
-    /// Measures points along axes of size, and writes the page on capacity from their records.
+    /// Measures points along axes of size, and writes the capacity page from the records.
     Scale(scale::command::Call),
-    /// Tells the story of one message of a run.
+    /// Prints the trace of one message of a run.
     Explain { folder: PathBuf, id: String },
 }
 
-fn mix(text: &str) -> Result<MixName, Bad> {
-    serde_json::from_value(serde_json::json!(text)).map_err(|_| Bad::Mix)
+fn mix(text: &str) -> Result<MixName, BenchError> {
+    serde_json::from_value(serde_json::json!(text)).map_err(|_| BenchError::Mix)
 }
 
-/// The calm scenario, for whoever names none.
+/// The default scenario.
 const CALM: &str = include_str!("../scenarios/calm.toml");
 
-fn parsed(text: &str, name: &str) -> Result<Scenario, Bad> {
+fn parsed(text: &str, name: &str) -> Result<Scenario, BenchError> {
     Scenario::read(text).map_err(|wrong| {
         let lines: Vec<String> = wrong.iter().map(|wrong| format!("{name}: {wrong}")).collect();
-        Bad::Scenario(lines.join("\n"))
+        BenchError::Scenario(lines.join("\n"))
     })
 }
 
-fn read(path: &Path) -> Result<Scenario, Bad> {
-    let text = std::fs::read_to_string(path).map_err(|why| Bad::File { path: path.to_owned(), why })?;
+fn read(path: &Path) -> Result<Scenario, BenchError> {
+    let text =
+        std::fs::read_to_string(path).map_err(|why| BenchError::File { path: path.to_owned(), why })?;
     parsed(&text, &path.display().to_string())
 }
 
-fn program(named: &Option<PathBuf>) -> Result<PathBuf, Bad> {
+fn program(named: &Option<PathBuf>) -> Result<PathBuf, BenchError> {
     let program = match named {
         Some(program) => program.clone(),
         None => sweep::own_binary()?,
     };
-    program.canonicalize().map_err(|why| Bad::File { path: program, why })
+    program.canonicalize().map_err(|why| BenchError::File { path: program, why })
 }
 
 fn main() -> ExitCode {
-    // A task of the bench that fails would leave the run as if a partner had: better none than that.
+    // A panic in a task of the bench would look like a failed destination; end the program instead.
     let usual = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         usual(panic);
         std::process::exit(3);
     }));
-    match act(Cli::parse().command) {
+    match execute(Cli::parse().command) {
         Ok(code) => ExitCode::from(code),
         Err(why) => {
             eprintln!("{why}\n{}: {}", why.code(), why.remedy());
@@ -151,22 +152,22 @@
     }
 }
 
-fn act(command: Option<Act>) -> Result<u8, Bad> {
+fn execute(command: Option<Action>) -> Result<u8, BenchError> {
     match command {
         None => first(),
-        Some(Act::Run { scenario, seed, common }) => {
+        Some(Action::Run { scenario, seed, common }) => {
             let scenario = read(&scenario)?;
             let out = common.out.join(format!("{}-{seed}", scenario.name));
             one(Play { scenario, seed, binary: program(&common.binary)?, out, progress: true })
         }
-        Some(Act::Check { history }) => {
+        Some(Action::Check { history }) => {
             let (broken, figures) = judge(&history)?;
             broken.iter().for_each(|breach| println!("BROKEN {breach}"));
             print!("{}", report::start(&figures));
             println!("{} messages, {} broken rules", figures.all.messages, broken.len());
             Ok(u8::from(!broken.is_empty()))
         }
-        Some(Act::Sweep { scenarios, seeds, jobs, common }) => {
+        Some(Action::Sweep { scenarios, seeds, jobs, common }) => {
             let (binary, seeds) = (program(&common.binary)?, sweep::seeds(&seeds)?);
             let mut plays = Vec::new();
             for scenario in &scenarios {
@@ -186,13 +187,13 @@
             println!("{}", sweep::rows(&groups));
             Ok(outcomes.iter().map(Outcome::code).max().unwrap_or(0))
         }
-        Some(Act::Compare { a, b, scenario, seeds, without, out }) => {
+        Some(Action::Compare { a, b, scenario, seeds, without, out }) => {
             let (scenario, seeds) = (read(&scenario)?, sweep::seeds(&seeds)?);
             let binaries = [program(&Some(a))?, program(&Some(b))?];
             let mut less = scenario.clone();
             for section in &without {
                 if less.sections.remove(section).is_none() {
-                    return Err(Bad::Section(section.clone()));
+                    return Err(BenchError::Section(section.clone()));
                 }
             }
             let mut plays = Vec::new();
@@ -211,7 +212,7 @@
             println!("{}", sweep::differences(&pairs));
             Ok(0)
         }
-        Some(Act::Hunt { mix, seeds, scenario, faults, jobs, common }) => {
+        Some(Action::Hunt { mix, seeds, scenario, faults, jobs, common }) => {
             let mut scenario = scenario.map_or_else(|| parsed(CALM, "calm"), |path| read(&path))?;
             scenario.name = format!("hunt-{}", scenario.name);
             scenario.mix = Some(Mix { name: mix, faults });
@@ -228,7 +229,7 @@
             let mut messages = 0;
             for (play, outcome) in plays.iter().zip(&outcomes) {
                 messages += outcome.figures.all.messages;
-                // Whoever kept all rules leaves nothing behind.
+                // The files of runs that broke no rule are removed.
                 if outcome.code() == 0 {
                     std::fs::remove_dir_all(&play.out)?;
                 }
@@ -241,30 +242,30 @@
             );
             Ok(u8::from(broke > 0))
         }
-        Some(Act::Shrink { scenario, seed, runs, to, common }) => {
+        Some(Action::Shrink { scenario, seed, runs, to, common }) => {
             let scenario = read(&scenario)?;
             let out = common.out.join(format!("shrink-{}-{seed}", scenario.name));
             let first = Play { scenario, seed, binary: program(&common.binary)?, out, progress: false };
             let broken = sweep::rules(&play(&first)?);
             if broken.is_empty() {
-                return Err(Bad::Sound);
+                return Err(BenchError::Sound);
             }
             let smaller =
                 sweep::shrink(&first, &broken, runs, |n, faults| eprintln!("run {n}: {faults} faults"))?;
-            let text = smaller.text().map_err(|e| Bad::Text(e.to_string()))?;
+            let text = smaller.text().map_err(|e| BenchError::Text(e.to_string()))?;
             std::fs::write(&to, text)?;
             println!("{} faults, in {}", smaller.fault.len(), to.display());
             Ok(0)
         }
-        Some(Act::Scale(call)) => Ok(scale::command::run(&call)?),
-        Some(Act::Explain { folder, id }) => {
+        Some(Action::Scale(call)) => Ok(scale::command::run(&call)?),
+        Some(Action::Explain { folder, id }) => {
             print!("{}", explain::story(&folder, &id)?);
             Ok(0)
         }
     }
 }
 
-fn one(what: Play) -> Result<u8, Bad> {
+fn one(what: Play) -> Result<u8, BenchError> {
     let outcome = play(&what)?;
     report::write(&what, &outcome, &History::read(&what.out.join("history.jsonl"))?)?;
     print!("{}", report::summary(&what, &outcome));
@@ -272,8 +273,8 @@
     Ok(outcome.code())
 }
 
-/// Plays them all, a line for each as it ends.
-fn many(plays: &[Play], jobs: usize) -> Result<Vec<Outcome>, Bad> {
+/// Runs all of them, and prints a line for each as it ends.
+fn many(plays: &[Play], jobs: usize) -> Result<Vec<Outcome>, BenchError> {
     let outcomes = sweep::all(plays, jobs, |n, outcome| {
         let (name, seed) = (&plays[n].scenario.name, plays[n].seed);
         let rules: Vec<String> = sweep::rules(outcome).iter().map(ToString::to_string).collect();
@@ -284,7 +285,7 @@
         };
         let in_time = outcome.figures.all.share(outcome.figures.all.in_time);
         eprintln!("{name} {seed}: {in_time:.1}% in time, {how}");
-        // Written at once: whoever stops a long sweep keeps what was played.
+        // Written at once, so that a long sweep that is interrupted keeps its finished runs.
         let written = History::read(&plays[n].out.join("history.jsonl"))
             .and_then(|history| report::write(&plays[n], outcome, &history));
         if let Err(e) = written {
@@ -294,11 +295,11 @@
     Ok(outcomes)
 }
 
-/// A newcomer's first run: builds the sender as the deploy file does, and plays the calm scenario.
-fn first() -> Result<u8, Bad> {
+/// The run without a command: builds the sender as the deploy file does, and runs the calm scenario.
+fn first() -> Result<u8, BenchError> {
     let built = Command::new(env!("CARGO")).args(["build", "--release", "--locked"]).status();
     if !built.as_ref().is_ok_and(std::process::ExitStatus::success) {
-        return Err(Bad::Unbuilt);
+        return Err(BenchError::Unbuilt);
     }
     let scenario = parsed(CALM, "calm")?;
     let out = PathBuf::from("target/fleet/calm-1");
--- a/fleet/src/nemesis.rs
+++ b/fleet/src/nemesis.rs
@@ -64,7 +64,7 @@
     }
 
     fn add(&mut self, fault: &Fault, senders: usize, partners: u16) {
-        let from = fault.struck(senders);
+        let from = fault.affected(senders);
         let dests = destinations(&fault.partners, partners);
         let delay = fault.delay_ms.map_or(0, |ms| micros(ms / 1000.0));
         let share = fault.share.unwrap_or(1.0);
@@ -252,8 +252,8 @@
     Some(fault)
 }
 
-/// Whether a fault may keep a sender from being heard by half of the others or more; nobody can then say that it is
-/// there.
+/// Whether a fault may keep a sender from being heard by half of the others or more; nobody can then say that
+/// it is there.
 fn separates(fault: &Fault, senders: usize) -> bool {
     let much = fault.share.is_none_or(|share| share > 0.6);
     let reach = if fault.to.is_empty() { senders } else { fault.to.len() }.max(match fault.both_ways {
@@ -306,7 +306,7 @@
             match fault.kind {
                 Kind::Kill | Kind::Restart | Kind::Stop | Kind::Handover => {
                     let mut each = tokio::task::JoinSet::new();
-                    for (n, sender) in fault.struck(struck.size.0).into_iter().enumerate() {
+                    for (n, sender) in fault.affected(struck.size.0).into_iter().enumerate() {
                         let (struck, fault, turns) = (struck.clone(), fault.clone(), turns.clone());
                         let at = begin + micros(fault.at_s + fault.every_s.unwrap_or(0.0) * n as f64);
                         each.spawn(async move {
