--- a/fleet/src/experiment.rs
+++ b/fleet/src/experiment.rs
@@ -1,5 +1,4 @@
-//! One run: the world is built, the senders are started, faults and clients are played, and the history is
-//! judged.
+//! One run: builds the environment, starts the senders, runs faults and clients, and checks the history.
 
 use std::collections::HashMap;
 use std::io;
@@ -24,7 +23,7 @@
 use crate::links::tcp;
 use crate::links::tcp::Relay;
 use crate::links::udp::Relays;
-use crate::nemesis::{self, Conditions, Struck};
+use crate::nemesis::{self, Conditions, Targets};
 use crate::scenario::{Scenario, bank};
 use crate::world::clients::{Clients, arrivals};
 use crate::world::discovery::{self, Agent, List, Listed, Service};
@@ -38,55 +37,55 @@
 const ZONES: [&str; 2] = ["operations-bldg", "annex-bldg"];
 /// Kinds of destination.
 const KINDS: [&str; 2] = ["bank-partner", "local-lender"];
-/// News of the list reach a sender so many milliseconds late.
-const NEWS_MS: (u64, u64) = (200, 900);
-/// Threads of a run, and of one with more senders than [`FEW`].
+/// Range of the delay of list changes to a sender, milliseconds.
+const LIST_DELAY_MS: (u64, u64) = (200, 900);
+/// Worker threads of a run with up to [`FEW`] senders, and of one with more.
 const WORKERS: (usize, usize) = (3, 6);
 /// See [`WORKERS`].
 const FEW: usize = 30;
-/// Periods that views are given after all else has ended.
+/// Protocol periods that membership views have to converge after everything else has ended.
 const VIEW_SETTLES: Micros = 15;
-/// From when all is there until clients and faults begin.
+/// Time from the end of the set-up until clients and faults begin.
 const LEAD: Micros = 200_000;
-/// After the last message has its end, so long is waited for what must not come.
-const AFTER: Duration = Duration::from_millis(500);
+/// Time to wait, after the last message has ended, for events that must not occur.
+const GRACE: Duration = Duration::from_millis(500);
 
-/// What is to be played.
+/// The parameters of a run.
 #[derive(Debug, Clone)]
 pub struct Play {
     /// The scenario.
     pub scenario: Scenario,
-    /// The seed: of arrivals, of faults that are drawn, and of each party's chance.
+    /// The seed of arrivals, of random faults, and of each party's random choices.
     pub seed: u64,
     /// The sender's program.
     pub binary: PathBuf,
-    /// Where the history, the logs and the report go.
+    /// Folder for the history, the logs and the report.
     pub out: PathBuf,
-    /// A progress bar is shown.
+    /// Whether to show a progress bar.
     pub progress: bool,
 }
 
-/// What came of it.
+/// The result of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Outcome {
-    /// Rules that were broken.
+    /// Violations of the rules.
     pub broken: Vec<Breach>,
-    /// Why the run is not to be trusted, if it is not.
+    /// Why the run is not trustworthy, if it is not.
     pub doubt: Option<String>,
-    /// Senders that did not start, or not again, with their last lines.
+    /// Senders that failed to start or restart, with their last log lines.
     pub troubles: Vec<String>,
-    /// Figures.
+    /// Statistics.
     pub figures: Figures,
-    /// Lateness of the bench itself, microseconds: median, 99th percentile, most.
+    /// Lateness of the bench itself, microseconds: median, 99th percentile, maximum.
     pub lateness_us: [u64; 3],
-    /// Faults, in words.
+    /// Descriptions of the faults.
     pub faults: Vec<String>,
-    /// What the run took.
+    /// Resource use of the run.
     pub cost: Cost,
 }
 
 impl Outcome {
-    /// The run's exit code: 0 all rules were kept, 1 one was broken, 3 the run is not to be trusted.
+    /// The run's exit code: 0 no rule was broken, 1 a rule was broken, 3 the run is not trustworthy.
     pub fn code(&self) -> u8 {
         match (&self.doubt, self.broken.is_empty() && self.troubles.is_empty()) {
             (Some(_), _) => 3,
@@ -96,11 +95,11 @@
     }
 }
 
-/// Plays it, in a runtime of its own, so that nothing of one run goes on in the next. The folder is made if
-/// need be; an earlier run's files in it are replaced.
+/// Executes a run in its own runtime, so that no task of it continues in the next run. The folder is created
+/// if needed; files of an earlier run in it are replaced.
 ///
 /// # Errors
-/// Fails when the folder, an address or a program can't be had; what a sender does wrong is no error.
+/// Fails when the folder, an address or a program is not available; faults of a sender are not errors.
 pub fn play(play: &Play) -> io::Result<Outcome> {
     let scenario = &play.scenario;
     std::fs::create_dir_all(&play.out)?;
@@ -121,7 +120,7 @@
         let bound = Duration::from_micros(bound(scenario));
         tokio::time::timeout(bound, run(play, &recorder, &faults, &troubles)).await
     });
-    // Processes that a run given up left behind end here.
+    // Ends the processes that an aborted run has left behind.
     runtime.shutdown_timeout(Duration::from_secs(2));
     let cost = Cost { descriptors: descriptors.max(), ..Cost::now().since(&before, &play.out) };
     let (lateness, dropped) = (recorder.lateness(), recorder.dropped());
@@ -130,15 +129,15 @@
     let ended = over.is_ok();
     over.unwrap_or(Ok(()))?;
     let history = History::read(&file)?;
-    let most = micros(scenario.lateness_ms / 1000.0);
+    let max_lateness = micros(scenario.lateness_ms / 1000.0);
     let doubt = match () {
-        () if !ended => Some("the run did not come to its end in its bound".to_owned()),
-        () if lateness[1] > most => Some(format!(
+        () if !ended => Some("the run did not end within its time limit".to_owned()),
+        () if lateness[1] > max_lateness => Some(format!(
             "the bench was {:.1} ms late at the 99th percentile, over {} ms",
             lateness[1] as f64 / 1000.0,
             scenario.lateness_ms
         )),
-        () if dropped > 0 => Some(format!("{dropped} entries of the history were not kept")),
+        () if dropped > 0 => Some(format!("{dropped} entries of the history were dropped")),
         () => None,
     };
     let troubles = troubles.lock().map(|troubles| troubles.clone()).unwrap_or_default();
@@ -183,14 +182,14 @@
     }
 }
 
-/// The period of the senders' view of the fleet, if the scenario turns it on.
+/// The protocol period of the senders' membership, if the scenario enables it.
 fn view_period(scenario: &Scenario) -> Option<Micros> {
     let section = scenario.sections.get("membership")?;
     let period = section.get("period_ms").and_then(toml::Value::as_integer).unwrap_or(1000);
     Some(period.max(1) as Micros * 1000)
 }
 
-/// The list of endpoints and what each destination is like.
+/// The list of endpoints, and the properties of each destination.
 fn destinations(scenario: &Scenario) -> (Vec<Listed>, Vec<Nature>) {
     let partners = &scenario.partners;
     let zipf = |n: usize| ((n + 1) as f64).powf(-scenario.load.skew);
@@ -236,27 +235,28 @@
     sender % 2
 }
 
-/// Relays from one sender to all endpoints, in the list's order.
-type Lines = Vec<(u16, Relay)>;
+/// Relays from one sender to all endpoints, in the order of the list.
+type EndpointRelays = Vec<(u16, Relay)>;
 
 struct World {
-    lines: Vec<Lines>,
+    endpoint_relays: Vec<EndpointRelays>,
     platform: Vec<Relay>,
     agents: Vec<Arc<Agent>>,
     partners: Vec<Arc<Partner>>,
     relays: Relays,
     listed: Vec<Listed>,
-    /// The list's version and which destinations drain in it.
+    /// The list's version, and the destinations with a draining endpoint in it.
     version: Mutex<(u64, Vec<u16>)>,
-    news: Mutex<ChaCha8Rng>,
+    /// Draws the delays of list changes.
+    list_delays: Mutex<ChaCha8Rng>,
 }
 
 impl World {
-    /// Makes these the conditions of all that is not a process.
+    /// Applies the conditions to everything except processes.
     fn apply(&self, conditions: &Conditions) {
         self.relays.condition(conditions.datagrams.clone());
-        for (links, lines) in conditions.connections.iter().zip(&self.lines) {
-            for (dest, relay) in lines {
+        for (links, relays) in conditions.connections.iter().zip(&self.endpoint_relays) {
+            for (dest, relay) in relays {
                 relay.condition(links[usize::from(*dest)]);
             }
         }
@@ -277,7 +277,10 @@
             }
             let list = List { index: version.0, endpoints };
             for agent in &self.agents {
-                let delay = self.news.lock().map_or(0, |mut rng| rng.random_range(NEWS_MS.0..=NEWS_MS.1));
+                let delay = self
+                    .list_delays
+                    .lock()
+                    .map_or(0, |mut rng| rng.random_range(LIST_DELAY_MS.0..=LIST_DELAY_MS.1));
                 agent.update(list.clone(), delay * 1000);
             }
         }
@@ -305,9 +308,9 @@
     let endpoints: Vec<_> = listed.iter().map(endpoint).collect();
     let host = block.world();
     let service = Service::new(scenario.discovery.calls_per_s, recorder.clone());
-    let (mut lines, mut platform, mut agents) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut endpoint_relays, mut platform, mut agents) = (Vec::new(), Vec::new(), Vec::new());
     for sender in 0..scenario.senders {
-        let mut own: Lines = Vec::with_capacity(listed.len());
+        let mut own: EndpointRelays = Vec::with_capacity(listed.len());
         for (n, (listed, endpoint)) in listed.iter().zip(&endpoints).enumerate() {
             let same = listed.zone == ZONES[zone(sender)];
             let usual = if same { scenario.network.same_ms } else { scenario.network.cross_ms };
@@ -333,7 +336,7 @@
         // The agent is on the sender's own machine.
         platform.push(Relay::open(host, [0.0, 0.1], recorder.clone(), seed, arrived).await?);
         agents.push(agent);
-        lines.push(own);
+        endpoint_relays.push(own);
     }
     let usual = |a: usize, b: usize| match zone(a) == zone(b) {
         true => scenario.network.peer_same_ms,
@@ -344,11 +347,11 @@
     let peers: Vec<_> = (0..n).map(|sender| block.peer_listen(sender)).collect();
     let relays = Relays::open(host, &peers, usual, recorder.clone(), seed).await?;
     let version = Mutex::new((discovery::FIRST, vec![]));
-    let news = Mutex::new(ChaCha8Rng::seed_from_u64(seed ^ 0x6e65_7773));
-    Ok(World { lines, platform, agents, partners, relays, listed, version, news })
+    let list_delays = Mutex::new(ChaCha8Rng::seed_from_u64(seed ^ 0x6e65_7773));
+    Ok(World { endpoint_relays, platform, agents, partners, relays, listed, version, list_delays })
 }
 
-/// The places of the senders: their folders, configurations and held sockets.
+/// Creates the senders' folders, configurations and held sockets.
 fn places(play: &Play, block: &Block, world: &World, held: bool) -> io::Result<Vec<Place>> {
     let scenario = &play.scenario;
     let common = settings(scenario, &ZONES, &KINDS);
@@ -451,7 +454,7 @@
 ) {
     let scenario = &play.scenario;
     let (changed, owed) = (world.clone(), registry.clone());
-    let struck = Struck {
+    let targets = Targets {
         tier: tier.clone(),
         apply: Box::new(move |conditions| changed.apply(conditions)),
         lost: Box::new(move |sender| orphan(&owed, sender)),
@@ -461,7 +464,7 @@
     };
     let listens = (0..scenario.senders).map(|sender| block.listen(sender)).collect();
     let clients = Clients::new(scenario, listens, registry.clone(), recorder.clone());
-    let mut looking = clients.watch();
+    let mut polling = clients.watch();
     let mut viewing = views::watch(tier, scenario.senders, recorder);
     let arriving = arrivals(scenario, play.seed, |t| nemesis::load(faults, t));
     let bar = progress(play, scenario.length_s);
@@ -470,10 +473,10 @@
         loop {
             tokio::time::sleep(Duration::from_millis(200)).await;
             shown.set_position(clock.now().saturating_sub(begin) / 1_000_000);
-            shown.set_message(format!("{} messages not over", counted.open()));
+            shown.set_message(format!("{} messages not ended", counted.open()));
         }
     });
-    let struck = tokio::spawn(nemesis::play(Arc::new(struck), faults.to_vec(), begin));
+    let injecting = tokio::spawn(nemesis::play(Arc::new(targets), faults.to_vec(), begin));
     let readers = Arc::new(Readers {
         clients: clients.clone(),
         tier: tier.clone(),
@@ -486,18 +489,19 @@
     clients.play(arriving, play.seed, begin).await;
     while reading.join_next().await.is_some() {}
     clients.over().await;
-    // Every fault that ends has ended before the run does.
-    let _ = struck.await;
-    // So have the views come to rest, where there are any.
+    // The run lasts until every fault that ends has ended.
+    let _ = injecting.await;
+    // It also lasts until the membership views have converged, where there are any.
     let settled = Duration::from_micros(view_period(scenario).unwrap_or(0) * VIEW_SETTLES);
-    tokio::time::sleep(AFTER + settled).await;
+    tokio::time::sleep(GRACE + settled).await;
     viewing.abort_all();
     ticking.abort();
-    looking.abort_all();
+    polling.abort_all();
     bar.finish_and_clear();
 }
 
-/// What a sender held goes to others, but for what may have run and may not be repeated.
+/// Ends the messages of a lost sender: clients hand them in elsewhere, except at-most-once messages that may
+/// have run.
 fn orphan(registry: &Registry, sender: usize) {
     for id in registry.owed(sender) {
         let gone = registry.with(&id, |message| message.class == 1 && message.called);
@@ -515,7 +519,7 @@
     bar
 }
 
-/// Reads a history and judges it again, alone.
+/// Reads a history and checks it again, independently of a run.
 ///
 /// # Errors
 /// Fails when it can't be read.
@@ -524,7 +528,7 @@
     Ok((check(&history), Figures::of(&history)))
 }
 
-/// The longest that a run may take until it is given up, whatever is wrong.
+/// Maximum duration of a run, after which it is aborted.
 pub fn bound(scenario: &Scenario) -> Micros {
     let lives = micros(scenario.notice.deadline_s.max(scenario.disbursement.deadline_s));
     let faults = scenario.fault.iter().map(|f| f.at_s + f.for_s.unwrap_or(0.0)).fold(0.0, f64::max);
--- a/fleet/src/main.rs
+++ b/fleet/src/main.rs
@@ -237,7 +237,7 @@
             let broke = outcomes.iter().filter(|outcome| outcome.code() == 1).count();
             let doubted = outcomes.iter().filter(|outcome| outcome.doubt.is_some()).count();
             println!(
-                "{} runs, {messages} messages: {broke} broke a rule, {doubted} not to be trusted",
+                "{} runs, {messages} messages: {broke} broke a rule, {doubted} not trustworthy",
                 plays.len()
             );
             Ok(u8::from(broke > 0))
@@ -279,7 +279,7 @@
         let (name, seed) = (&plays[n].scenario.name, plays[n].seed);
         let rules: Vec<String> = sweep::rules(outcome).iter().map(ToString::to_string).collect();
         let how = match (&outcome.doubt, rules.is_empty()) {
-            (Some(doubt), _) => format!("not to be trusted: {doubt}"),
+            (Some(doubt), _) => format!("not trustworthy: {doubt}"),
             (None, true) => "kept".to_owned(),
             (None, false) => format!("BROKEN {}", rules.join(", ")),
         };
--- a/fleet/src/nemesis.rs
+++ b/fleet/src/nemesis.rs
@@ -1,6 +1,6 @@
-//! Faults: which there are in a run, what they make of links, destinations and discovery at a time, and how
-//! processes are struck. What faults that overlap amount to is worked out anew at each change, from those
-//! that are on, so that one that ends leaves nothing behind.
+//! Fault injection: the fault schedule of a run, the resulting conditions of links, destinations and
+//! discovery, and the faults of processes. At each change the conditions are recomputed from all active
+//! faults, so that a fault that ends leaves nothing behind.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -19,10 +19,10 @@
 use crate::world::senders::{BACK_AFTER, Tier};
 use crate::{Micros, micros};
 
-/// A list comes so much later where discovery is slow and no time is given.
-const SLOW: Micros = 3_000_000;
+/// Delay of lists where discovery is slow and no time is given.
+const DEFAULT_SLOW: Micros = 3_000_000;
 
-/// What the faults that are on make of everything but processes.
+/// The conditions of everything except processes under the active faults.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Conditions {
     /// Datagrams, by sender and receiver.
@@ -37,17 +37,18 @@
     pub draining: Vec<u16>,
 }
 
-/// The senders that are sent to, or all.
-fn named(named: &[usize], senders: usize) -> Vec<usize> {
+/// The given senders, or all if none is given.
+fn senders_or_all(named: &[usize], senders: usize) -> Vec<usize> {
     if named.is_empty() { (0..senders).collect() } else { named.to_vec() }
 }
 
-fn destinations(named: &[u16], partners: u16) -> Vec<u16> {
+/// The given destinations, or all if none is given.
+fn destinations_or_all(named: &[u16], partners: u16) -> Vec<u16> {
     if named.is_empty() { (0..partners).collect() } else { named.to_vec() }
 }
 
 impl Conditions {
-    /// What these faults amount to together.
+    /// The combined conditions of these faults.
     pub fn of<'a>(faults: impl IntoIterator<Item = &'a Fault>, senders: usize, partners: u16) -> Self {
         let count = usize::from(partners);
         let mut all = Self {
@@ -65,13 +66,13 @@
 
     fn add(&mut self, fault: &Fault, senders: usize, partners: u16) {
         let from = fault.affected(senders);
-        let dests = destinations(&fault.partners, partners);
+        let dests = destinations_or_all(&fault.partners, partners);
         let delay = fault.delay_ms.map_or(0, |ms| micros(ms / 1000.0));
         let share = fault.share.unwrap_or(1.0);
         match fault.kind {
             Kind::Link => {
                 for a in &from {
-                    for b in named(&fault.to, senders) {
+                    for b in senders_or_all(&fault.to, senders) {
                         self.link(*a, b, fault, share, delay);
                         if fault.both_ways {
                             self.link(b, *a, fault, share, delay);
@@ -94,7 +95,7 @@
                     match fault.mode {
                         Some(Mode::Silent) => agent.silent = true,
                         Some(Mode::Shut) => agent.shut = true,
-                        Some(Mode::Slow) => agent.slow += if delay == 0 { SLOW } else { delay },
+                        Some(Mode::Slow) => agent.slow += if delay == 0 { DEFAULT_SLOW } else { delay },
                         Some(Mode::Half) => agent.half = true,
                         Some(Mode::Back) => agent.back = true,
                         Some(Mode::Indent) => agent.indent = true,
@@ -153,7 +154,7 @@
     }
 }
 
-/// How many times the usual load there is at a time, in seconds.
+/// The load as a multiple of the usual at time `t`, in seconds.
 pub fn load(faults: &[Fault], t: f64) -> f64 {
     let on = |fault: &&Fault| {
         fault.kind == Kind::Load && fault.at_s <= t && fault.for_s.is_none_or(|len| t < fault.at_s + len)
@@ -161,19 +162,20 @@
     faults.iter().filter(on).filter_map(|fault| fault.factor).product()
 }
 
-/// The faults of a run: those that are listed, and those that the seed draws.
+/// The faults of a run: the listed ones, and the random ones of the seed.
 pub fn schedule(scenario: &Scenario, seed: u64) -> Vec<Fault> {
     let mut faults = scenario.fault.clone();
     if let Some(mix) = &scenario.mix {
-        // Not the stream that arrivals are drawn from.
+        // A random stream apart from that of the arrivals.
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x6e65_6d65_7369_7300);
-        faults.extend((0..mix.faults).filter_map(|_| drawn(scenario, mix.name, &mut rng)));
+        faults.extend((0..mix.faults).filter_map(|_| draw_fault(scenario, mix.name, &mut rng)));
     }
     faults.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
     faults
 }
 
-fn drawn(scenario: &Scenario, mix: MixName, rng: &mut ChaCha8Rng) -> Option<Fault> {
+/// Draws a random fault of a mix.
+fn draw_fault(scenario: &Scenario, mix: MixName, rng: &mut ChaCha8Rng) -> Option<Fault> {
     use Kind::*;
     let processes: &[Kind] = &[Kill, Kill, Restart, Stop, Handover];
     let links: &[Kind] = &[Link, Link, Link, Partition, Wire];
@@ -187,7 +189,7 @@
     };
     let senders = scenario.senders;
     let round = |x: f64| (x * 100.0).round() / 100.0;
-    // All of it is over, and settled, before the clients go.
+    // All faults are over, and their effects settled, before the clients' load ends.
     let last = scenario.length_s * 0.6;
     let mut fault = Fault::new(*kinds.choose(rng)?, round(rng.random_range(0.1..=1.0) * last));
     let some = |rng: &mut ChaCha8Rng| {
@@ -252,8 +254,7 @@
     Some(fault)
 }
 
-/// Whether a fault may keep a sender from being heard by half of the others or more; nobody can then say that
-/// it is there.
+/// Whether a fault may cut a sender off from half of the others or more, so that they can't tell that it is alive.
 fn separates(fault: &Fault, senders: usize) -> bool {
     let much = fault.share.is_none_or(|share| share > 0.6);
     let reach = if fault.to.is_empty() { senders } else { fault.to.len() }.max(match fault.both_ways {
@@ -265,7 +266,7 @@
         Kind::Partition => true,
         Kind::Link => match fault.mode {
             Some(Mode::Drop | Mode::Spoil | Mode::Short) => much && reach * 2 >= senders.saturating_sub(1),
-            // News that comes later than an observer waits is no news.
+            // Datagrams that arrive after an observer's timeout count as lost.
             Some(Mode::Delay | Mode::Reorder) => fault.delay_ms.is_some_and(|ms| ms > 500.0),
             _ => false,
         },
@@ -273,51 +274,51 @@
     }
 }
 
-/// What the nemesis strikes.
-pub struct Struck {
+/// What faults act on.
+pub struct Targets {
     /// The senders.
     pub tier: Arc<Tier>,
-    /// What to do when conditions change.
+    /// Called when the conditions change.
     pub apply: Box<dyn Fn(&Conditions) + Send + Sync>,
-    /// What to do when a sender's folder is about to be emptied, or it will not come back.
+    /// Called when a sender's state folder is about to be emptied, or the sender will not return.
     pub lost: Box<dyn Fn(usize) + Send + Sync>,
-    /// Senders and destinations.
+    /// Number of senders and of destinations.
     pub size: (usize, u16),
-    /// Where it is all taken down.
+    /// Records the faults.
     pub recorder: Recorder,
-    /// Things that did not go as they should have.
+    /// Senders that failed to start.
     pub troubles: Arc<Mutex<Vec<String>>>,
 }
 
-/// Plays the faults; comes back once those that end have ended.
-pub async fn play(struck: Arc<Struck>, faults: Vec<Fault>, begin: Micros) {
+/// Injects the faults; returns once all that end have ended.
+pub async fn play(targets: Arc<Targets>, faults: Vec<Fault>, begin: Micros) {
     let active: Arc<Mutex<BTreeMap<usize, Fault>>> = Arc::default();
-    // What befalls one sender comes one after another, as it would with one operator a machine.
+    // Faults of one sender are serialized, as with one operator per machine.
     let turns: Arc<Vec<tokio::sync::Mutex<()>>> =
-        Arc::new((0..struck.size.0).map(|_| Default::default()).collect());
+        Arc::new((0..targets.size.0).map(|_| Default::default()).collect());
     let mut tasks = tokio::task::JoinSet::new();
     for (number, fault) in faults.into_iter().enumerate() {
-        let (struck, active, turns) = (struck.clone(), active.clone(), turns.clone());
+        let (targets, active, turns) = (targets.clone(), active.clone(), turns.clone());
         tasks.spawn(async move {
-            struck.recorder.until(begin + micros(fault.at_s)).await;
-            let cuts = separates(&fault, struck.size.0);
-            let told = |on| struck.recorder.see(What::Fault { number, on, what: fault.to_string(), cuts });
-            told(true);
+            targets.recorder.until(begin + micros(fault.at_s)).await;
+            let cuts = separates(&fault, targets.size.0);
+            let record = |on| targets.recorder.see(What::Fault { number, on, what: fault.to_string(), cuts });
+            record(true);
             match fault.kind {
                 Kind::Kill | Kind::Restart | Kind::Stop | Kind::Handover => {
                     let mut each = tokio::task::JoinSet::new();
-                    for (n, sender) in fault.affected(struck.size.0).into_iter().enumerate() {
-                        let (struck, fault, turns) = (struck.clone(), fault.clone(), turns.clone());
+                    for (n, sender) in fault.affected(targets.size.0).into_iter().enumerate() {
+                        let (targets, fault, turns) = (targets.clone(), fault.clone(), turns.clone());
                         let at = begin + micros(fault.at_s + fault.every_s.unwrap_or(0.0) * n as f64);
                         each.spawn(async move {
-                            struck.recorder.until(at).await;
+                            targets.recorder.until(at).await;
                             let _turn = turns[sender].lock().await;
-                            strike(&struck, &fault, sender).await;
+                            inject(&targets, &fault, sender).await;
                         });
                     }
                     while each.join_next().await.is_some() {}
                     if fault.kind != Kind::Kill || fault.for_s.is_some() {
-                        told(false);
+                        record(false);
                     }
                 }
                 _ => {
@@ -327,14 +328,14 @@
                             true => drop(active.insert(number, fault.clone())),
                             false => drop(active.remove(&number)),
                         }
-                        let (senders, partners) = struck.size;
-                        (struck.apply)(&Conditions::of(active.values(), senders, partners));
+                        let (senders, partners) = targets.size;
+                        (targets.apply)(&Conditions::of(active.values(), senders, partners));
                     };
                     change(true);
                     if let Some(length) = fault.for_s {
-                        struck.recorder.until(begin + micros(fault.at_s + length)).await;
+                        targets.recorder.until(begin + micros(fault.at_s + length)).await;
                         change(false);
-                        told(false);
+                        record(false);
                     }
                 }
             }
@@ -343,23 +344,24 @@
     while tasks.join_next().await.is_some() {}
 }
 
-async fn strike(struck: &Struck, fault: &Fault, sender: usize) {
-    let tier = &struck.tier;
+/// Applies a process fault to one sender.
+async fn inject(targets: &Targets, fault: &Fault, sender: usize) {
+    let tier = &targets.tier;
     if !tier.running(sender) {
-        // It went for good before.
+        // It has left for good already.
         return;
     }
     let length = fault.for_s.map(std::time::Duration::from_secs_f64);
     let started = match (fault.kind, length) {
         (Kind::Kill, None) => {
             tier.kill(sender).await;
-            struck.recorder.see(What::Away { sender });
+            targets.recorder.see(What::Away { sender });
             Ok(())
         }
         (Kind::Kill, Some(length)) => {
             tier.kill(sender).await;
             if fault.folder_lost {
-                (struck.lost)(sender);
+                (targets.lost)(sender);
             }
             tokio::time::sleep(length).await;
             tier.start(sender, fault.folder_lost).await
@@ -378,7 +380,7 @@
         (Kind::Handover, _) => tier.hand_over(sender).await,
         _ => Ok(()),
     };
-    if let (Err(e), Ok(mut troubles)) = (started, struck.troubles.lock()) {
+    if let (Err(e), Ok(mut troubles)) = (started, targets.troubles.lock()) {
         troubles.push(format!("{e} ({})", e.code()));
     }
 }
--- a/fleet/src/report/mod.rs
+++ b/fleet/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! What a run shows: `report.json` with all figures, a page with plots that needs no network, and a table.
+//! The report of a run: `report.json` with all statistics, a self-contained page with plots, and a table.
 
 mod page;
 
@@ -17,7 +17,7 @@
 /// A file's SHA-256, as hexadecimal text.
 ///
 /// # Errors
-/// Fails when it can't be read.
+/// Fails when the file can't be read.
 pub fn digest(path: &Path) -> io::Result<String> {
     let (mut file, mut digest) = (File::open(path)?, Sha256::new());
     let mut buffer = vec![0; 64 * 1024];
@@ -46,14 +46,14 @@
     std::fs::write(play.out.join("page.html"), page::page(play, outcome, history)?)
 }
 
-/// An empty table in this project's form.
+/// An empty table in this project's style.
 pub fn table(header: &[&str]) -> Table {
     let mut table = Table::new();
     table.load_style(presets::UTF8_HORIZONTAL_ONLY).set_header(header.to_vec());
     table
 }
 
-/// The run's table, as text.
+/// The run's summary, as text.
 pub fn summary(play: &Play, outcome: &Outcome) -> String {
     let figures = &outcome.figures;
     let mut rows = table(&[
@@ -95,8 +95,8 @@
     );
     let cost = &outcome.cost;
     text += &format!(
-        "the bench took {:.1} s of processors and held {} descriptors at most; the senders took {:.1} s and logged \
-         {:.1} MB\n",
+        "the bench used {:.1} s of CPU time and at most {} descriptors; the senders used {:.1} s and \
+         logged {:.1} MB\n",
         cost.bench_cpu_s,
         cost.descriptors,
         cost.senders_cpu_s,
@@ -105,8 +105,8 @@
     text += &start(figures);
     for (sessions, reads) in play.scenario.sessions.iter().zip(&figures.reads) {
         text += &format!(
-            "reads of {} ({:?}): {}, served {}, with less {}, partial {}, refused {}, without an answer {}; {:.0} ms \
-             (median), {:.0} ms (99th percentile)\n",
+            "reads of {} ({:?}): {}, served {}, with less {}, partial {}, refused {}, without an answer {}; \
+             {:.0} ms (median), {:.0} ms (99th percentile)\n",
             sessions.tenant,
             sessions.level,
             reads.all,
@@ -121,46 +121,47 @@
     }
     if figures.orphaned > 0 {
         text += &format!(
-            "owed by senders that went for good or lost their folder: {}, ended in time {}, delivered {}\n",
+            "in hand at senders that left for good or lost their state folder: {}, ended in time {}, \
+             delivered {}\n",
             figures.orphaned, figures.orphaned_ended, figures.orphaned_delivered
         );
         let times = &figures.takeover_ms;
         let at = |share: usize| times.get((times.len().saturating_sub(1)) * share / 100).copied();
         if let (Some(median), Some(most)) = (at(50), at(100)) {
             text += &format!(
-                "with 3 s left and nothing against it {}, delivered {}; first call elsewhere after {median:.0} ms \
-                 (median of {}), {most:.0} ms (most)\n",
+                "deliverable with 3 s left {}, delivered {}; first call elsewhere after {median:.0} ms \
+                 (median of {}), {most:.0} ms (maximum)\n",
                 figures.deliverable,
                 figures.deliverable_delivered,
                 times.len()
             );
         }
     }
-    for breach in outcome.broken.iter().take(SHOWN) {
+    for breach in outcome.broken.iter().take(MAX_SHOWN) {
         text += &format!("BROKEN {breach}\n");
     }
-    if outcome.broken.len() > SHOWN {
-        text += &format!("and {} more, in report.json\n", outcome.broken.len() - SHOWN);
+    if outcome.broken.len() > MAX_SHOWN {
+        text += &format!("and {} more, in report.json\n", outcome.broken.len() - MAX_SHOWN);
     }
     for trouble in &outcome.troubles {
         text += &format!("FAILED {trouble}\n");
     }
     text += &match (&outcome.doubt, outcome.code()) {
-        (Some(doubt), _) => format!("not to be trusted: {doubt}\n"),
+        (Some(doubt), _) => format!("not trustworthy: {doubt}\n"),
         (None, 0) => "all rules kept\n".to_owned(),
         (None, _) => "rules broken\n".to_owned(),
     };
     text
 }
 
-/// What a start of the tier took, in a line.
+/// The statistics of a start of the tier, in one line.
 pub fn start(figures: &Figures) -> String {
     let start = &figures.start;
     format!(
-        "start of {} at {:.1} s: ready after {:.0} ms (median), {:.0} ms (99th percentile), all after {:.2} s; list calls \
-         {}, {} in the worst second, {} turned away, {} silent, of a sender in its first 10 s {:.2} (mean), {} (most); \
-         connections {}, {} at an endpoint in a second; falls {}; calls refused {}, wasted {}; in time in the first 30 s \
-         {:.1}%, as usual after {} s\n",
+        "start of {} at {:.1} s: ready after {:.0} ms (median), {:.0} ms (99th percentile), all after {:.2} s; \
+         list calls {}, {} in the worst second, {} turned away, {} silent, of a sender in its first 10 s {:.2} (mean), \
+         {} (most); connections {}, {} at an endpoint in a second; falls {}; calls refused {}, wasted {}; \
+         in time in the first 30 s {:.1}%, as usual after {} s\n",
         start.senders,
         start.at_s,
         start.ready_ms[0],
@@ -182,5 +183,5 @@
     )
 }
 
-/// Broken rules that are shown on the terminal.
-const SHOWN: usize = 10;
+/// Maximum violations shown on the terminal.
+const MAX_SHOWN: usize = 10;
--- a/fleet/src/report/page.rs
+++ b/fleet/src/report/page.rs
@@ -1,4 +1,4 @@
-//! The page: plots as drawings within it, the faults marked, nothing fetched from anywhere.
+//! The page: inline plots with the faults marked; it loads nothing from elsewhere.
 
 use std::fmt::Write as _;
 use std::io;
@@ -17,7 +17,7 @@
     points: Vec<(f64, f64)>,
 }
 
-/// Makes the page.
+/// Renders the page.
 ///
 /// # Errors
 /// Fails when a plot can't be drawn.
@@ -48,14 +48,14 @@
     ];
     let mut text = String::from("<!doctype html><meta charset=\"utf-8\"><title>fleet run</title>\n");
     text += "<style>body{font-family:sans-serif;max-width:60em;margin:2em auto}pre{white-space:pre-wrap}</style>\n";
-    let _ = writeln!(text, "<h1>{}, seed {}</h1>", escaped(&play.scenario.name), play.seed);
-    let _ = writeln!(text, "<p>{}</p>", escaped(&play.scenario.about));
-    let _ = writeln!(text, "<pre>{}</pre>", escaped(&super::summary(play, outcome)));
+    let _ = writeln!(text, "<h1>{}, seed {}</h1>", escape_html(&play.scenario.name), play.seed);
+    let _ = writeln!(text, "<p>{}</p>", escape_html(&play.scenario.about));
+    let _ = writeln!(text, "<pre>{}</pre>", escape_html(&super::summary(play, outcome)));
     let plots = [
-        ("Messages by the second in which they were meant to be handed in", fates.collect::<Vec<_>>()),
-        ("Messages taken on that have no end yet", vec![owed]),
-        ("Datagrams between senders, a second", datagrams.into()),
-        ("Latency from the time meant, ms, by percentile", latencies(outcome)),
+        ("Messages by the second of their scheduled hand-in", fates.collect::<Vec<_>>()),
+        ("Accepted messages that have not ended", vec![owed]),
+        ("Datagrams between senders, per second", datagrams.into()),
+        ("Latency from the scheduled hand-in, ms, by percentile", latencies(outcome)),
     ];
     for (n, (title, lines)) in plots.into_iter().enumerate() {
         let marks = if n < 3 { faults.as_slice() } else { &[] };
@@ -64,8 +64,12 @@
     }
     text += "<h2>Faults</h2>\n<ol>\n";
     for (t, on, what) in &faults {
-        let _ =
-            writeln!(text, "<li>{t:.2} s {}: {}</li>", if *on { "begins" } else { "ends" }, escaped(what));
+        let _ = writeln!(
+            text,
+            "<li>{t:.2} s {}: {}</li>",
+            if *on { "begins" } else { "ends" },
+            escape_html(what)
+        );
     }
     text += "</ol>\n";
     Ok(text)
@@ -127,6 +131,6 @@
     Ok(text)
 }
 
-fn escaped(text: &str) -> String {
+fn escape_html(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
--- a/fleet/src/sweep.rs
+++ b/fleet/src/sweep.rs
@@ -1,5 +1,5 @@
-//! Many runs: over seeds, of two programs in turn, in search of a schedule that breaks a rule, and to make
-//! one smaller.
+//! Multiple runs: over seeds, of two programs alternately, in search of a fault schedule that breaks a rule,
+//! and to shrink one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -14,41 +14,41 @@
 use crate::report;
 use crate::scenario::Scenario;
 
-/// Why runs are not begun.
+/// Why runs can't be started.
 #[derive(Debug, thiserror::Error)]
 pub enum NoRuns {
-    /// No seeds.
-    #[error("{0}: expected a seed, or a range such as 1..20 of 10,000 at most")]
+    /// Invalid seeds.
+    #[error("{0}: expected a seed, or a range such as 1..20 of at most 10,000 seeds")]
     Seeds(String),
-    /// This program does not know where it lies.
+    /// The path of this program is unknown.
     #[error("{0}")]
     Place(#[from] io::Error),
-    /// The sender's program is not there.
+    /// The sender's program has not been built.
     #[error("the sender is not built: cargo build --release --locked")]
     NotBuilt,
 }
 
 coded_error! { NoRuns {
-    Seeds => "fleet.seeds", "give a number, or two with .. between them, the smaller one first";
-    Place => "fleet.place", "name the sender's program with --binary";
-    NotBuilt => "fleet.not-built", "build it as the line says, or name one with --binary";
+    Seeds => "fleet.seeds", "give a number, or two separated by .. with the smaller one first";
+    Place => "fleet.place", "give the sender's program with --binary";
+    NotBuilt => "fleet.not-built", "run the named build command, or give a program with --binary";
 } }
 
-/// Seeds as a range, `1..20`, both ends among them, or one alone.
+/// Parses seeds: an inclusive range such as `1..20`, or a single seed.
 ///
 /// # Errors
-/// Tells what is expected.
+/// Fails when the text is neither.
 pub fn seeds(text: &str) -> Result<Vec<u64>, NoRuns> {
-    let wrong = || NoRuns::Seeds(text.to_owned());
+    let invalid = || NoRuns::Seeds(text.to_owned());
     let (from, to) = text.split_once("..").unwrap_or((text, text));
-    let (from, to) = (from.parse().map_err(|_| wrong())?, to.parse::<u64>().map_err(|_| wrong())?);
-    if from <= to && to - from < 10_000 { Ok((from..=to).collect()) } else { Err(wrong()) }
+    let (from, to) = (from.parse().map_err(|_| invalid())?, to.parse::<u64>().map_err(|_| invalid())?);
+    if from <= to && to - from < 10_000 { Ok((from..=to).collect()) } else { Err(invalid()) }
 }
 
-/// Plays all of these, `jobs` at a time, and hands each to `done` with its place.
+/// Executes all runs, `jobs` at a time, and passes each outcome to `done` with its index.
 ///
 /// # Errors
-/// Fails with the first that could not be played at all.
+/// Fails with the error of the first run that could not be executed.
 pub fn all(plays: &[Play], jobs: usize, done: impl Fn(usize, &Outcome) + Sync) -> io::Result<Vec<Outcome>> {
     let next = AtomicUsize::new(0);
     let outcomes: Mutex<BTreeMap<usize, io::Result<Outcome>>> = Mutex::default();
@@ -81,8 +81,8 @@
     rules
 }
 
-/// Median, least and most.
-fn spread(mut values: Vec<f64>) -> [f64; 3] {
+/// Median, minimum and maximum.
+fn median_min_max(mut values: Vec<f64>) -> [f64; 3] {
     values.sort_by(f64::total_cmp);
     match (values.first(), values.get(values.len() / 2), values.last()) {
         (Some(least), Some(median), Some(most)) => [*median, *least, *most],
@@ -91,11 +91,11 @@
 }
 
 fn cell(values: Vec<f64>) -> String {
-    let [median, least, most] = spread(values);
+    let [median, least, most] = median_min_max(values);
     format!("{median:.1} ({least:.1} to {most:.1})")
 }
 
-/// A row for each scenario: medians over the seeds, with the least and the most.
+/// A row per scenario: medians over the seeds, with minimum and maximum.
 pub fn rows(groups: &[(String, Vec<&Outcome>)]) -> String {
     let mut table = report::table(&[
         "scenario",
@@ -139,7 +139,8 @@
             cell(outcomes.iter().map(|o| o.lateness_us[1] as f64 / 1000.0).collect()),
         ]);
     }
-    let starts: Vec<_> = groups.iter().filter(|(_, outcomes)| outcomes.iter().any(|o| shown(o))).collect();
+    let starts: Vec<_> =
+        groups.iter().filter(|(_, outcomes)| outcomes.iter().any(|o| shows_start(o))).collect();
     if starts.is_empty() {
         return table.to_string();
     }
@@ -153,16 +154,17 @@
     format!("{table}\n{second}")
 }
 
-/// Whether the start of a run is worth a row: of many senders, or at a list service that turned some away.
-fn shown(outcome: &Outcome) -> bool {
+/// Whether the statistics of a run's start are shown: it had many senders, or the list service rejected
+/// calls.
+fn shows_start(outcome: &Outcome) -> bool {
     let start = &outcome.figures.start;
-    start.senders > MANY || start.list_turned_away > 0
+    start.senders > MANY_SENDERS || start.list_turned_away > 0
 }
 
-/// See [`shown`].
-const MANY: usize = 30;
+/// Above this number of senders the statistics of the start are shown.
+const MANY_SENDERS: usize = 30;
 
-/// Figures of a start.
+/// Statistics of a start, by name.
 fn starts_figures() -> impl Iterator<Item = Figure<'static>> {
     let figures: [Figure; 14] = [
         ("list calls", &|o| o.figures.start.list_calls as f64),
@@ -178,16 +180,16 @@
         ("ready ms, p99", &|o| o.figures.start.ready_ms[1]),
         ("all ready s", &|o| o.figures.start.all_ready_s),
         ("in time %, first 30 s", &|o| o.figures.start.in_time()),
-        // One that never gets there shows as what no run can have.
+        // A run that never gets back to normal shows as a value that no run can reach.
         ("as usual after s", &|o| o.figures.start.as_usual_s.unwrap_or(9999.0)),
     ];
     figures.into_iter()
 }
 
-/// A figure of a run, and its name.
+/// A statistic of a run, with its name.
 type Figure<'a> = (&'a str, &'a dyn Fn(&Outcome) -> f64);
 
-/// Differences of two programs on the same seeds, pair by pair, as text.
+/// The differences of two programs on the same seeds, pair by pair, as text.
 pub fn differences(pairs: &[(&Outcome, &Outcome)]) -> String {
     let mut table = report::table(&["figure", "A", "B", "B - A, by pairs"]);
     let figures: [Figure; 6] = [
@@ -198,7 +200,7 @@
         ("p99 ms", &|o| o.figures.all.latency_ms[2]),
         ("calls", &|o| o.figures.calls as f64),
     ];
-    let starts = pairs.iter().any(|(a, b)| shown(a) || shown(b));
+    let starts = pairs.iter().any(|(a, b)| shows_start(a) || shows_start(b));
     for (name, figure) in figures.into_iter().chain(starts_figures().filter(|_| starts)) {
         table.add_row(vec![
             name.to_owned(),
@@ -211,30 +213,30 @@
     format!("{table}\nruns with a broken rule, of {}: A {}, B {}", pairs.len(), broke(0), broke(1))
 }
 
-/// The scenario with its faults written out, so that it can be made smaller.
-pub fn written_out(scenario: &Scenario, seed: u64) -> Scenario {
+/// The scenario with its random faults listed explicitly, so that it can be shrunk.
+pub fn with_explicit_faults(scenario: &Scenario, seed: u64) -> Scenario {
     Scenario { fault: schedule(scenario, seed), mix: None, ..scenario.clone() }
 }
 
-/// Leaves faults out, as long as one of `broken` is still broken: halves first, then one by one (delta
-/// debugging, Zeller and Hildebrandt, 2002, without its complements). A run that is doubted counts as kept,
-/// so that what is left is sure.
+/// Removes faults as long as one of the rules in `broken` is still broken: halves first, then single faults
+/// (delta debugging, Zeller and Hildebrandt, 2002, without its complements). An untrustworthy run counts as
+/// breaking no rule, so that the result certainly breaks one.
 ///
 /// # Errors
-/// Fails when a run could not be played.
+/// Fails when a run could not be executed.
 pub fn shrink(
     first: &Play,
     broken: &BTreeSet<Rule>,
-    most_runs: usize,
-    mut told: impl FnMut(usize, usize),
+    max_runs: usize,
+    mut on_run: impl FnMut(usize, usize),
 ) -> io::Result<Scenario> {
-    let mut smallest = written_out(&first.scenario, first.seed);
+    let mut smallest = with_explicit_faults(&first.scenario, first.seed);
     let (mut runs, mut size) = (0, smallest.fault.len().div_ceil(2).max(1));
     loop {
         let mut from = 0;
         let mut smaller = false;
         while from < smallest.fault.len() {
-            if runs >= most_runs {
+            if runs >= max_runs {
                 return Ok(smallest);
             }
             let mut tried = smallest.clone();
@@ -242,7 +244,7 @@
             tried.fault.drain(from..until);
             runs += 1;
             let outcome = play(&Play { scenario: tried.clone(), ..first.clone() })?;
-            told(runs, tried.fault.len());
+            on_run(runs, tried.fault.len());
             if outcome.doubt.is_none() && !rules(&outcome).is_disjoint(broken) {
                 smallest = tried;
                 smaller = true;
@@ -257,14 +259,14 @@
     }
 }
 
-/// The sender's program beside this one, where cargo puts both.
+/// The sender's program in the folder of this one, where cargo puts both.
 ///
 /// # Errors
-/// Tells how it is built.
+/// Fails, naming the build command, when it is not there.
 pub fn own_binary() -> Result<PathBuf, NoRuns> {
     let own = std::env::current_exe()?;
     let folder = own.parent().unwrap_or(Path::new("."));
-    // A test's program lies one folder deeper.
+    // The program of a test is one folder deeper.
     let places = [folder.join("myrtleyard"), folder.join("../myrtleyard")];
     let found = places.into_iter().find(|place| place.is_file());
     found.ok_or(NoRuns::NotBuilt)
--- a/fleet/tests/links.rs
+++ b/fleet/tests/links.rs
@@ -1,4 +1,4 @@
-//! The relays between senders, on real sockets: who hears whom, from which address, and what a fault does.
+//! The datagram relays on real sockets: delivery, source addresses, and the effect of each fault.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 const HOST: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
-struct Three {
+struct ThreeSenders {
     sockets: Vec<UdpSocket>,
     relays: Relays,
     recorder: Recorder,
@@ -18,7 +18,7 @@
     writer: std::thread::JoinHandle<std::io::Result<()>>,
 }
 
-impl Three {
+impl ThreeSenders {
     async fn new() -> Self {
         let folder = tempfile::tempdir().unwrap();
         let classes: Vec<ClassRules> = vec![];
@@ -51,9 +51,9 @@
         self.sockets[from].send_to(bytes, self.peers(from)[to]).await.unwrap();
     }
 
-    /// What comes to a sender until its own marker does, by who it is from. The marker goes by a link that
-    /// nothing is wrong with and is sent again until it comes, so that nothing hangs on a time.
-    async fn heard(&self, at: usize, by: usize) -> Vec<(usize, Vec<u8>)> {
+    /// The datagrams that arrive at a sender before a marker, with their senders. The marker is sent over a
+    /// link without faults, 200 ms later.
+    async fn received_until_marker(&self, at: usize, by: usize) -> Vec<(usize, Vec<u8>)> {
         let (mut all, mut buffer) = (Vec::new(), [0; 2048]);
         tokio::time::sleep(Duration::from_millis(200)).await;
         self.send(by, at, b"marker").await;
@@ -64,7 +64,7 @@
                 return all;
             }
             let from = self.peers(at).iter().position(|peer| *peer == source);
-            all.push((from.expect("it comes from a peer's address"), buffer[..size].to_vec()));
+            all.push((from.expect("the source is a peer's address"), buffer[..size].to_vec()));
         }
     }
 
@@ -76,50 +76,50 @@
 }
 
 #[tokio::test]
-async fn who_sends_is_known_by_its_address_and_a_note_to_all_comes_to_all_others() {
-    let three = Three::new().await;
+async fn relay_keeps_the_senders_address_and_a_datagram_to_all_reaches_all_others() {
+    let three = ThreeSenders::new().await;
     three.send(0, 1, b"one").await;
-    assert_eq!(three.heard(1, 2).await, [(0, b"one".to_vec())]);
+    assert_eq!(three.received_until_marker(1, 2).await, [(0, b"one".to_vec())]);
     three.sockets[2].send_to(b"all", three.relays.peers_all(2)).await.unwrap();
-    assert_eq!(three.heard(0, 1).await, [(2, b"all".to_vec())]);
-    assert_eq!(three.heard(1, 0).await, [(2, b"all".to_vec())]);
-    // A stranger's datagram goes nowhere.
+    assert_eq!(three.received_until_marker(0, 1).await, [(2, b"all".to_vec())]);
+    assert_eq!(three.received_until_marker(1, 0).await, [(2, b"all".to_vec())]);
+    // A datagram from an unknown address is not forwarded.
     let stranger = UdpSocket::bind((HOST, 0)).await.unwrap();
     stranger.send_to(b"hello", three.peers(0)[1]).await.unwrap();
-    assert_eq!(three.heard(1, 2).await, []);
+    assert_eq!(three.received_until_marker(1, 2).await, []);
 }
 
 #[tokio::test]
-async fn a_fault_of_a_link_is_that_links_and_that_directions_alone() {
-    let three = Three::new().await;
+async fn link_fault_affects_only_its_link_and_direction() {
+    let three = ThreeSenders::new().await;
     three.condition(0, 1, Datagrams { drop: 1.0, ..Datagrams::default() });
     three.send(0, 1, b"lost").await;
     three.send(1, 0, b"back").await;
     three.send(0, 2, b"other").await;
-    assert_eq!(three.heard(1, 2).await, []);
-    assert_eq!(three.heard(0, 2).await, [(1, b"back".to_vec())]);
-    assert_eq!(three.heard(2, 1).await, [(0, b"other".to_vec())]);
+    assert_eq!(three.received_until_marker(1, 2).await, []);
+    assert_eq!(three.received_until_marker(0, 2).await, [(1, b"back".to_vec())]);
+    assert_eq!(three.received_until_marker(2, 1).await, [(0, b"other".to_vec())]);
     three.condition(0, 1, Datagrams { repeat: 1.0, ..Datagrams::default() });
     three.send(0, 1, b"twice").await;
-    assert_eq!(three.heard(1, 2).await.len(), 2);
+    assert_eq!(three.received_until_marker(1, 2).await.len(), 2);
     three.condition(0, 1, Datagrams { spoil: 1.0, ..Datagrams::default() });
     three.send(0, 1, b"spoilt").await;
-    let heard = three.heard(1, 2).await;
+    let heard = three.received_until_marker(1, 2).await;
     assert!(heard.len() == 1 && heard[0].1.len() == 6 && heard[0].1 != b"spoilt");
     three.condition(0, 1, Datagrams { short: 1.0, ..Datagrams::default() });
     three.send(0, 1, b"shortened").await;
-    assert!(three.heard(1, 2).await[0].1.len() < 9);
+    assert!(three.received_until_marker(1, 2).await[0].1.len() < 9);
     three.condition(0, 1, Datagrams::default());
     three.send(0, 1, b"whole").await;
-    assert_eq!(three.heard(1, 2).await, [(0, b"whole".to_vec())]);
+    assert_eq!(three.received_until_marker(1, 2).await, [(0, b"whole".to_vec())]);
 }
 
 #[tokio::test]
-async fn a_datagram_over_the_limit_is_taken_down() {
-    let three = Three::new().await;
+async fn datagram_above_the_limit_is_recorded_and_one_at_the_limit_is_not() {
+    let three = ThreeSenders::new().await;
     three.send(0, 1, &[7; 257]).await;
     three.send(0, 1, &[7; 256]).await;
-    assert_eq!(three.heard(1, 2).await.len(), 2);
+    assert_eq!(three.received_until_marker(1, 2).await.len(), 2);
     three.recorder.see(What::Over);
     three.writer.join().unwrap().unwrap();
     let history = History::read(&three.folder.path().join("history")).unwrap();
--- a/fleet/tests/small.rs
+++ b/fleet/tests/small.rs
@@ -1,5 +1,5 @@
-//! Real processes of the sender, small and short, in tests that judge only what a noisy machine doesn't shift:
-//! counts, effects and ends, not how soon.
+//! Short runs with a few real processes of the sender. The tests check only what a busy machine doesn't
+//! change: counts, effects and ends, not times.
 
 use std::collections::BTreeSet;
 use std::os::unix::fs::PermissionsExt;
@@ -15,7 +15,7 @@
 
 const TOOL: &str = env!("CARGO_BIN_EXE_linenwing-fleet");
 
-/// A scenario of five seconds with three senders, whose messages live so short that it ends soon.
+/// A scenario of five seconds with three senders and short deadlines, so that it ends soon.
 fn small(more: &str) -> Scenario {
     small_of(3, more)
 }
@@ -40,13 +40,13 @@
 }
 
 #[test]
-fn calm_senders_bring_every_message_to_its_end_and_the_history_shows_it() {
+fn without_faults_every_message_ends_and_history_page_and_trace_show_it() {
     let out = tempfile::tempdir().unwrap();
     let (what, outcome) = played(small(""), out.path());
     let all = &outcome.figures.all;
     assert!(all.messages > 100, "{all:?}");
     assert_eq!((all.without, outcome.figures.orphaned), (0, 0));
-    // Judged again alone, it is the same.
+    // Checking the history again gives the same result.
     let file = out.path().join("history.jsonl");
     let (broken, figures) = judge(&file).unwrap();
     assert_eq!((broken, figures.all.messages), (outcome.broken.clone(), all.messages));
@@ -71,10 +71,10 @@
     assert!(explain::story(out.path(), "nobody").is_err());
 }
 
-/// Guards what a sender took on against its death: held for a destination that is down, it is killed, and comes
-/// back with its folder.
+/// Guards against the loss of accepted messages at a crash: senders with messages for a destination that is
+/// down are killed, and restarted with their state folders.
 #[test]
-fn what_a_killed_sender_owed_has_its_end_once_it_is_back() {
+fn messages_of_a_killed_sender_end_after_its_restart() {
     let out = tempfile::tempdir().unwrap();
     let more = "[[fault]]\nkind = \"partner\"\nmode = \"down\"\nat_s = 0.5\nfor_s = 3\npartners = [0, 3]\n\
                 [[fault]]\nkind = \"kill\"\nat_s = 2\nfor_s = 1\n";
@@ -85,9 +85,10 @@
     assert_eq!(starts, 6, "all three were killed and started again");
 }
 
-/// What is owed by a sender that stays away has no end today; the bench counts it as that.
+/// Without takeover, the messages of a sender that does not return have no end; the bench counts them as
+/// orphaned.
 #[test]
-fn what_is_owed_by_a_sender_that_stays_away_is_counted() {
+fn messages_of_a_sender_that_never_returns_are_counted_as_orphaned() {
     let out = tempfile::tempdir().unwrap();
     let more = "[[fault]]\nkind = \"partner\"\nmode = \"down\"\nat_s = 0.5\nfor_s = 3\n\
                 [[fault]]\nkind = \"kill\"\nat_s = 2.5\nsenders = [0]\n";
@@ -97,10 +98,10 @@
     assert!(figures.all.without <= figures.orphaned, "nobody else's is without an end: {figures:?}");
 }
 
-/// Guards the ordinary ways in which processes change: handover, restart, a stop, a folder that is lost; and two
-/// runs side by side, which must not meet.
+/// Guards the rules during handover, restart, stop and loss of a state folder; and guards concurrent runs
+/// against interference.
 #[test]
-fn processes_that_change_keep_the_rules_and_runs_side_by_side_do_not_meet() {
+fn rules_hold_during_process_changes_and_concurrent_runs_do_not_interfere() {
     let changes = [
         "[[fault]]\nkind = \"handover\"\nat_s = 1\nevery_s = 1\n",
         "[[fault]]\nkind = \"restart\"\nat_s = 1\nsenders = [0, 1]\n\
@@ -118,24 +119,25 @@
     });
 }
 
-/// Guards takeover at real processes: of what a sender that stays away had in hand, most has its end by another's hand,
-/// and every rule on effects and ends is kept.
+/// Guards takeover with real processes: most messages of a sender that does not return are ended by another
+/// sender, and every rule on effects and ends is kept.
 #[test]
-fn what_was_covered_is_ended_by_another() {
+fn replicated_messages_of_a_lost_sender_are_ended_by_another() {
     let out = tempfile::tempdir().unwrap();
     let more = "[sections.takeover]\nlease_ms = 400\n\
                 [[fault]]\nkind = \"partner\"\nmode = \"down\"\nat_s = 0.5\nfor_s = 3\n\
                 [[fault]]\nkind = \"kill\"\nat_s = 2.5\nsenders = [0]\n";
     let (_, outcome) = played(small(more), out.path());
     let figures = &outcome.figures;
-    // What was taken on in the last moments may have been known to nobody else.
+    // Messages accepted in the last moments may not have been replicated.
     assert!(figures.orphaned > 0 && figures.orphaned_ended * 2 > figures.orphaned, "{figures:?}");
     assert!(!figures.takeover_ms.is_empty(), "{figures:?}");
 }
 
-/// Guards covers through the ordinary ways in which processes change, owners and covers alike, with leases that lapse.
+/// Guards the rules with takeover enabled while processes change, owners and backups alike, and leases
+/// expire.
 #[test]
-fn covers_keep_the_rules_while_processes_change() {
+fn rules_hold_with_takeover_during_process_changes() {
     let section = "[sections.takeover]\nlease_ms = 400\n";
     let changes = [
         "[[fault]]\nkind = \"handover\"\nat_s = 1\nevery_s = 1\n",
@@ -156,10 +158,10 @@
     });
 }
 
-/// Guards the view of the fleet at real processes: a kill is a death to all, a split and its healing are seen, a
-/// restart is a new life, and without the section there is not one datagram of it.
+/// Guards membership with real processes: all senders see a killed one as dead, and a restarted one as alive
+/// again.
 #[test]
-fn senders_that_keep_a_view_see_a_death_and_a_return() {
+fn membership_views_show_a_killed_sender_dead_and_a_restarted_one_alive() {
     let section = "[sections.membership]\nperiod_ms = 400\n";
     let kills = "[[fault]]\nkind = \"kill\"\nat_s = 1.5\nsenders = [3]\n\
                  [[fault]]\nkind = \"kill\"\nat_s = 2\nfor_s = 0.3\nsenders = [0]\n";
@@ -178,7 +180,7 @@
 }
 
 #[test]
-fn without_its_section_there_is_no_view_and_no_datagram_of_it() {
+fn without_the_membership_section_there_is_no_view_and_no_datagram() {
     let out = tempfile::tempdir().unwrap();
     let mut scenario = small("");
     scenario.load.per_s = 0.0;
@@ -187,7 +189,7 @@
 }
 
 #[test]
-fn a_run_with_nobody_to_talk_to_comes_to_its_end() {
+fn run_with_one_sender_and_no_load_ends_with_code_0() {
     let out = tempfile::tempdir().unwrap();
     let mut scenario = small("[load]\nper_s = 0\n");
     (scenario.senders, scenario.length_s) = (1, 1.0);
@@ -195,10 +197,11 @@
     assert_eq!((outcome.code(), outcome.figures.all.messages, outcome.figures.calls), (0, 0, 0));
 }
 
-/// Guards the start of a tier at a list service that bears little: calls are counted and turned away, the list that
-/// they begin with is old, one is killed while it starts, one joins later, and all are ready all the same.
+/// Guards the start of a tier at a list service of low capacity: calls are counted and rejected, the senders
+/// begin with an outdated list, one is killed while it starts, one joins later, and all become ready
+/// nevertheless.
 #[test]
-fn a_start_at_a_list_service_that_bears_little_is_counted() {
+fn start_at_an_overloaded_list_service_is_measured_and_all_senders_become_ready() {
     let out = tempfile::tempdir().unwrap();
     let more = "[start]\nearly = true\njoins = 1\njoins_at_s = 1\n[discovery]\ncalls_per_s = 2\nbehind = 2\n\
                 [load]\nfrom_s = 2\n[partners]\ncold_start = true\n\
@@ -206,27 +209,31 @@
     let (_, outcome) = played(small_of(5, more), out.path());
     let start = &outcome.figures.start;
     assert!(start.senders == 5 && start.never_ready == 0, "{start:?}");
-    // Whoever joins is waited for, however late the others began.
+    // The statistics include the sender that joins later, however late the others began.
     assert!(start.at_s + start.all_ready_s > 1.0, "{start:?}");
     let history = History::read(&out.path().join("history.jsonl")).unwrap();
-    let borne =
+    let accepted =
         |entry: &&linenwing_fleet::ledger::Entry| matches!(entry.what, What::ListCall { status: 200, .. });
-    let borne: Vec<u64> = history.entries.iter().filter(borne).map(|entry| entry.t).collect();
-    assert!(borne.windows(3).all(|three| three[2] - three[0] >= 1_000_000), "two in any second: {borne:?}");
-    assert!(borne.len() >= 5 && start.list_turned_away > 0, "{start:?}");
-    // The figures are of the last start of the whole tier, which is a later one where the first process is killed before
-    // the next has started.
-    let counted = borne.iter().filter(|t| **t as f64 / 1e6 >= start.at_s).count();
+    let accepted: Vec<u64> = history.entries.iter().filter(accepted).map(|entry| entry.t).collect();
+    assert!(
+        accepted.windows(3).all(|three| three[2] - three[0] >= 1_000_000),
+        "two in any second: {accepted:?}"
+    );
+    assert!(accepted.len() >= 5 && start.list_turned_away > 0, "{start:?}");
+    // The statistics cover the last start of the whole tier, which is a later one if the first process is
+    // killed before the next has started.
+    let counted = accepted.iter().filter(|t| **t as f64 / 1e6 >= start.at_s).count();
     assert_eq!(start.list_calls, counted as u64 + start.list_turned_away);
-    // What it began with lacked an endpoint, of which the service told later.
-    let told = |at: &dyn Fn(&What) -> bool| history.entries.iter().position(|entry| at(&entry.what)).unwrap();
+    // The initial list lacks an endpoint that the service reports later.
+    let position =
+        |at: &dyn Fn(&What) -> bool| history.entries.iter().position(|entry| at(&entry.what)).unwrap();
     let missing = |what: &What| matches!(what, What::Told { endpoint, .. } if endpoint == "s-008-1");
-    assert!(told(&missing) > told(&|what| matches!(what, What::ListCall { status: 200, .. })));
+    assert!(position(&missing) > position(&|what| matches!(what, What::ListCall { status: 200, .. })));
 }
 
-/// Traced arrivals are played as they stand, and what can't be is refused.
+/// Traced arrivals are handed in exactly as listed, and invalid ones are rejected.
 #[test]
-fn a_trace_is_played_as_it_stands() {
+fn trace_arrivals_are_handed_in_as_listed_and_invalid_ones_rejected() {
     let out = tempfile::tempdir().unwrap();
     let traced = |trace: &str| format!("[load]\ntrace = {trace}\n");
     let (_, outcome) = played(small(&traced("[[0.2, 1, 1, 3], [0.1, 0, 0, 4], [0.3, 2, 0, 4]]")), out.path());
@@ -250,9 +257,9 @@
     path
 }
 
-/// Guards whoever looks for the reason: a program that ends at once is named, with its last lines.
+/// Guards the diagnosis of a failed start: a program that ends at once is reported with its last log lines.
 #[test]
-fn a_program_that_ends_at_once_is_told_with_its_last_lines() {
+fn program_that_ends_at_once_is_reported_with_its_last_log_lines() {
     let out = tempfile::tempdir().unwrap();
     let binary = script(out.path(), "#!/bin/sh\necho first line\necho 'no such key' >&2\nexit 4\n");
     let what = Play { scenario: small(""), seed: 1, binary, out: out.path().join("run"), progress: false };
@@ -267,7 +274,7 @@
 }
 
 #[test]
-fn a_bad_scenario_is_refused_with_every_fault_in_it() {
+fn invalid_scenario_exits_2_and_names_every_invalid_key() {
     let out = tempfile::tempdir().unwrap();
     let file = out.path().join("bad.toml");
     let text = "name = \"bad\"\nlength_s = -1\nsenders = 390\n[load]\nskew = 9\n\
@@ -286,8 +293,8 @@
     }
 }
 
-/// Processes whose configuration lies in this folder.
-fn left(folder: &Path) -> Vec<u32> {
+/// Processes with their configuration in this folder.
+fn processes_of(folder: &Path) -> Vec<u32> {
     let processes = std::fs::read_dir("/proc").unwrap().filter_map(|entry| {
         let pid: u32 = entry.ok()?.file_name().to_str()?.parse().ok()?;
         let surroundings = std::fs::read(format!("/proc/{pid}/environ")).ok()?;
@@ -298,7 +305,7 @@
     processes.collect()
 }
 
-fn until(what: &str, so: impl Fn() -> bool) {
+fn wait_until(what: &str, so: impl Fn() -> bool) {
     let begun = Instant::now();
     while !so() {
         assert!(begun.elapsed() < Duration::from_secs(30), "{what}");
@@ -306,9 +313,10 @@
     }
 }
 
-/// Guards the machine: however a run is cut off, none of its senders is left, stopped ones among them.
+/// Guards the machine against leftover processes: however a run is killed, none of its senders survives, not
+/// even a stopped one.
 #[test]
-fn a_run_that_is_cut_off_leaves_no_process_behind() {
+fn killed_run_leaves_no_sender_process_behind() {
     for signal in ["-KILL", "-INT", "-TERM"] {
         let out = tempfile::tempdir().unwrap();
         let folder = out.path().canonicalize().unwrap();
@@ -319,10 +327,10 @@
         command.args(["run", file.to_str().unwrap(), "--out", folder.to_str().unwrap()]);
         command.arg("--binary").arg(sweep::own_binary().unwrap());
         let mut tool = command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
-        until("its senders come", || left(&folder).len() == 3);
+        wait_until("the senders start", || processes_of(&folder).len() == 3);
         let id = tool.id().to_string();
         assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
         tool.wait().unwrap();
-        until("none is left", || left(&folder).is_empty());
+        wait_until("no sender is left", || processes_of(&folder).is_empty());
     }
 }
--- a/fleet/tests/spoilt.rs
+++ b/fleet/tests/spoilt.rs
@@ -1,4 +1,5 @@
-//! The checker's own worth: a history that keeps every rule, spoilt in one place for each rule.
+//! Tests the checker: a valid history, and one violation inserted for each way in which each rule can be
+//! broken.
 
 use linenwing_fleet::ledger::checker::check;
 use linenwing_fleet::ledger::reads::{Level, PlanRules};
@@ -31,7 +32,7 @@
 }
 
 /// A call to the destination's other endpoint, which does not drain.
-fn other(call: u64, id: &str, first: u64) -> What {
+fn call_other(call: u64, id: &str, first: u64) -> What {
     call_at("s-003-1", call, id, first)
 }
 
@@ -52,9 +53,9 @@
     What::Effect { call, id: id.into(), repeat: false }
 }
 
-/// All that an ordinary run has: messages of both classes that are delivered, refused or failed, a wait that is
-/// heeded, a drain, a process that is killed and comes back with what it owed.
-fn whole() -> Vec<(u64, What)> {
+/// A valid history: messages of both classes that are delivered, refused or failed, a Retry-After that is
+/// respected, a drain, and a process that is killed and returns with its messages.
+fn valid_history() -> Vec<(u64, What)> {
     let heard = |id: &str, status| What::Heard { id: id.into(), status };
     let told = |status: &str| What::Told { sender: 0, endpoint: "s-003-0".into(), status: status.into() };
     vec![
@@ -104,22 +105,22 @@
 }
 
 fn with(more: Vec<(u64, What)>) -> Vec<(u64, What)> {
-    whole().into_iter().chain(more).collect()
+    valid_history().into_iter().chain(more).collect()
 }
 
 fn without(left_out: impl Fn(&What) -> bool) -> Vec<(u64, What)> {
-    whole().into_iter().filter(|(_, what)| !left_out(what)).collect()
+    valid_history().into_iter().filter(|(_, what)| !left_out(what)).collect()
 }
 
 #[test]
-fn an_ordinary_history_breaks_no_rule() {
-    assert_eq!(broken(whole()), []);
+fn valid_history_breaks_no_rule() {
+    assert_eq!(broken(valid_history()), []);
 }
 
-/// Guards against a checker that finds nothing: one spoilt place for each way in which each rule is broken, and
-/// the rule that is named is the one that was spoilt.
+/// Guards against a checker that misses violations: each inserted violation is reported, under its own rule
+/// only.
 #[test]
-fn each_spoilt_place_is_found_as_what_it_is() {
+fn each_inserted_violation_is_reported_under_its_rule() {
     let oversize = What::Oversize { sender: 1, bytes: 257 };
     let fell = |knew| What::Fell { dest: 3, by: vec![(0, 20, knew), (1, 9, false)] };
     let ended = |asked, code| What::Ended { sender: 1, generation: 0, asked, code };
@@ -134,20 +135,24 @@
         last: 3 * S,
     };
     let many = (0..6).map(|n| (2 * S + n, call(30 + n, "n", 2 * S + n))).collect();
-    let spoilt = [
+    let violations = [
         ("no notice of what a kill left", without(|w| *w == notice("k", "undeliverable")), Rule::Lost),
         ("a notice too late", with_late_notice(), Rule::Lost),
         ("two ends that differ", with(vec![(13 * S, notice("r", "undeliverable"))]), Rule::OneEnd),
         ("deferred, with an effect", with(vec![(11 * S + 9_000, effect(9, "r"))]), Rule::OneEnd),
-        ("called after its end", with(vec![(14 * S, other(9, "r", 12 * S + 200_000))]), Rule::OneEnd),
-        ("called after its refusal", with(vec![(14 * S, other(9, "x", 13 * S + 200_000))]), Rule::OneEnd),
+        ("called after its end", with(vec![(14 * S, call_other(9, "r", 12 * S + 200_000))]), Rule::OneEnd),
+        (
+            "called after its refusal",
+            with(vec![(14 * S, call_other(9, "x", 13 * S + 200_000))]),
+            Rule::OneEnd,
+        ),
         ("a second effect", with(vec![(6 * S + 300, effect(4, "d"))]), Rule::Duplicate),
         (
             "called though it may have run",
             with(vec![(7 * S + 80_000, call(9, "k", 7 * S + 80_000))]),
             Rule::Duplicate,
         ),
-        ("called after its window", with(vec![(17 * S, other(9, "n", 17 * S))]), Rule::Window),
+        ("called after its window", with(vec![(17 * S, call_other(9, "n", 17 * S))]), Rule::Window),
         ("called within a wait", with(vec![(5 * S, call(9, "n", 4 * S + 300_000))]), Rule::Wait),
         ("called a drained endpoint", with(vec![(13 * S, call(9, "n", 12 * S + 100_000))]), Rule::Drain),
         ("to another destination", with(vec![(3 * S, elsewhere)]), Rule::Misdirected),
@@ -159,10 +164,10 @@
         ("a bad end", with(vec![(59 * S, ended(Asked::Terminate, Some(1)))]), Rule::Process),
         ("pushed over", with(vec![(30 * S, fell(true))]), Rule::Fallback),
     ];
-    for (name, entries, rule) in spoilt {
+    for (name, entries, rule) in violations {
         assert_eq!(broken(entries), [rule], "{name}");
     }
-    assert_eq!(broken(with(vec![(30 * S, fell(false))])), [], "they could not know");
+    assert_eq!(broken(with(vec![(30 * S, fell(false))])), [], "the senders had not seen the failure");
     assert_eq!(broken(with(vec![(59 * S, ended(Asked::Terminate, Some(0)))])), [], "a good end");
 }
 
@@ -172,9 +177,10 @@
     moved.into_iter().chain([(21 * S + 400_000, late)]).collect()
 }
 
-/// Guards those who can't help it: a sender that is away or stopped owes nothing until it is back.
+/// Guards against false reports: a message is not lost while its sender is stopped, but is once the sender is
+/// back.
 #[test]
-fn a_stop_is_no_lost_message() {
+fn message_of_a_stopped_sender_is_lost_only_after_its_return() {
     let signal = |signal: &str| What::Signal { sender: 0, generation: 1, signal: signal.into() };
     let late = notice("r", "deferred");
     let mut entries = without(|w| *w == late);
@@ -185,9 +191,9 @@
     assert_eq!(broken(entries), [Rule::Lost], "back, and no notice comes");
 }
 
-/// Guards the rule on views: a death of one that is there, and views that differ in the end.
+/// Guards the rule on membership views: a running sender reported dead, and views that differ at the end.
 #[test]
-fn a_wrong_view_is_found() {
+fn wrong_death_and_differing_or_absent_end_views_break_the_view_rule() {
     let view = |sender, states: &str, digest: &str| {
         let (states, digest) = (states.to_owned(), digest.to_owned());
         What::View { sender, generation: 0, states, digest, isolated: false, minority: false }
@@ -210,15 +216,19 @@
         check(&History::new(head, entries)).len()
     };
     assert_eq!(judged(both(S, "aa"), None), 0);
-    assert_eq!(judged(both(S / 20, "aa"), None), 0, "asked before they were seen to be ready");
+    assert_eq!(judged(both(S / 20, "aa"), None), 0, "view recorded before readiness");
     let wronged = [both(S, "aa"), vec![(20 * S, view(0, "ad", "2"))], both(30 * S, "aa")].concat();
     assert_eq!(judged(wronged.clone(), None), 1);
-    assert_eq!(judged(wronged, Some((18 * S, 21 * S))), 0, "they were kept apart");
-    assert_eq!(judged([both(S, "aa"), vec![(20 * S, view(0, "aa", "2"))]].concat(), None), 1, "they differ");
-    assert_eq!(judged(vec![(S, view(0, "aa", "1"))], None), 1, "one tells nothing");
+    assert_eq!(judged(wronged, Some((18 * S, 21 * S))), 0, "the senders were partitioned");
+    assert_eq!(
+        judged([both(S, "aa"), vec![(20 * S, view(0, "aa", "2"))]].concat(), None),
+        1,
+        "the views differ at the end"
+    );
+    assert_eq!(judged(vec![(S, view(0, "aa", "1"))], None), 1, "one sender reports no view");
 }
 
-/// A read by a session, of "a" and "b", as the whole history has it: told of both, with nothing missing.
+/// A valid read of "a" and "b" by a session: the answer has both, with nothing missing.
 fn read(plan: usize, sent: u64, change: impl FnOnce(&mut What)) -> (u64, What) {
     let row = |id: &str| Row { id: id.into(), states: 3, attempts: 1 };
     let mut read = What::Read {
@@ -248,10 +258,10 @@
     }
 }
 
-/// Guards the rules on reads: for each level one read that is as it should be, what is told as less or as missing, and
-/// one spoilt place for each way in which each rule is broken.
+/// Guards the rules on reads: for each level valid reads, reads marked as less or as partial, and one
+/// violation for each way in which each rule can be broken.
 #[test]
-fn reads_are_held_against_what_was_written_and_told() {
+fn each_invalid_read_is_reported_under_its_rule_and_valid_reads_are_not() {
     let plan = |level| PlanRules { level, staleness: 2 * S, tokens: true };
     let judged = |plan_of: usize, reads: Vec<(u64, What)>| {
         let plans = [Level::Session, Level::Bounded, Level::Any].map(plan).to_vec();
@@ -263,7 +273,7 @@
             entries.push((n * S + 5_000, What::Wrote { session, plan, id, token }));
         }
         entries.extend(reads);
-        // Only what is read is of interest: the run ends before anything is overdue.
+        // Only reads are tested: the run ends before any message is overdue.
         entries.push((9 * S, What::Over));
         let entries = entries.into_iter().map(|(t, what)| Entry { t, what }).collect();
         let history = History::new(Head { plans, ..head() }, entries);
@@ -320,7 +330,7 @@
     let old = |read: (u64, What)| and(&as_of(4 * S, 0), read);
     assert_eq!(judged(2, vec![old(read(2, 8 * S, without_b()))]), [], "old, with its age");
     assert_eq!(judged(1, vec![old(read(1, 5 * S + 900_000, without_b()))]), [], "old, within its bound");
-    let spoilt = [
+    let violations = [
         ("own write not shown", 0, vec![old(read(0, 8 * S, without_b()))], Rule::Session),
         ("an end undone", 0, vec![read(0, 6 * S, undone(35, 1)), read(0, 7 * S, |_| ())], Rule::Monotonic),
         ("fewer attempts", 0, vec![read(0, 6 * S, undone(3, 2)), read(0, 7 * S, |_| ())], Rule::Monotonic),
@@ -331,7 +341,7 @@
         ("a token for nothing", 2, vec![and(&token, read(2, 8 * S, |_| ()))], Rule::Entitlement),
         ("no token for its plan", 0, vec![and(&token, read(0, 8 * S, |_| ()))], Rule::Entitlement),
     ];
-    for (name, plan, reads, rule) in spoilt {
+    for (name, plan, reads, rule) in violations {
         assert_eq!(judged(plan, reads), [rule], "{name}");
     }
 }
