--- a/fleet/src/nemesis.rs
+++ b/fleet/src/nemesis.rs
@@ -254,7 +254,8 @@
     Some(fault)
 }
 
-/// Whether a fault may cut a sender off from half of the others or more, so that they can't tell that it is alive.
+/// Whether a fault may cut a sender off from half of the others or more, so that they can't tell that it is
+/// alive.
 fn separates(fault: &Fault, senders: usize) -> bool {
     let much = fault.share.is_none_or(|share| share > 0.6);
     let reach = if fault.to.is_empty() { senders } else { fault.to.len() }.max(match fault.both_ways {
--- a/fleet/src/report/mod.rs
+++ b/fleet/src/report/mod.rs
@@ -158,10 +158,11 @@
 pub fn start(figures: &Figures) -> String {
     let start = &figures.start;
     format!(
-        "start of {} at {:.1} s: ready after {:.0} ms (median), {:.0} ms (99th percentile), all after {:.2} s; \
-         list calls {}, {} in the worst second, {} turned away, {} silent, of a sender in its first 10 s {:.2} (mean), \
-         {} (most); connections {}, {} at an endpoint in a second; falls {}; calls refused {}, wasted {}; \
-         in time in the first 30 s {:.1}%, as usual after {} s\n",
+        "start of {} at {:.1} s: ready after {:.0} ms (median), {:.0} ms (99th percentile), \
+         all after {:.2} s; \
+         list calls {}, {} in the worst second, {} turned away, {} silent, of a sender in its first 10 s \
+         {:.2} (mean), {} (most); connections {}, {} at an endpoint in a second; falls {}; \
+         calls refused {}, wasted {}; in time in the first 30 s {:.1}%, as usual after {} s\n",
         start.senders,
         start.at_s,
         start.ready_ms[0],
--- a/fleet/src/report/page.rs
+++ b/fleet/src/report/page.rs
@@ -47,7 +47,8 @@
         Line { name: "100 bytes", color: RED, points: by(&|n| seconds[n].bytes as f64 / 100.0) },
     ];
     let mut text = String::from("<!doctype html><meta charset=\"utf-8\"><title>fleet run</title>\n");
-    text += "<style>body{font-family:sans-serif;max-width:60em;margin:2em auto}pre{white-space:pre-wrap}</style>\n";
+    text += "<style>body{font-family:sans-serif;max-width:60em;margin:2em auto}\
+             pre{white-space:pre-wrap}</style>\n";
     let _ = writeln!(text, "<h1>{}, seed {}</h1>", escape_html(&play.scenario.name), play.seed);
     let _ = writeln!(text, "<p>{}</p>", escape_html(&play.scenario.about));
     let _ = writeln!(text, "<pre>{}</pre>", escape_html(&super::summary(play, outcome)));
--- a/fleet/tests/scale.rs
+++ b/fleet/tests/scale.rs
@@ -14,7 +14,7 @@
 use linenwing_fleet::scale::{Axis, figure::Figure, page};
 
 const TOOL: &str = env!("CARGO_BIN_EXE_linenwing-fleet");
-/// A smoke run is over within this time also on a busy machine.
+/// Time limit of a smoke run, sufficient also on a busy machine.
 const SMOKE_WITHIN: Duration = Duration::from_secs(60);
 
 fn scale(arguments: &[&str]) -> Output {
@@ -25,10 +25,10 @@
     path.to_str().unwrap()
 }
 
-/// Guards the whole way from a point to its record: each axis has a point that was measured, with its mode, and how late
-/// the bench ran. A run that says that it was starved may, since machines are not quiet.
+/// Guards the path from a point to its record: each axis has a measured point, with its mode and the lateness
+/// of the bench. A run may report that it was starved, since the machine may be busy.
 #[test]
-fn a_smoke_run_leaves_a_record_of_each_axis() {
+fn smoke_run_writes_a_record_for_each_axis() {
     let folder = tempfile::tempdir().unwrap();
     let begun = Instant::now();
     let output = scale(&["--smoke", "--out", text(folder.path())]);
@@ -59,9 +59,9 @@
     }
 }
 
-/// Guards the count of ends: each fault of a sender is seen, and only what was answered 202 is owed an end.
+/// Guards the count of ends: each fault of a sender is found, and only a message answered 202 needs an end.
 #[test]
-fn each_message_is_held_against_its_ends() {
+fn ends_are_checked_for_each_message_answered_202() {
     let ends = Ends::default();
     let ids: Vec<String> = (0..6).map(|destination| ends.handed(destination)).collect();
     ids[..5].iter().for_each(|id| ends.taken(id));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn each_destination_has_an_address_of_its_own_and_those_that_are_down_refuse() {
+fn destinations_have_distinct_addresses_and_refuse_connections_when_down() {
     let each = Places::Each { served: 1, refused: 2 };
     let down = (0..design::DESTINATIONS).filter(|destination| {
         let address = each.address(*destination);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn bad_arguments_end_with_2_and_a_line_that_says_what_to_do() {
+fn invalid_arguments_exit_2_with_a_remedy() {
     let folder = tempfile::tempdir().unwrap();
     let spoilt = folder.path().join("spoilt");
     std::fs::create_dir(&spoilt).unwrap();
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn each_form_is_found_again_and_predicts_the_point_that_was_held_out() {
+fn each_form_is_recovered_and_predicts_the_held_out_point() {
     type Of = fn(f64) -> f64;
     let forms: [(Form, Of); 3] = [
         (Form::Constant, |_| 7.0),
@@ -134,9 +134,9 @@
     }
 }
 
-/// Guards a page against slopes that are not there.
+/// Guards the page against slopes that the data doesn't support.
 #[test]
-fn a_form_that_misses_the_held_out_point_does_not_stand() {
+fn form_that_misses_the_held_out_point_is_rejected() {
     let quadratic = Fit::of(&points(|n| 1.0 + n * n)).unwrap();
     assert!(!quadratic.stands(), "{quadratic:?}");
     let mut steps = points(|n| 100.0 + n);
@@ -147,9 +147,9 @@
     assert_eq!(Fit::of(&steps), None, "nor is what was not measured");
 }
 
-/// Guards the page: what it says follows from the records that lie beside it, and from nothing else.
+/// Guards the page: it follows from the records beside it, and from nothing else.
 #[test]
-fn the_page_is_what_its_records_say() {
+fn page_matches_its_records() {
     let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs");
     let page = std::fs::read_to_string(docs.join("CAPACITY.md")).unwrap();
     let made = page::text(&docs.join("capacity")).unwrap();
@@ -160,9 +160,9 @@
     }
 }
 
-/// Guards the records: each is of its axis, run as that is, at one of its sizes.
+/// Guards the records: each belongs to its axis, with the axis's mode and one of its sizes.
 #[test]
-fn the_records_are_whole() {
+fn records_match_their_axis_mode_and_sizes() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/capacity");
     for axis in Axis::ALL {
         let records = record::read(&folder, axis).unwrap();
@@ -174,7 +174,7 @@
     }
 }
 
-/// A record of the list's axis, as if it had been measured.
+/// A made-up record of the list axis.
 fn listed(size: u64, resident: f64, refused: Option<&str>, starved: Option<&str>) -> Record {
     let figures = [(Figure::Resident, resident)].into();
     let measured = Measured { figures, refused: refused.map(str::to_owned), lateness_us: [1, 2, 3] };
@@ -192,9 +192,10 @@
     }
 }
 
-/// Guards verdicts: what is refused is told with its factor, what was starved counts for nothing, and a slope is told as one.
+/// Guards verdicts: a refusal is reported with its factor, a starved run is ignored, and a slope is reported
+/// as a slope.
 #[test]
-fn verdicts_follow_from_what_was_taken_and_refused() {
+fn verdicts_report_refusals_and_slopes_and_ignore_starved_runs() {
     let folder = tempfile::tempdir().unwrap();
     let keep = |record: Record| record::append(folder.path(), &record).unwrap();
     for size in [100, 300, 1_000, 3_000] {
@@ -217,9 +218,9 @@
     assert_eq!(share, Some(3_000.0 / 310_000.0));
 }
 
-/// Guards a page of no records: it says that nothing was measured, and concludes nothing.
+/// Guards the page without records: it says that nothing was measured, and draws no conclusion.
 #[test]
-fn a_page_without_records_concludes_nothing() {
+fn page_without_records_draws_no_conclusion() {
     let folder = tempfile::tempdir().unwrap();
     let page = page::text(folder.path()).unwrap();
     assert!(!page.contains("holds as measured") && !page.contains("holds by slope"), "{page}");
