--- a/examples/list_cost.rs
+++ b/examples/list_cost.rs
@@ -1,5 +1,7 @@
-//! What a list of the design size costs: processor time and memory to read it as a stream, also while another one is
-//! held, and the time of a change and of a look-up. Memory and processor time are Linux's own figures.
+//! Measures the cost of a list of the design size: processor time and memory to read it as a stream, also
+//! while another one is held, and the time of a change and of a look-up. Memory and processor time are
+//! Linux's own figures.
+//!
 //! `cargo run --release --example list_cost [ENDPOINTS DESTINATIONS [ROUNDS]]`
 
 use std::fs;
@@ -17,15 +19,15 @@
 use list_text::{DESIGN, Size, Text};
 
 const USAGE: &str =
-    "usage: list_cost [ENDPOINTS DESTINATIONS [ROUNDS]], each from 1 on, ENDPOINTS from 2,049";
+    "usage: list_cost [ENDPOINTS DESTINATIONS [ROUNDS]], each at least 1, ENDPOINTS at least 2,049";
 
-/// Names from here on are in no list.
+/// Numbers of names from here on are in no list.
 const NEW: u32 = 1 << 30;
 
-/// How often the list is read anew at the end, if nothing else is asked for.
+/// How often the list is read again at the end, by default.
 const ROUNDS: u32 = 20;
 
-/// A list's size, and how often it is read anew.
+/// Parses the arguments: a list's size, and how often it is read again.
 fn asked(arguments: &[String]) -> Option<(Size, u32)> {
     let numbers: Result<Vec<u32>, _> = arguments.iter().map(|argument| argument.parse()).collect();
     let (size, rounds) = match numbers.ok()?[..] {
@@ -77,11 +79,11 @@
     look_up(&table, size);
 
     for _ in 0..rounds {
-        // The former table is held until the next one is there.
+        // The previous table is held until the next one is complete.
         table = read(size)?;
     }
     println!(
-        "after {} more, each taken with one held: resident {}, peak {}",
+        "after {} more, each read with one held: resident {}, peak {}",
         rounds,
         memory("VmRSS")?,
         memory("VmHWM")?
@@ -94,12 +96,12 @@
     let bounds = Bounds { endpoints: size.endpoints as usize, ..Bounds::default() };
     match reader::read(Text::new(size), &bounds) {
         Ok(List::Table { table, .. }) => Ok(*table),
-        Ok(List::Entries(_)) => Err(io::Error::other("the list came entry by entry")),
+        Ok(List::Entries(_)) => Err(io::Error::other("the list was not read as a table")),
         Err(why) => Err(io::Error::other(why)),
     }
 }
 
-/// Changes endpoints until the table is worn: new ones, others, and ones that leave.
+/// Changes endpoints until the table needs a rebuild: adds some, changes some, and removes some.
 fn change(table: &mut Table, size: Size) -> io::Result<()> {
     let (mut changes, mut longest, mut all) = (0u32, 0, 0);
     while !table.needs_rebuild() {
@@ -117,7 +119,10 @@
         changes += 1;
     }
     let each = all as f64 / f64::from(changes.max(1)) / 1000.0;
-    println!("{changes} changes until worn: {each:.2} us each, {} us the longest", longest / 1000);
+    println!(
+        "{changes} changes until a rebuild is due: {each:.2} us each, {} us the longest",
+        longest / 1000
+    );
     println!("{} bytes held then, resident {}", table.heap_bytes(), memory("VmRSS")?);
     Ok(())
 }
@@ -132,14 +137,14 @@
     println!("{destinations} destinations looked up: {each:.2} us each, {found} endpoints found");
 }
 
-/// Processor time of this thread.
+/// Processor time of this thread, in nanoseconds.
 fn processor_ns() -> io::Result<u64> {
     let text = fs::read_to_string("/proc/thread-self/schedstat")?;
     let first = text.split_whitespace().next().and_then(|number| number.parse().ok());
     first.ok_or_else(|| io::Error::other("no processor time in /proc/thread-self/schedstat"))
 }
 
-/// A figure of this process's memory, with its unit.
+/// A figure of this process's memory from the system, with its unit.
 fn memory(figure: &str) -> io::Result<String> {
     let text = fs::read_to_string("/proc/self/status")?;
     let line = text.lines().find_map(|line| line.strip_prefix(figure)?.strip_prefix(':'));
--- a/src/endpoints/listing.rs
+++ b/src/endpoints/listing.rs
@@ -1,27 +1,27 @@
-//! Endpoints as discovery writes them.
+//! Discovery's JSON format of endpoints.
 
 use serde::{Deserialize, Serialize};
 
-/// The list of endpoints, whole or changes of it, as discovery writes it.
+/// A list of endpoints from discovery: a snapshot or changes.
 #[derive(Debug, Default, Clone, Deserialize)]
 pub struct ListBody {
-    /// Its version.
+    /// The list's version.
     #[serde(default)]
     pub index: u64,
-    /// Whether it is the whole list.
+    /// Whether it is a snapshot, that is, the whole list.
     #[serde(default)]
     pub snapshot: bool,
-    /// Its entries.
+    /// The list's entries.
     #[serde(default)]
     pub endpoints: Vec<Listing>,
 }
 
-/// One entry.
+/// An entry of the list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
-    /// The same at every sender.
+    /// The endpoint's name, which is the same at every sender.
     pub name: String,
-    /// Where this sender dials it.
+    /// The address at which this sender connects to it.
     #[serde(default)]
     pub address: String,
     /// Its zone, by name.
@@ -37,7 +37,7 @@
     /// Its weight.
     #[serde(default)]
     pub weight: f64,
-    /// When it last started, Unix time in milliseconds; 0 for long ago.
+    /// When it last started, Unix time in milliseconds; 0 if long ago.
     #[serde(default)]
     pub since_ms: u64,
 }
--- a/src/endpoints/mod.rs
+++ b/src/endpoints/mod.rs
@@ -1,5 +1,5 @@
-//! The list of endpoints as discovery tells it, without I/O: read as a stream, and kept in a compact table from which
-//! the decision module is told of the destinations that messages go to.
+//! The list of endpoints from discovery, without I/O: parsed as a stream, and stored in a compact table. The
+//! decision module gets from it the destinations that messages go to.
 
 pub mod listing;
 pub mod reader;
@@ -7,12 +7,12 @@
 
 use crate::coded_error;
 
-/// Bounds on what is taken for a list.
+/// Limits on the size of an accepted list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// Endpoints at most.
+    /// Maximum number of endpoints.
     pub endpoints: usize,
-    /// Bytes of its JSON text at most.
+    /// Maximum length of its JSON text, bytes.
     pub bytes: u64,
 }
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// Why a list is not taken. The one in force stays.
+/// Why a list is rejected. The previous one stays in force.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ListError {
     /// It has more endpoints than [`Bounds::endpoints`].
@@ -31,21 +31,21 @@
     /// It has more bytes than [`Bounds::bytes`].
     #[error("the list has more than {0} bytes")]
     Bytes(u64),
-    /// It is a list of changes with more entries than [`reader::CHANGES`].
+    /// It is a list of changes and has more entries than [`reader::CHANGES`].
     #[error("the list has more than {0} changes")]
     Changes(usize),
-    /// It is not a list, or breaks off.
+    /// It is not a valid list.
     #[error("the list can't be read: {0}")]
     Malformed(String),
-    /// It did not come in the time that a list of its length may take.
-    #[error("the list broke off after {0} bytes, or came too slowly")]
+    /// It was truncated, or not received within the time that a list of its length may take.
+    #[error("the list was truncated after {0} bytes, or received too slowly")]
     Truncated(u64),
 }
 
 coded_error! { ListError {
-    Endpoints => "list.endpoints", "split the deployment, or have discovery list fewer endpoints to this sender";
-    Bytes => "list.bytes", "have discovery write the list without indentation, or list fewer endpoints";
-    Changes => "list.changes", "nothing: the sender asks for the whole list";
+    Endpoints => "list.endpoints", "split the deployment, or have discovery send this sender fewer endpoints";
+    Bytes => "list.bytes", "let discovery write the list without indentation, or list fewer endpoints";
+    Changes => "list.changes", "nothing: the sender requests the whole list";
     Malformed => "list.malformed", "look at what discovery answers to GET /v1/endpoints";
-    Truncated => "list.cut", "look at discovery's load, and at the way to it";
+    Truncated => "list.cut", "check discovery's load, and the network path to it";
 } }
--- a/src/endpoints/reader.rs
+++ b/src/endpoints/reader.rs
@@ -1,7 +1,7 @@
-//! Reads a list from a stream of JSON text, entry by entry, without holding the text.
+//! Parses a list from a stream of JSON text, entry by entry, without holding the text.
 //!
-//! The text is one object with the members of [`ListBody`], each at most once, in any order; others are passed over.
-//! Nothing but white space may stand behind it.
+//! The text is one object with the members of [`ListBody`], each at most once, in any order; other members
+//! are ignored. Only white space may follow it.
 
 mod counting;
 mod visitor;
@@ -17,45 +17,45 @@
 use super::table::Table;
 use super::{Bounds, ListError};
 
-/// Lists of up to so many entries are handed on entry by entry; longer snapshots as a table.
+/// Snapshots of up to this many entries are returned as entries; longer ones as a table.
 pub const ENTRIES: usize = 2048;
 
-/// Entries of a list of changes at most.
+/// Maximum number of entries in a list of changes.
 pub const CHANGES: usize = 65_536;
 
-/// Bytes of an endpoint's name at most.
+/// Maximum length of an endpoint's name, bytes.
 pub const NAME_BYTES: usize = 255;
 
-/// Bytes of an entry at most, and of a member that is passed over: no more than this is held of the text, whatever it
-/// is. Up to [`PIECE`] bytes more or fewer may count.
+/// Maximum length of an entry, and of an ignored member, bytes: no more than this is held of the text,
+/// whatever it contains. The limit applies with a tolerance of [`PIECE`] bytes.
 pub const STRETCH: u64 = 1 << 20;
 
-/// Characters at most that are told of what is wrong with the JSON.
+/// Maximum number of characters in the description of a JSON error.
 const TOLD: usize = 200;
 
-/// Bytes asked of the stream at once.
+/// Bytes read from the stream at once.
 const PIECE: usize = 64 << 10;
 
-/// A list that is whole and sound.
+/// A complete and valid list.
 #[derive(Debug)]
 pub enum List {
     /// Changes, or a snapshot of up to [`ENTRIES`] entries.
     Entries(ListBody),
     /// A longer snapshot.
     Table {
-        /// Its version.
+        /// The list's version.
         index: u64,
-        /// Its entries.
+        /// The list's entries.
         table: Box<Table>,
     },
 }
 
-/// Reads all of a list. Entries count as endpoints whatever their status is, and also when another one of the same
-/// name follows.
+/// Reads a whole list. Every entry counts as an endpoint, whatever its status, and even if another one of the
+/// same name follows.
 ///
 /// # Errors
-/// Fails where the text is not a list, breaks off, or is beyond the bounds, [`CHANGES`], [`NAME_BYTES`] or
-/// [`STRETCH`]; nothing of it is to be used then.
+/// Fails if the text is not a list, is truncated, or exceeds `bounds`, [`CHANGES`], [`NAME_BYTES`] or
+/// [`STRETCH`]; nothing of it may be used then.
 pub fn read(source: impl Read, bounds: &Bounds) -> Result<List, ListError> {
     let progress = Progress::default();
     let counted = CountingReader { source, progress: &progress, most: bounds.bytes, most_unmarked: STRETCH };
@@ -69,7 +69,7 @@
     }
 }
 
-/// Why the JSON could not be read.
+/// The reason why the JSON could not be read.
 fn not_read(why: &serde_json::Error, progress: &Progress, bounds: &Bounds) -> ListError {
     if progress.read() > bounds.bytes {
         return ListError::Bytes(bounds.bytes);
@@ -81,7 +81,7 @@
     if broke_off { ListError::Truncated(progress.read()) } else { ListError::Malformed(told(why)) }
 }
 
-/// What is wrong with the JSON, and where. The text may be quoted in it, at any length.
+/// A bounded description of a JSON error with its position. The error may quote any length of the text.
 fn told(why: &serde_json::Error) -> String {
     let all = why.to_string();
     match all.char_indices().nth(TOLD) {
--- a/src/endpoints/reader/counting.rs
+++ b/src/endpoints/reader/counting.rs
@@ -1,44 +1,44 @@
-//! A stream whose bytes are counted and bounded, as a whole and between one entry and the next.
+//! A reader that counts its bytes and limits them, in total and between one entry and the next.
 
 use std::cell::Cell;
 use std::io::{self, Read};
 
-/// How far a stream was read.
+/// Progress of reading a stream.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Bytes that came so far.
+    /// Bytes read so far.
     read: Cell<u64>,
-    /// Bytes that had come at the last mark.
+    /// Bytes read up to the last mark.
     marked: Cell<u64>,
 }
 
 impl Progress {
-    /// Bytes that came so far.
+    /// Bytes read so far.
     pub fn read(&self) -> u64 {
         self.read.get()
     }
 
-    /// Notes that an entry, or the name of a member, was read.
+    /// Sets a mark: an entry, or the name of a member, was read.
     pub fn mark(&self) {
         self.marked.set(self.read.get());
     }
 
-    /// Bytes that came since the last mark.
+    /// Bytes read since the last mark.
     pub fn unmarked(&self) -> u64 {
         self.read.get() - self.marked.get()
     }
 }
 
-/// A stream that fails once more bytes came than may.
+/// A reader that fails once more bytes were read than allowed.
 #[derive(Debug)]
 pub struct CountingReader<'progress, R> {
-    /// Where bytes come from.
+    /// The underlying stream.
     pub source: R,
-    /// How far it was read.
+    /// Progress of reading it.
     pub progress: &'progress Progress,
-    /// Bytes at most.
+    /// Maximum number of bytes.
     pub most: u64,
-    /// Bytes at most since the last mark.
+    /// Maximum number of bytes since the last mark.
     pub most_unmarked: u64,
 }
 
--- a/src/endpoints/reader/tests.rs
+++ b/src/endpoints/reader/tests.rs
@@ -45,13 +45,13 @@
     json!({"index": 7, "snapshot": snapshot, "endpoints": entries(count)})
 }
 
-/// A text with the members in this order.
+/// The JSON text of an object with its members in this order.
 fn ordered(members: &[(&str, Value)]) -> Vec<u8> {
     let members: Vec<String> = members.iter().map(|(name, value)| format!("\"{name}\":{value}")).collect();
     format!("{{{}}}", members.join(",")).into_bytes()
 }
 
-/// A stream that hands out a byte at a time.
+/// A stream that yields one byte at a time.
 struct Drip<'text>(&'text [u8]);
 
 impl Read for Drip<'_> {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Breaks off with an error behind its text.
+/// A stream that fails with an error after its text.
 struct Broken<'text>(&'text [u8], ErrorKind);
 
 impl Read for Broken<'_> {
@@ -145,7 +145,7 @@
     }
 }
 
-/// Guards tables: one that is short of its last entries must not be taken for the list.
+/// A table that lacks the last entries must not be accepted as the list.
 #[test]
 fn a_long_list_cut_at_any_byte_of_its_end_is_none() {
     let text = serde_json::to_vec(&list(true, ENTRIES + 3)).unwrap();
@@ -154,7 +154,7 @@
     }
 }
 
-/// Guards the end of the list: the whole object may be there, and the stream still fail.
+/// The stream can fail after the whole object has been read; the list must be rejected then.
 #[test]
 fn a_stream_that_fails_behind_the_list_gives_none() {
     let text = serde_json::to_vec(&list(true, 3)).unwrap();
@@ -185,7 +185,7 @@
         let (index, table) = table(&text);
         assert_eq!((index, table.len()), (7, count));
     }
-    // Without the word that it is a snapshot, or with the word that it is none, it is changes, as they came.
+    // Without the member `snapshot`, or with `false`, it is a list of changes, in the order of the text.
     let twice: Vec<Value> = entries(count).into_iter().chain(entries(3)).collect();
     for members in [
         vec![("endpoints", json!(twice)), ("index", json!(7))],
@@ -244,7 +244,7 @@
     for text in [first(CHANGES + 1), last(CHANGES + 1)] {
         assert_eq!(taken(&text).unwrap_err(), ListError::Changes(CHANGES));
     }
-    // A snapshot is not, wherever it says so.
+    // Snapshots are not limited so, wherever the member `snapshot` stands.
     let text = [b"{\"endpoints\":[", &many(CHANGES + 1)[..], b"],\"snapshot\":true}"].concat();
     assert_eq!(table(&text).1.len(), 1);
 }
@@ -260,7 +260,7 @@
     assert!(matches!(&outcome, Err(ListError::Malformed(why)) if why.contains("255")), "{outcome:?}");
 }
 
-/// Guards the log: what is wrong quotes the text.
+/// Error texts quote the list, and are logged: an unbounded quote would fill the log.
 #[test]
 fn what_is_told_of_a_list_is_short() {
     let text = ordered(&[("index", json!("é".repeat(100_000)))]);
@@ -278,10 +278,10 @@
     assert_same(&body(&text), &serde_json::from_slice(&text).unwrap());
 }
 
-/// Bytes after which a reader that was to stop is taken not to.
+/// Number of bytes after which a reader is considered not to stop.
 const ENDLESS: u64 = 100 << 20;
 
-/// Hands out its second text over and over behind the first.
+/// Yields its first text once, then its second text over and over.
 struct Endless(Cursor<Vec<u8>>, Vec<u8>, u64);
 
 impl Read for Endless {
@@ -291,7 +291,7 @@
         }
         let read = self.0.read(buffer)?;
         self.2 += read as u64;
-        assert!(self.2 <= ENDLESS, "it is read on and on");
+        assert!(self.2 <= ENDLESS, "the reader does not stop at its limits");
         Ok(read)
     }
 }
@@ -325,7 +325,7 @@
 
 fn entry() -> impl Strategy<Value = Listing> {
     let status = prop_oneof![Just("active"), Just("leaving"), Just("left")];
-    let weight = any::<f64>().prop_filter("JSON has no other", |weight| weight.is_finite());
+    let weight = any::<f64>().prop_filter("JSON has only finite numbers", |weight| weight.is_finite());
     ("[a-z\"\\\\é]{1,4}", ".{0,9}", ".{0,3}", 0u32..9, status, weight, any::<u64>()).prop_map(
         |(name, address, zone, group, status, weight, since_ms)| Listing {
             name,
@@ -360,7 +360,10 @@
                 let plain = Table::new(expected.endpoints);
                 prop_assert!(table.iter().eq(plain.iter()));
             }
-            Err(why) => prop_assert_eq!((why, !snapshot && long > CHANGES), (ListError::Changes(CHANGES), true)),
+            Err(why) => prop_assert_eq!(
+                (why, !snapshot && long > CHANGES),
+                (ListError::Changes(CHANGES), true)
+            ),
         }
     }
 }
--- a/src/endpoints/reader/visitor.rs
+++ b/src/endpoints/reader/visitor.rs
@@ -1,4 +1,4 @@
-//! What was read of a list so far, and how its JSON is visited.
+//! The serde visitor of a list's JSON, and the list parsed so far.
 
 use std::fmt;
 
@@ -11,26 +11,26 @@
 use super::counting::Progress;
 use super::{CHANGES, ENTRIES, List, NAME_BYTES};
 
-/// What was read of a list so far.
+/// The part of a list parsed so far.
 #[derive(Debug)]
 pub struct ListVisitor<'progress> {
     progress: &'progress Progress,
-    /// Endpoints at most.
+    /// Maximum number of endpoints.
     most: usize,
     index: Option<u64>,
     snapshot: Option<bool>,
     endpoints_seen: bool,
-    /// Entries in it.
+    /// Number of entries so far.
     count: usize,
-    /// Its entries, all of them while there is no builder.
+    /// All entries so far, while there is no builder.
     entries: Vec<Listing>,
-    /// All its entries, once they are many and it may be a snapshot.
+    /// All entries so far, once there are over [`ENTRIES`] and the list may be a snapshot.
     builder: Option<Builder>,
     refused: Option<ListError>,
 }
 
 impl<'progress> ListVisitor<'progress> {
-    /// Nothing yet, of a list of at most so many endpoints.
+    /// Creates a visitor for a list of at most `most` endpoints.
     pub fn new(most: usize, progress: &'progress Progress) -> Self {
         Self {
             progress,
@@ -45,12 +45,12 @@
         }
     }
 
-    /// Why it is refused, if it is.
+    /// Takes the reason why the list is rejected, if it is.
     pub fn refused(&mut self) -> Option<ListError> {
         self.refused.take()
     }
 
-    /// The list, when all of it was read.
+    /// The list, once all of it was read.
     pub fn finish(self) -> Result<List, ListError> {
         let (index, snapshot) = (self.index.unwrap_or_default(), self.snapshot.unwrap_or_default());
         let endpoints = match self.builder {
@@ -74,7 +74,7 @@
         if entry.name.len() > NAME_BYTES {
             let which = self.count;
             return Err(ListError::Malformed(format!(
-                "the name of entry {which} is over {NAME_BYTES} bytes"
+                "the name of entry {which} is longer than {NAME_BYTES} bytes"
             )));
         }
         if may_be_snapshot && self.count == ENTRIES + 1 {
@@ -96,7 +96,7 @@
     Ok(builder)
 }
 
-/// The members of a list. Others are passed over.
+/// The members of a list. Others are ignored.
 #[derive(Deserialize)]
 #[serde(field_identifier, rename_all = "lowercase")]
 enum Member {
@@ -136,7 +136,7 @@
     }
 }
 
-/// Keeps the value of a member that may be there once.
+/// Stores the value of a member that may occur only once.
 fn once<T, E: Error>(kept: &mut Option<T>, value: T, member: &'static str) -> Result<(), E> {
     match kept.replace(value) {
         Some(_) => Err(E::duplicate_field(member)),
@@ -144,7 +144,7 @@
     }
 }
 
-/// The member `endpoints`, entry by entry.
+/// Visits the member `endpoints` entry by entry.
 struct Entries<'gathered, 'progress>(&'gathered mut ListVisitor<'progress>);
 
 impl<'json> DeserializeSeed<'json> for Entries<'_, '_> {
--- a/src/endpoints/table.rs
+++ b/src/endpoints/table.rs
@@ -1,5 +1,6 @@
-//! A compact table of endpoints, by name and by destination: about 40 bytes each with names of 10 bytes. What it is
-//! made of stays as it is, sorted; changes lie on top.
+//! A compact table of endpoints, indexed by name and by destination: about 40 bytes for each endpoint with a
+//! name of 10 bytes. The sorted rows that the table was built from never change; changes are stored in an
+//! overlay.
 
 mod builder;
 mod capacity;
@@ -18,13 +19,13 @@
 use super::ListError;
 use super::listing::Listing;
 
-/// Up to so many changes wear no table.
+/// Up to this many changes, no table needs a rebuild.
 pub const MIN_CHANGES_FOR_REBUILD: usize = 4096;
 
-/// A larger table is worn by changes of one in so many of its endpoints.
+/// A larger table needs a rebuild once more than one in this many of its endpoints have changed.
 pub const REBUILD_SHARE: usize = 16;
 
-/// The status of an endpoint that is no longer there.
+/// The status of an endpoint that was removed.
 const LEFT: &str = "left";
 
 /// All endpoints of a list.
@@ -36,7 +37,7 @@
     destinations: usize,
 }
 
-/// What a table was made of: sorted rows, each with a name of its own.
+/// The rows that a table was built from: sorted, with unique names.
 #[derive(Default)]
 struct Base {
     store: Store,
@@ -44,50 +45,51 @@
 }
 
 impl Table {
-    /// A table of these entries; of those of one name the last one counts, and `left` ones are left out.
+    /// Builds a table of these entries. The last entry of each name counts, and entries with the status
+    /// `left` are left out.
     ///
     /// # Panics
-    /// When names and addresses come to over 4 GiB, which [`Builder::push`] tells as an error.
+    /// If names and addresses take over 4 GiB, which [`Builder::push`] reports as an error.
     pub fn new(entries: impl IntoIterator<Item = Listing>) -> Self {
         let mut builder = Builder::default();
         for entry in entries {
             let added = builder.push(&entry);
-            assert!(added.is_ok(), "names and addresses come to over 4 GiB");
+            assert!(added.is_ok(), "names and addresses take over 4 GiB");
         }
         builder.finish()
     }
 
-    /// Endpoints in it.
+    /// Number of endpoints.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether it has none.
+    /// Whether the table has no endpoints.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Destinations with an endpoint in it.
+    /// Number of destinations with an endpoint.
     pub fn destinations(&self) -> usize {
         self.destinations
     }
 
-    /// The entry of that name.
+    /// The entry with this name.
     pub fn get(&self, name: &str) -> Option<Listing> {
         self.find(name).map(|(store, row)| store.entry(row))
     }
 
-    /// The destination of the endpoint of that name.
+    /// The destination of the endpoint with this name.
     pub fn destination_of(&self, name: &str) -> Option<u32> {
         self.find(name).map(|(_, row)| row.group)
     }
 
-    /// Whether a destination has an endpoint in it.
+    /// Whether a destination has an endpoint.
     pub fn contains(&self, destination: u32) -> bool {
         self.overlay.of(destination).next().is_some() || self.unchanged(destination).next().is_some()
     }
 
-    /// The entries of a destination, in order of their names.
+    /// The entries of a destination, ordered by name.
     pub fn of(&self, destination: u32) -> Vec<Listing> {
         let unchanged = self.unchanged(destination).map(|row| self.base.store.entry(row));
         let mut entries: Vec<Listing> = unchanged.collect();
@@ -99,8 +101,8 @@
         entries
     }
 
-    /// All entries, one at a time, in order of their destinations and of their names within one. They make an equal
-    /// table, also when they are handed to another process a few at a time, which puts them in a [`Builder`].
+    /// All entries, one at a time, ordered by destination and by name within one. A table built from them is
+    /// equal, also if they are handed to another process a few at a time, which adds them to a [`Builder`].
     pub fn iter(&self) -> impl Iterator<Item = Listing> + '_ {
         let (base, overlay) = (&self.base.store, &self.overlay.store);
         let unchanged = (0..base.rows.len()).filter(|number| !self.overlay.hides(*number));
@@ -123,12 +125,12 @@
         })
     }
 
-    /// Puts one entry of a list of changes in place: it is new, changed, or, with the status `left`, taken away. What
-    /// stood under its name before.
+    /// Applies one entry of a list of changes: it adds or changes an endpoint or, with the status `left`,
+    /// removes it. Returns the previous entry of its name.
     ///
     /// # Errors
-    /// Fails when the table would have more endpoints than it may, or changed names and addresses come to over 4 GiB;
-    /// it is as before then.
+    /// Fails if the table would have more than `endpoints` endpoints, or if changed names and addresses take
+    /// over 4 GiB; the table is unchanged then.
     pub fn change(&mut self, entry: Listing, endpoints: usize) -> Result<Option<Listing>, ListError> {
         let before = self.get(&entry.name);
         let left = entry.status == LEFT;
@@ -152,18 +154,19 @@
         Ok(before)
     }
 
-    /// Whether so much was changed since it was made that the whole list should be asked for anew: more than
-    /// [`MIN_CHANGES_FOR_REBUILD`] names, and more than one for each [`REBUILD_SHARE`] of its endpoints when it was made.
+    /// Whether so much has changed since the table was built that the whole list should be requested again:
+    /// more than [`MIN_CHANGES_FOR_REBUILD`] names, and more than one for each [`REBUILD_SHARE`] of its
+    /// endpoints at that time.
     pub fn needs_rebuild(&self) -> bool {
         self.overlay.changes() > self.bound()
     }
 
-    /// Bytes that it holds on the heap, about, without what the allocator adds.
+    /// Approximate heap memory in bytes, without the allocator's overhead.
     pub fn heap_bytes(&self) -> usize {
         self.base.store.heap_bytes() + self.base.index.heap_bytes() + self.overlay.heap_bytes()
     }
 
-    /// Changes that do not wear it yet.
+    /// Maximum number of changes that need no rebuild yet.
     fn bound(&self) -> usize {
         MIN_CHANGES_FOR_REBUILD.max(self.base.store.rows.len() / REBUILD_SHARE)
     }
@@ -176,7 +179,7 @@
         Some((&self.base.store, &self.base.store.rows[number as usize]))
     }
 
-    /// The rows of a destination whose names were not changed.
+    /// The base rows of a destination whose names were not changed.
     fn unchanged(&self, destination: u32) -> impl Iterator<Item = &Row> {
         let rows = &self.base.store.rows;
         let first = rows.partition_point(|row| row.group < destination);
@@ -185,7 +188,7 @@
         numbered.filter(|(number, _)| !self.overlay.hides(*number)).map(|(_, row)| row)
     }
 
-    /// How many of these destinations have an endpoint.
+    /// The number of these destinations that have an endpoint.
     fn count(&self, destinations: [Option<u32>; 2]) -> usize {
         destinations.into_iter().flatten().filter(|destination| self.contains(*destination)).count()
     }
@@ -198,7 +201,7 @@
     }
 }
 
-/// How large it is, since its entries would fill pages.
+/// Shows only sizes, since the entries would fill pages.
 impl fmt::Debug for Table {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut shown = formatter.debug_struct("Table");
--- a/src/endpoints/table/builder.rs
+++ b/src/endpoints/table/builder.rs
@@ -1,4 +1,4 @@
-//! Makes a table of entries that come one at a time.
+//! Builds a table from entries added one at a time.
 
 use super::super::ListError;
 use super::super::listing::Listing;
@@ -6,38 +6,38 @@
 use super::store::Store;
 use super::{Base, Table};
 
-/// A table in the making. It takes little more than the table will.
+/// A table under construction. It takes little more memory than the finished table.
 #[derive(Debug, Default)]
 pub struct Builder {
     store: Store,
 }
 
 impl Builder {
-    /// Adds an entry. It overrides an earlier one of the same name, also with the status `left`.
+    /// Adds an entry. It overrides an earlier one with the same name, also if its status is `left`.
     ///
     /// # Errors
-    /// Fails with [`ListError::Bytes`] when names and addresses come to over 4 GiB.
+    /// Fails with [`ListError::Bytes`] if names and addresses take over 4 GiB.
     pub fn push(&mut self, entry: &Listing) -> Result<(), ListError> {
         let added = self.store.push(entry);
         added.map(|_| ()).ok_or(ListError::Bytes(u64::from(u32::MAX)))
     }
 
-    /// Entries added, with those that others override.
+    /// Number of entries added, including overridden ones.
     pub fn len(&self) -> usize {
         self.store.rows.len()
     }
 
-    /// Whether none was added.
+    /// Whether no entry was added.
     pub fn is_empty(&self) -> bool {
         self.store.rows.is_empty()
     }
 
-    /// All entries as they were added.
+    /// All entries in the order in which they were added.
     pub fn entries(&self) -> impl Iterator<Item = Listing> + '_ {
         self.store.rows.iter().map(|row| self.store.entry(row))
     }
 
-    /// The table of the entries.
+    /// Finishes the table.
     pub fn finish(self) -> Table {
         let mut store = self.store;
         keep_last(&mut store);
@@ -48,7 +48,7 @@
     }
 }
 
-/// Takes out all rows of a name but the last one, and that one too if it has the status `left`.
+/// Removes all rows of each name but the last one, and that one too if it has the status `left`.
 fn keep_last(store: &mut Store) {
     let mut rows = std::mem::take(&mut store.rows);
     let mut index = NameIndex::new(rows.len());
@@ -67,7 +67,7 @@
     store.rows = rows;
 }
 
-/// The index of rows that all have names of their own.
+/// Builds the index of rows with unique names.
 fn indexed(store: &Store) -> NameIndex {
     let mut index = NameIndex::new(store.rows.len());
     for (number, row) in (0..).zip(&store.rows) {
--- a/src/endpoints/table/capacity.rs
+++ b/src/endpoints/table/capacity.rs
@@ -1,14 +1,16 @@
-//! Room for large arrays that goes back to the system when they are dropped, and is not resident before it is written.
+//! Capacity for large arrays that is returned to the system when they are dropped, and is not resident until
+//! it is written.
 
-/// From so many bytes on an array gets pages of its own.
+/// Arrays of at least this many bytes get pages of their own.
 const LARGE: usize = 128 << 10;
 
-/// Requests of this many bytes get pages of their own from the common allocators, always: the C library's takes
-/// smaller ones, up to 32 MiB, from its heap once such a one was freed, and the heap then keeps holes of their size.
+/// Common allocators always map requests of this size separately. The C library's allocator serves smaller
+/// requests, up to 32 MiB, from its heap once a request of such a size was freed, and the heap then keeps
+/// holes of that size.
 const OWN_PAGES: usize = (32 << 20) + (64 << 10);
 
-/// Makes room for so many more items. A large array gets much more than it needs, of address space only: pages are
-/// resident once they are written.
+/// Reserves capacity for `more` items. A large array gets much more than it needs, but of address space only:
+/// pages become resident once they are written.
 pub fn reserve<T>(items: &mut Vec<T>, more: usize) {
     let needed = items.len() + more;
     if needed <= items.capacity() {
--- a/src/endpoints/table/name_index.rs
+++ b/src/endpoints/table/name_index.rs
@@ -1,27 +1,29 @@
-//! Finds the row of a name: a hash table of row numbers, of open addressing with linear probing.
+//! Index from names to rows: a hash table of row numbers with open addressing and linear probing.
 
 use std::hash::{BuildHasher, RandomState};
 
 use super::capacity;
 
-/// A place with no row.
+/// The value of an empty place.
 const EMPTY: u32 = u32::MAX;
 
-/// One place in so many is left empty, and one more.
+/// One in this many places is left empty, and one more.
 const EMPTY_SHARE: usize = 8;
 
-/// Row numbers by name. The names are with the rows: whoever asks compares them, so that equal hashes do no harm.
+/// Row numbers by name. The names are stored with the rows: the caller compares them, so that equal hashes
+/// are harmless.
 #[derive(Debug, Default)]
 pub struct NameIndex {
-    /// A row number in the low bits, and in the others those bits of its name's hash, so that few names are compared.
+    /// Each place holds a row number in the low bits, and the bits of its name's hash at the positions of the
+    /// others, so that few names are compared.
     places: Vec<u32>,
-    /// The bits of a row number. No row number has all of them.
+    /// Mask of the bits of a row number. No row number has all of them set.
     row_mask: u32,
     hashes: RandomState,
 }
 
 impl NameIndex {
-    /// An index with room for the rows of numbers below `rows`.
+    /// Creates an index with capacity for the row numbers below `rows`.
     pub fn new(rows: usize) -> Self {
         let bits = u32::try_from(rows).unwrap_or(u32::MAX).max(1);
         let row_mask = u32::MAX >> bits.leading_zeros();
@@ -32,7 +34,7 @@
         Self { places, row_mask, hashes: RandomState::new() }
     }
 
-    /// The row of a name; `has_name` tells whether a row has it.
+    /// The row of a name; `has_name` tells whether a given row has the name.
     pub fn find(&self, name: &[u8], has_name: impl Fn(u32) -> bool) -> Option<u32> {
         if self.places.is_empty() {
             return None;
@@ -41,7 +43,8 @@
         self.row_at(place)
     }
 
-    /// Notes the row of a name, and tells which it was before; `has_name` tells whether a row has it.
+    /// Sets the row of a name, and returns the previous one; `has_name` tells whether a given row has the
+    /// name.
     pub fn insert(&mut self, name: &[u8], row: u32, has_name: impl Fn(u32) -> bool) -> Option<u32> {
         let hash = self.hash(name);
         let place = self.place(hash, has_name);
@@ -50,12 +53,12 @@
         before
     }
 
-    /// Bytes held on the heap: those written, since others are not resident.
+    /// Heap memory in bytes. Only written bytes count, since others are not resident.
     pub fn heap_bytes(&self) -> usize {
         self.places.len() * size_of::<u32>()
     }
 
-    /// Where the name of that hash is, or may be put.
+    /// The place of the name with this hash, or the empty place for it.
     fn place(&self, hash: u64, has_name: impl Fn(u32) -> bool) -> usize {
         let mut place = self.first(hash);
         loop {
@@ -73,13 +76,13 @@
         (there != EMPTY).then_some(there & self.row_mask)
     }
 
-    /// The upper half of a hash, as a share of all places.
+    /// The first place to probe: the hash, scaled to the number of places, so that its upper bits decide.
     fn first(&self, hash: u64) -> usize {
         let first = (u128::from(hash) * self.places.len() as u128) >> u64::BITS;
         usize::try_from(first).unwrap_or(0)
     }
 
-    /// The lower bits of a hash that are kept with a row number.
+    /// The bits of a hash that are stored beside a row number.
     fn tag(&self, hash: u64) -> u32 {
         (hash & u64::from(!self.row_mask)) as u32
     }
--- a/src/endpoints/table/overlay.rs
+++ b/src/endpoints/table/overlay.rs
@@ -1,4 +1,4 @@
-//! Changes on top of rows that stay as they are.
+//! Changes on top of base rows that are never modified.
 
 use std::collections::BTreeSet;
 use std::hash::{BuildHasher, RandomState};
@@ -8,23 +8,24 @@
 use super::super::listing::Listing;
 use super::store::{Row, Store};
 
-/// Bytes of texts for each change that counts as one more change: an address that does not fit in a row is written
-/// anew with each change of it.
+/// Number of bytes of texts that count as one more change: an address that does not fit in a row is written
+/// again with each change of it.
 const TEXT_BYTES: usize = 64;
 
-/// Bytes that a tree takes for one of its items of eight bytes, about.
+/// Approximate memory of a tree for one item of eight bytes, bytes.
 const TREE_ITEM: usize = 16;
 
-/// The state of each name that was changed: a row for each, also for a name that is gone.
+/// The state of each changed name: one row for each, also for a removed name.
 #[derive(Debug, Default)]
 pub struct Overlay {
-    /// The rows; those of names that are gone have the status `left`.
+    /// The rows; those of removed names have the status `left`.
     pub store: Store,
     by_name: HashTable<u32>,
     hashes: RandomState,
-    /// Destination and row number of all rows but those of names that are gone.
+    /// Destination and row number of all rows but those of removed names.
     by_destination: BTreeSet<(u32, u32)>,
-    /// A bit for each row beneath, 64 a number: its name was changed. Empty before [`Overlay::prepare`].
+    /// One bit for each base row, 64 to a number: set if its name was changed. Empty before
+    /// [`Overlay::prepare`].
     hidden: Vec<u64>,
 }
 
@@ -41,7 +42,7 @@
         numbers.map(|(_, number)| &self.store.rows[*number as usize])
     }
 
-    /// All rows but those of names that are gone, sorted.
+    /// All rows but those of removed names, sorted.
     pub fn sorted(&self) -> Vec<&Row> {
         let numbers = self.by_destination.iter();
         let mut rows: Vec<&Row> = numbers.map(|(_, number)| &self.store.rows[*number as usize]).collect();
@@ -49,7 +50,7 @@
         rows
     }
 
-    /// Takes a change in. `None`, and all is as it was, when the store is full.
+    /// Stores a change. Returns `None`, and changes nothing, if the store is full.
     pub fn put(&mut self, entry: &Listing) -> Option<()> {
         let number = match self.number(&entry.name) {
             Some(number) => {
@@ -66,7 +67,7 @@
         Some(())
     }
 
-    /// Makes room once for so many changes of so many rows beneath, so that no later change pays for it.
+    /// Reserves memory once for this many changes of this many base rows, so that no later change has to.
     pub fn prepare(&mut self, changes: usize, rows: usize) {
         if self.store.rows.is_empty() {
             let hash_of = |_: &u32| 0;
@@ -75,22 +76,22 @@
         }
     }
 
-    /// Hides a row beneath.
+    /// Hides a base row.
     pub fn hide(&mut self, row: u32) {
         self.hidden[row as usize / 64] |= 1 << (row % 64);
     }
 
-    /// Whether a row beneath is hidden.
+    /// Whether a base row is hidden.
     pub fn hides(&self, row: usize) -> bool {
         self.hidden.get(row / 64).is_some_and(|bits| bits >> (row % 64) & 1 == 1)
     }
 
-    /// What it takes, counted in changes.
+    /// Its size, counted in changes.
     pub fn changes(&self) -> usize {
         self.store.rows.len().max(self.store.texts.len() / TEXT_BYTES)
     }
 
-    /// Bytes held on the heap, about.
+    /// Approximate heap memory in bytes.
     pub fn heap_bytes(&self) -> usize {
         let names = self.by_name.capacity() * (size_of::<u32>() + 1);
         let destinations = self.by_destination.len() * TREE_ITEM;
--- a/src/endpoints/table/shapes.rs
+++ b/src/endpoints/table/shapes.rs
@@ -1,26 +1,28 @@
-//! What many endpoints have in common, kept once: zone, kind, status and weight.
+//! Attributes that many endpoints share, stored once: zone, kind, status and weight.
 
 use indexmap::IndexSet;
 
 use super::super::listing::Listing;
 use super::LEFT;
 
-/// Bytes that an [`IndexSet`] takes for an item beyond the item: its hash, and its place in the table of positions.
+/// Memory that an [`IndexSet`] takes for an item beyond the item itself, bytes: its hash, and its place in
+/// the table of positions.
 const SET_OVERHEAD: usize = 16;
 
-/// What an endpoint has in common with others.
+/// Attributes that an endpoint shares with others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Shape {
     zone: u32,
     kind: u32,
     status: u32,
-    /// Bit by bit, since a number is equal to another one of other bits, and some to none.
+    /// The bits of the weight, since equal numbers can have different bits (0.0 and -0.0), and NaN is not
+    /// equal to itself.
     weight: u64,
-    /// Its status is `left`.
+    /// Whether the status is `left`.
     pub left: bool,
-    /// Its address is a text, since it does not fit in six bytes.
+    /// Whether the address is stored as a text, since it does not fit in six bytes.
     pub address_is_text: bool,
-    /// Its time is a text of eight bytes, since it does not fit in six.
+    /// Whether the time is stored as a text of eight bytes, since it does not fit in six.
     pub since_is_text: bool,
 }
 
@@ -33,7 +35,7 @@
 }
 
 impl Shapes {
-    /// The number of an entry's shape.
+    /// Returns the number of an entry's shape, adding it if it is new.
     pub fn number(&mut self, entry: &Listing, address_is_text: bool, since_is_text: bool) -> u32 {
         let shape = Shape {
             zone: self.word(&entry.zone),
@@ -47,12 +49,12 @@
         position(self.shapes.insert_full(shape).0)
     }
 
-    /// The shape of that number.
+    /// The shape with this number.
     pub fn get(&self, number: u32) -> Shape {
         self.shapes[number as usize]
     }
 
-    /// An entry of that shape.
+    /// An entry with this shape, without a name, address, destination or time.
     pub fn entry(&self, shape: Shape) -> Listing {
         Listing {
             name: String::new(),
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Bytes held on the heap, about.
+    /// Approximate heap memory in bytes.
     pub fn heap_bytes(&self) -> usize {
         let words = self.words.capacity() * (size_of::<Box<str>>() + SET_OVERHEAD);
         let shapes = self.shapes.capacity() * (size_of::<Shape>() + SET_OVERHEAD);
@@ -82,7 +84,8 @@
     }
 }
 
-/// An entry adds a shape and three words at most, and a store has fewer entries than `u32::MAX / 4`.
+/// Converts a position. It always fits: an entry adds at most one shape and three words, and a store has
+/// fewer entries than `u32::MAX / 4`.
 fn position(position: usize) -> u32 {
     u32::try_from(position).unwrap_or(u32::MAX)
 }
--- a/src/endpoints/table/store.rs
+++ b/src/endpoints/table/store.rs
@@ -1,4 +1,4 @@
-//! Entries as rows of 24 bytes, with their texts beside them.
+//! Entries stored as rows of 24 bytes, with their texts beside them.
 
 use std::cmp::Ordering;
 use std::net::SocketAddrV4;
@@ -8,54 +8,55 @@
 use super::shapes::Shapes;
 use super::texts::Texts;
 
-/// Rows at most: row numbers and the numbers of what rows have in common fit in four bytes.
+/// Maximum number of rows: row numbers, and the numbers of shapes and words, fit in four bytes.
 const ROWS: usize = (u32::MAX / 4) as usize;
 
-/// The number of no shape.
+/// A number that no shape has; it marks a deleted row.
 const STRUCK: u32 = u32::MAX;
 
-/// Bytes of a row's time, and of its address: an IPv4 address and a port.
+/// Length of a row's time, and of its address (an IPv4 address and a port), bytes.
 const FIELD: usize = 6;
 
 /// An entry.
 #[derive(Debug, Clone, Copy)]
 pub struct Row {
-    /// Its destination.
+    /// The destination.
     pub group: u32,
-    /// Where its name is.
+    /// Position of the name in the texts.
     name: u32,
-    /// What it has in common with others.
+    /// Number of the shape.
     shape: u32,
-    /// Its address, or where the address's text is, as the shape tells.
+    /// The address, or the position of its text, as the shape tells.
     address: [u8; FIELD],
-    /// Its time in milliseconds, or where eight bytes of it are, as the shape tells.
+    /// The time in milliseconds, or the position of its eight bytes in the texts, as the shape tells.
     since: [u8; FIELD],
 }
 
 impl Row {
-    /// Marks it as one to be taken out.
+    /// Marks the row as deleted.
     pub fn mark_deleted(&mut self) {
         self.shape = STRUCK;
     }
 
-    /// Whether it is one to be taken out.
+    /// Whether the row is marked as deleted.
     pub fn is_deleted(&self) -> bool {
         self.shape == STRUCK
     }
 }
 
-/// Rows, and what they refer to.
+/// Rows, and the texts and shapes that they refer to.
 #[derive(Debug, Default)]
 pub struct Store {
     /// The rows.
     pub rows: Vec<Row>,
-    /// Their names, and what does not fit in a row.
+    /// The names, and values that do not fit in a row.
     pub texts: Texts,
     shapes: Shapes,
 }
 
 impl Store {
-    /// Adds an entry. `None`, and no row is added, when the store is full: with texts of over 4 GiB.
+    /// Adds an entry and returns its row number. Returns `None`, and adds no row, if the store is full, for
+    /// example with texts of over 4 GiB.
     pub fn push(&mut self, entry: &Listing) -> Option<u32> {
         if self.rows.len() >= ROWS {
             return None;
@@ -68,7 +69,8 @@
         Some(number)
     }
 
-    /// Writes an entry over the row of the same name. `None`, and the row is as it was, when the store is full.
+    /// Overwrites the row of the same name with an entry. Returns `None`, and leaves the row unchanged, if
+    /// the store is full.
     pub fn replace(&mut self, number: u32, entry: &Listing) -> Option<()> {
         let name = self.rows[number as usize].name;
         self.rows[number as usize] = self.row(name, entry)?;
@@ -97,7 +99,7 @@
         entry
     }
 
-    /// How rows are sorted: by destination, and by name within it.
+    /// The order of rows: by destination, and by name within it.
     pub fn order(&self, one: &Row, other: &Row) -> Ordering {
         let by_name = || self.name(one).cmp(self.name(other));
         one.group.cmp(&other.group).then_with(by_name)
@@ -110,7 +112,7 @@
         self.rows = rows;
     }
 
-    /// Bytes held on the heap, about: those written, since others are not resident.
+    /// Approximate heap memory in bytes. Only written bytes count, since others are not resident.
     pub fn heap_bytes(&self) -> usize {
         self.rows.len() * size_of::<Row>() + self.texts.len() + self.shapes.heap_bytes()
     }
@@ -136,11 +138,11 @@
     }
 }
 
-/// An IPv4 address and port, if the text is just as they are written.
+/// The bytes of an IPv4 address and port, if formatting them gives exactly this text again.
 fn packed(text: &str) -> Option<[u8; FIELD]> {
     let address: SocketAddrV4 = text.parse().ok()?;
     let (_, port) = text.rsplit_once(':')?;
-    // The only text of an address that is read and not written so.
+    // A port with leading zeros is the only text that parses and is not formatted the same.
     if port.len() > 1 && port.starts_with('0') {
         return None;
     }
--- a/src/endpoints/table/tests.rs
+++ b/src/endpoints/table/tests.rs
@@ -6,7 +6,7 @@
 
 use super::*;
 
-/// Bytes that an endpoint may take, in tenths: 23 MB for 558,000.
+/// Maximum memory of an endpoint, in tenths of a byte: 23 MB for 558,000 endpoints.
 const TENTHS_EACH: usize = 412;
 
 fn entry(name: &str, group: u32) -> Listing {
@@ -26,12 +26,12 @@
     Listing { status: LEFT.to_owned(), ..entry(name, group) }
 }
 
-/// What two entries have in common when they are equal, their weights bit by bit.
+/// A form of an entry that is equal for equal entries, with the weight compared bit by bit.
 fn bits(entry: &Listing) -> (Listing, u64) {
     (Listing { weight: 0.0, ..entry.clone() }, entry.weight.to_bits())
 }
 
-/// What a table should hold, as plainly as can be.
+/// A plain model of a table's content.
 type Model = BTreeMap<String, Listing>;
 
 fn apply(model: &mut Model, entry: Listing) -> Option<Listing> {
@@ -48,7 +48,7 @@
     one.iter().map(bits).eq(other.iter().map(bits))
 }
 
-/// Holds all that a table tells against the model.
+/// Compares everything that a table returns with the model.
 fn assert_holds(table: &Table, model: &Model, groups: &BTreeSet<u32>) {
     let destinations: BTreeSet<u32> = model.values().map(|entry| entry.group).collect();
     assert_eq!(table.len(), model.len());
@@ -91,7 +91,7 @@
     prop_oneof![Just(0), Just((1 << 48) - 1), Just(1 << 48), any::<u64>()]
 }
 
-/// Of few names and destinations, so that they meet.
+/// Listings with few different names and destinations, so that they collide.
 fn listing() -> impl Strategy<Value = Listing> {
     let name =
         prop_oneof!["[a-d][0-9]?", Just("ü".repeat(127)), Just("x".repeat(254)), Just("y".repeat(255))];
@@ -154,7 +154,7 @@
     }
 }
 
-/// Guards the thread that makes it: it is handed on from there.
+/// A table is built in a thread of its own and handed over from there.
 #[test]
 fn a_table_moves_between_threads() {
     let table = std::thread::spawn(|| Table::new([entry("a", 1)])).join().unwrap();
@@ -205,7 +205,7 @@
     assert_eq!(table.of(1), [again]);
 }
 
-/// Guards the bound of changes: a table that is never worn grows without end.
+/// Without the limit on changes, a table that is never rebuilt would grow without bound.
 #[test]
 fn changes_wear_a_table_and_a_new_one_is_fresh() {
     let mut table = Table::new([entry("a", 1)]);
@@ -228,7 +228,7 @@
     assert!(large.needs_rebuild());
 }
 
-/// Guards the memory under an endpoint that changes all the time: its name is kept once.
+/// An endpoint that changes all the time must not take memory with each change: its name is stored once.
 #[test]
 fn one_name_that_changes_over_and_over_takes_no_more() {
     let mut table = Table::new([entry("a", 1)]);
@@ -261,7 +261,7 @@
     }
 }
 
-/// Guards the memory of a sender: two such tables are held while a list is taken.
+/// The memory of a sender depends on this: it holds two such tables while a list is received.
 #[test]
 fn the_design_size_takes_what_it_may() {
     let endpoints = 558_000;
@@ -281,7 +281,7 @@
         table.change(entry, usize::MAX).unwrap();
     }
     assert!(table.needs_rebuild());
-    // A worn table takes a tenth more.
+    // A table that needs a rebuild takes at most a tenth more.
     assert!(table.heap_bytes() - fresh <= most / 10, "{} on top of {fresh}", table.heap_bytes() - fresh);
 }
 
@@ -300,7 +300,7 @@
         assert!(table.iter().all(|entry| entry.weight == f64::from(round)));
         held.push(table.heap_bytes());
     }
-    // Names that came twice are held twice until the next snapshot.
+    // Names that occur twice in the input are stored twice until the next snapshot.
     let most = held[0] + endpoints as usize * 11;
     assert!(held.iter().all(|held| *held <= most), "{held:?} over {most}");
 }
--- a/src/endpoints/table/texts.rs
+++ b/src/endpoints/table/texts.rs
@@ -1,22 +1,22 @@
-//! Byte strings packed one behind the other, found by a position of four bytes.
+//! Byte strings stored back to back, found by a position of four bytes.
 
 use super::capacity;
 
-/// A length of this or more is written in the four bytes behind it.
+/// Marks a string of at least this length; its length is in the four bytes after the mark.
 const LONG: u8 = u8::MAX;
 
-/// Bytes beside a string at most: its length.
+/// Maximum overhead of a string, bytes: its length.
 const LENGTH: usize = 5;
 
-/// Packed byte strings. None is ever taken out.
+/// Packed byte strings. They are never removed.
 #[derive(Debug, Default)]
 pub struct Texts {
     bytes: Vec<u8>,
 }
 
 impl Texts {
-    /// Adds a string and tells its position. `None`, and nothing is added, when positions would end: the strings
-    /// then take over 4 GiB.
+    /// Adds a string and returns its position. Returns `None`, and adds nothing, if the position does not fit
+    /// in four bytes: the strings then take over 4 GiB.
     pub fn put(&mut self, text: &[u8]) -> Option<u32> {
         let position = u32::try_from(self.bytes.len()).ok()?;
         let length = u32::try_from(text.len()).ok()?;
@@ -32,7 +32,7 @@
         Some(position)
     }
 
-    /// The string at a position that [`Texts::put`] told.
+    /// The string at a position that [`Texts::put`] returned.
     pub fn get(&self, position: u32) -> &[u8] {
         let from = &self.bytes[position as usize..];
         match from[0] {
@@ -44,12 +44,12 @@
         }
     }
 
-    /// The string at a position, which was put in as a `str`.
+    /// The string at a position, which was added from a `str`.
     pub fn string(&self, position: u32) -> String {
         String::from_utf8_lossy(self.get(position)).into_owned()
     }
 
-    /// Bytes written, and so held.
+    /// Number of bytes written, which is the resident memory.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
--- a/src/start/cached_list.rs
+++ b/src/start/cached_list.rs
@@ -1,63 +1,67 @@
-//! What of a start outlasts the process: the list of endpoints as the list service last told it, and how many processes
-//! in a row ended while they started.
+//! State of a start that is stored on disk: the list of endpoints last received from the list service, and
+//! the number of consecutive processes that ended during their start.
 
 use serde::{Deserialize, Serialize};
 
 use crate::coded_error;
 use crate::interface::Micros;
 
-/// A longer list is not kept, bytes.
+/// Maximum encoded size of a cached list, bytes. A longer list is not stored.
 pub const MAX_BYTES: usize = 96 * 1024;
-/// Bytes of the folder that lasts: the list, its next one while it is written, and the count of lives.
+/// Maximum bytes in the state folder: the list, the new list while it is written, and the count of failed
+/// starts.
 pub const MAX_FOLDER_BYTES: u64 = 2 * MAX_BYTES as u64 + 4096;
-/// The list is written no more often than this.
+/// Minimum time between two writes of the list.
 pub const MIN_WRITE_INTERVAL: Micros = 10_000_000;
-/// An older one is not begun from: meanwhile an address may have come to be another endpoint's.
+/// Maximum age of a usable cached list. Addresses in an older one may have been reassigned to other
+/// endpoints.
 pub const MAX_AGE: Micros = 600_000_000;
-/// Lives that slow the asking down at most, each by twice.
+/// Maximum number of failed starts that count. Each doubles the time over which calls to the list service are
+/// spread.
 pub const MAX_FAILED_STARTS: u32 = 3;
 
-/// A list as this sender was told it.
+/// A list as this sender received it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CachedList<T> {
     /// The tier's checksum.
     pub tier: u32,
-    /// When it was told, Unix time.
+    /// When it was received, Unix time.
     pub at: Micros,
-    /// Its version.
+    /// The list's version.
     pub version: u64,
-    /// Calls a second that the list service is believed to bear.
+    /// Estimated capacity of the list service, calls per second.
     #[serde(rename = "bears")]
     pub capacity: f64,
-    /// Its entries.
+    /// The list's entries.
     pub entries: Vec<T>,
 }
 
-/// Why a kept list is not begun from.
+/// Why a process does not start from a cached list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CachedListError {
-    /// The folder was another tier's.
-    #[error("it is another tier's; look whether this sender has the folder of another")]
+    /// The list belongs to another tier.
+    #[error("the cached list belongs to another tier; check which state folder this sender uses")]
     Foreign,
-    /// It is over [`MAX_AGE`], or is from after now.
-    #[error("it is over ten minutes old, or from after now; look at the machine's clock")]
+    /// The list is older than [`MAX_AGE`], or its time is that far in the future.
+    #[error("the cached list is over ten minutes old, or from the future; check the machine's clock")]
     Old,
-    /// The configuration has a later one.
-    #[error("the configuration has a later one, which is taken")]
+    /// The configuration has a later version.
+    #[error("the configuration has a later version than the cached list and is used instead")]
     Behind,
 }
 
 coded_error! { CachedListError {
-    Foreign => "start.kept-foreign", "look whether this sender has the folder of another tier's";
-    Old => "start.kept-old", "look at the machine's clock, if the process was not away for so long";
-    Behind => "start.kept-behind", "nothing: the configuration's list is taken";
+    Foreign => "start.kept-foreign", "check whether this sender uses a state folder of another tier";
+    Old => "start.kept-old", "check the machine's clock, unless the process was down for that long";
+    Behind => "start.kept-behind", "nothing: the configuration's list is used";
 } }
 
 impl<T> CachedList<T> {
-    /// Whether a process that starts now, with that version in its configuration, may begin from it.
+    /// Checks whether a process that starts now, with version `known` in its configuration, may start from
+    /// this list.
     ///
     /// # Errors
-    /// Says why not; the sender then begins from its configuration.
+    /// Returns the reason if it may not; the sender then starts from its configuration.
     pub fn fit(&self, tier: u32, known: u64, now: Micros) -> Result<(), CachedListError> {
         if self.tier != tier {
             Err(CachedListError::Foreign)
--- a/src/start/cached_list/tests.rs
+++ b/src/start/cached_list/tests.rs
@@ -5,7 +5,7 @@
     let now = 2 * MAX_AGE;
     let kept = |tier, at, version| CachedList::<u8> { tier, at, version, capacity: 20.0, entries: vec![] };
     assert_eq!(kept(7, now, 41).fit(7, 41, now), Ok(()));
-    assert_eq!(kept(7, now + 1_000, 41).fit(7, 40, now), Ok(()), "the clock has stepped back a little");
+    assert_eq!(kept(7, now + 1_000, 41).fit(7, 40, now), Ok(()), "the clock was set back by 1 ms");
     assert_eq!(kept(8, now, 41).fit(7, 41, now), Err(CachedListError::Foreign));
     assert_eq!(kept(7, now - MAX_AGE - 1, 41).fit(7, 41, now), Err(CachedListError::Old));
     assert_eq!(kept(7, now + MAX_AGE + 1, 41).fit(7, 41, now), Err(CachedListError::Old));
--- a/src/start/hint.rs
+++ b/src/start/hint.rs
@@ -1,39 +1,40 @@
-//! What senders that start tell each other in one datagram. It may be lost, late, repeated or false: it moves the time
-//! of a call to the list service, and nothing else hangs on it.
+//! The datagram that starting senders exchange. It may be lost, late, repeated or false: it shifts the time
+//! of a call to the list service, and nothing else depends on it.
 
 use crate::channel::START;
 
-/// Second byte: no datagram of a channel has it.
+/// Second byte, which no datagram of a channel has.
 const KIND: u8 = 0x21;
 const HEAD: usize = 23;
 const SUM: usize = 4;
-/// Destinations that a hint tells of at most.
+/// Maximum number of destinations in a hint.
 pub const MAX_HELD: usize = 48;
 const ANSWER: u8 = 1;
 const CONFIRMED: u8 = 2;
 
-/// A hint.
+/// A hint about its sender's start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Hint {
-    /// Its sender wants one back.
+    /// A hint is requested in reply.
     pub answer: bool,
-    /// Its sender has had an answer of the list service in this life.
+    /// The list service has answered this process of the sender.
     pub confirmed: bool,
-    /// How long its process has run, seconds, up to what the field holds.
+    /// Age of the sender's process, seconds, saturating at the field's maximum.
     pub age_s: u16,
-    /// The version of its list.
+    /// The version of the sender's list.
     pub version: u64,
-    /// How often, as a power of two in quarters, its own calls to the list service failed of late.
+    /// Widening due to the sender's own recently failed calls to the list service: the exponent of a power of
+    /// two, in quarters.
     pub trouble: u8,
-    /// Calls a second that it believes the list service to bear, in eighths.
+    /// The sender's estimate of the list service's capacity, in eighths of a call per second.
     pub capacity: u32,
-    /// Destinations, and the messages that it holds for each: the first [`MAX_HELD`]. A destination whose number
-    /// needs more than two bytes is left out.
+    /// Destinations, and the number of messages that the sender holds for each. Only the first [`MAX_HELD`]
+    /// are written. A destination whose number needs more than two bytes is left out.
     pub held: Vec<(u32, u16)>,
 }
 
 impl Hint {
-    /// As a datagram of the tier with that checksum.
+    /// Encodes the hint as a datagram of the tier with this checksum.
     pub fn write(&self, tier: u32) -> Vec<u8> {
         let mut bytes = vec![START, KIND];
         bytes.extend(tier.to_le_bytes());
@@ -52,12 +53,12 @@
         bytes
     }
 
-    /// Whether a datagram is a hint, sound or not.
+    /// Whether a datagram is marked as a hint, valid or not.
     pub fn accepts(bytes: &[u8]) -> bool {
         bytes.starts_with(&[START, KIND])
     }
 
-    /// What a sound datagram of that tier says.
+    /// Decodes a datagram. `None` if it is invalid or from another tier.
     pub fn read(bytes: &[u8], tier: u32) -> Option<Self> {
         let (body, sum) = bytes.split_at_checked(bytes.len().checked_sub(SUM)?)?;
         let (head, held) = body.split_at_checked(HEAD)?;
--- a/src/start/mod.rs
+++ b/src/start/mod.rs
@@ -1,10 +1,12 @@
-//! Starts of many senders at once: when each asks the list service, what a peer's word on the list is good for, at which
-//! pace old messages go out, and how far a start has come. Sans I/O; off without the section `start`.
+//! Concurrent starts of many senders: when each calls the list service, what a peer's list may change, at
+//! which pace old messages are released, and how far a start has progressed. Sans I/O; off without the
+//! section `start`.
 //!
-//! A sender asks the list service in a slot of its own. The slots are spread over a time that follows from how many
-//! start, which senders tell each other by hints, and from what the service bears; failed calls of any sender make it
-//! wider for those that hear of them. Until its own answer, and wherever its own watch isn't open, a sender goes by the
-//! list that it has, less what two others tell to be gone: a peer's word can only take away.
+//! A sender calls the list service in a slot of its own. The slots are spread over a jitter window that
+//! follows from the number of starting senders, which senders learn from each other's hints, and from the
+//! capacity of the service. A failed call of any sender widens the window for those that hear of it. Until it
+//! has an answer of its own, and whenever its own watch is not open, a sender uses the list that it has,
+//! without the endpoints that two peers report as gone: a peer's list can only remove endpoints.
 
 pub mod cached_list;
 pub mod hint;
@@ -22,117 +24,122 @@
 use crate::mesh::Mesh;
 use hint::Hint;
 
-/// What `bears_per_s` may be.
+/// Minimum and maximum of `bears_per_s`.
 pub const CAPACITY_PER_S: (u32, u32) = (1, 10_000);
-/// Calls a second that a list service is taken to bear until more is known.
+/// Assumed capacity of a list service until more is known, calls per second.
 const INITIAL_CAPACITY: f64 = 16.0;
-/// A start takes so long at least, and processes that began no longer before this one start with it.
+/// Minimum duration of a start. Processes that began at most this long before this one count as starting with
+/// it.
 const STARTS_FOR: Micros = 10_000_000;
-/// Hints go out so often while there is anything to hear, each time to so many senders.
+/// Interval at which hints are sent while there is anything to learn from peers.
 const HINTS_EVERY: Micros = 500_000;
-/// See [`HINTS_EVERY`]; and the first time, when nothing is known yet.
+/// Number of peers that a hint is sent to each time, and the first time, when nothing is known yet.
 const HINTS: (usize, usize) = (4, 8);
-/// Answers to others' hints in a second at most.
+/// Maximum number of replies to peers' hints per second.
 const ANSWERS: u32 = 64;
-/// Senders whose hints are remembered.
+/// Maximum number of peers whose last hint is kept.
 const MAX_HEARD: usize = 64;
-/// How many senders start is taken from hints once so many were heard; until then all do.
+/// Number of peers heard from which the share of starting senders is taken from hints. With fewer, all
+/// senders are assumed to be starting.
 const ENOUGH: usize = 3;
-/// Words on the list that are asked for a second, and given, at most.
+/// Maximum number of lists requested from peers, and sent to peers, per second.
 const WORDS: (u32, u32) = (2, 32);
-/// Senders that must agree before an endpoint is held for gone.
+/// Number of peers that must agree before an endpoint is considered gone.
 const WITNESSES: usize = 2;
-/// Entries of a word at most.
+/// Maximum number of entries in a list sent to a peer.
 const MAX_ENTRIES: usize = 4096;
-/// Times in a row that the service's answer came within so long: it had news; later, the watch was held.
+/// An answer that takes at least this long came from a held watch; after a shorter time, the service had
+/// changes at once.
 const HELD: Micros = 2_000_000;
 
-/// Where the list comes from.
+/// Source of the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Source {
-    /// An agent on the sender's own machine, which bears any number of calls; what it has counts as told at once.
+    /// An agent on the sender's own machine, which takes any number of calls. What it has counts as received
+    /// by the sender at once.
     #[default]
     Agent,
-    /// One service for all senders; what it has written to a sender counts as told.
+    /// One service for all senders. What it has written to a sender counts as received by that sender.
     Service,
 }
 
-/// The section `start`. The same at all senders of a tier.
+/// The section `start`. It is the same at all senders of a tier.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// The tier's name, which tells it from others that are wrongly given the same addresses.
+    /// The tier's name. It distinguishes the tier from others that are given the same addresses by mistake.
     #[serde(default)]
     pub tier: String,
     /// Where the list comes from.
     #[serde(default)]
     pub source: Source,
-    /// Calls a second that the list service bears; learned where it is left out.
+    /// Capacity of the list service, calls per second. Learned if left out.
     #[serde(default)]
     pub bears_per_s: Option<u32>,
 }
 
-/// How far a start has come. Readiness waits for none of these.
+/// Progress of a start. Readiness does not depend on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
     /// The list service has not answered this process yet.
     List,
-    /// Old messages still wait for their turn.
+    /// Old messages are not all released yet.
     Journal,
-    /// How many senders start is not known yet.
+    /// The number of starting senders is not known yet.
     Peers,
-    /// The watch on the list is not open, or the service fails calls.
+    /// The watch on the list is not open, or the service fails calls, or the start is younger than its
+    /// minimum duration.
     Warming,
-    /// None of these.
+    /// The start is complete.
     Steady,
 }
 
-/// An endpoint in a word on the list: its name, its destination, and whether it may be used.
+/// An endpoint in a list sent to peers: its name, its destination, and whether it may be used.
 pub type Named = (String, u32, bool);
 
-/// What senders say on their channels.
+/// Messages that senders exchange on their channels.
 #[derive(Debug, Serialize, Deserialize)]
 enum PeerMessage {
     #[serde(rename = "Tell")]
     RequestList,
-    /// The version, and the whole list as the list service told it to this sender.
+    /// The version, and the whole list as this sender received it from the list service.
     #[serde(rename = "Word")]
     List(u64, Vec<Named>),
 }
 
-/// Why a call to the list service brought nothing.
+/// Why a call to the list service failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallFailure {
-    /// The service turned it away, or what it wrote can't be read.
+    /// The service rejected it, or its answer can't be read.
     Rejected,
-    /// No answer, or it broke off.
+    /// There was no answer, or the answer was truncated.
     NoAnswer,
 }
 
-/// Counts of this process.
+/// Counters of this process.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Counts {
     /// Calls to the list service.
     pub asked: u64,
-    /// Those of them that were turned away, or whose answer can't be read.
+    /// Calls that were rejected, or whose answer can't be read.
     pub turned_away: u64,
-    /// Those that had no answer.
+    /// Calls without an answer.
     pub silent: u64,
-    /// Times that others' words stood in for a call, while this sender's next one waited for its turn.
+    /// Times that the lists of enough peers arrived before this sender's own next call.
     pub saved: u64,
     /// Hints sent.
     pub hints_sent: u64,
-    /// Hints heard.
+    /// Hints received.
     pub hints_heard: u64,
-    /// Datagrams that were spoilt, another tier's, or too many.
+    /// Datagrams that were corrupt, from another tier, or too many.
     pub dropped: u64,
-    /// Words that can't be read, or say too much.
+    /// Messages of peers that can't be read, or lists of peers that are too long.
     pub absurd: u64,
 }
 
-/// What another sender's last hint said.
+/// Content of a peer's last hint.
 #[derive(Debug, Clone)]
 struct PeerState {
     at: Micros,
@@ -144,39 +151,43 @@
     held: BTreeMap<u32, u16>,
 }
 
-/// What this process begins with.
+/// Initial state of a process.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Begin {
     /// This sender's rank.
     pub own: Rank,
     /// Senders of the tier.
     pub size: usize,
-    /// The version of the list that it begins from.
+    /// The version of the list that the process starts from.
     pub version: u64,
-    /// What was learned of the list service before.
+    /// The capacity of the list service that an earlier process learned.
     pub capacity: Option<f64>,
-    /// Processes in a row before this one that ended while they started.
+    /// Number of consecutive processes before this one that ended during their start.
     pub lives: u32,
-    /// The list is watched in turns that are given here; else the module asks for it at times of its own.
+    /// Calls for the list are scheduled here; otherwise the decision module requests the list at times of its
+    /// own.
     pub watched: bool,
-    /// Sends to an endpoint that has left must have ceased so long after that was told.
+    /// Time after the news that an endpoint has left within which sends to it must have ended.
     pub grace: Micros,
-    /// For random numbers.
+    /// Seed for random numbers.
     pub seed: u64,
 }
 
 /// When the next call to the list service is due, and why.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Next {
-    /// The first one of this process, in its slot.
+    /// In this process's slot: its first call.
     Slot,
-    /// At once: a watch that was held and brought nothing.
+    /// At once: after a watch that was held and brought no changes, and always after an answer or a new
+    /// address of an agent.
     Now,
-    /// After an answer, at the same place of a spread over all senders: all were told at once.
+    /// In this sender's slot of a jitter window over all senders that begins at this time: after an answer
+    /// that all senders got, or a new address of the service, at the same time.
     Place(Micros),
-    /// At that time: after a failure, or a spread after an answer, since this sender has a slot already.
+    /// At this time: after a failure, or one jitter window after the first answer, since this sender already
+    /// has a slot.
     At(Micros),
-    /// A call is out since then.
+    /// A call has been in flight since this time.
     Out(Micros),
 }
 
@@ -191,7 +202,7 @@
     rng: fastrand::Rng,
     began: Micros,
     lives: u32,
-    /// Senders that are there, as the view has it.
+    /// Number of senders present according to the membership view.
     there: usize,
     place: f64,
     capacity: f64,
@@ -203,37 +214,41 @@
     heard: BTreeMap<Rank, PeerState>,
     hint_at: Micros,
     share_at: Micros,
-    /// Answers given and words asked and given since then.
+    /// Start of the current second; hints answered, lists requested and lists requested by peers in it.
     spent: (Micros, u32, u32, u32),
     mesh: Mesh,
-    /// The list as the service last told it to this process.
+    /// Version of the list that this sender uses, and the list as this process last received it from the
+    /// service.
     version: u64,
     list: Option<Vec<Named>>,
     list_at: Option<Micros>,
-    /// It is too long to be told to others, and not here.
+    /// The list is too long to be sent to peers, and is not stored here.
     long: bool,
-    /// Names and destinations that this sender goes by.
+    /// Names and destinations of the usable endpoints in the list that this sender uses.
     names: BTreeMap<String, u32>,
-    /// Who said of which endpoint that it is gone, since this sender's own last answer; and who said anything.
+    /// The peers that reported an endpoint as gone since this sender's own last answer, by endpoint; and the
+    /// list version of each peer that sent a list since then.
     denied: BTreeMap<String, BTreeSet<Rank>>,
     witnesses: BTreeMap<Rank, u64>,
     changed: BTreeSet<String>,
-    /// What happened.
+    /// Counters of this process.
     pub counts: Counts,
     phase: (Phase, Micros),
-    /// Destinations that this sender holds the most messages for, and its parts that were told.
+    /// Destinations for which this sender holds the most messages; and its shares of cold destinations, as
+    /// last reported.
     held: Vec<(u32, u16)>,
     parts: BTreeMap<u32, f64>,
-    /// Old messages that wait for their turn.
+    /// Old messages that are not released yet.
     pub backlog: pace::Backlog,
 }
 
 impl Start {
-    /// A process begins.
+    /// Creates the state of a process that starts.
     pub fn new(config: &Config, begin: Begin, now: Micros) -> Self {
         let Begin { own, size, version, capacity, lives, watched, grace, seed } = begin;
         let tier = tier_of(&config.tier);
-        // What an agent has counts as told from the first moment: half of the grace is left for the answer.
+        // What an agent has counts as received from the first moment: half of the grace is left for the
+        // answer.
         let most = match config.source {
             Source::Agent => grace / 2,
             Source::Service => jitter::MAX_SPREAD,
@@ -281,7 +296,8 @@
         }
     }
 
-    /// So many senders are there, as the view has it; a hint, held to half and all of the configured ones.
+    /// Sets the number of senders present according to the membership view. It is only a hint, and is held
+    /// between half and all of the configured senders.
     pub fn set_peers(&mut self, there: usize) {
         self.there = there.clamp(self.size.div_ceil(2), self.size);
     }
@@ -291,19 +307,20 @@
         self.tier
     }
 
-    /// Calls a second that the list service is believed to bear.
+    /// Estimated capacity of the list service, calls per second.
     pub fn capacity(&self) -> f64 {
         self.capacity
     }
 
-    /// What the next process is to believe that the list service bears: more than this one did where no sender that was
-    /// heard had a call fail, less where one had.
+    /// The capacity that the next process is to assume: higher than this process's if no sender that it heard
+    /// of, itself included, had a failed call, else lower.
     pub fn learned(&self) -> f64 {
         let learned = self.capacity * if self.troubled { 0.7 } else { 1.25 };
         learned.clamp(f64::from(CAPACITY_PER_S.0), f64::from(CAPACITY_PER_S.1))
     }
 
-    /// How many senders start, this one with them, as far as hints tell; until then all that are there.
+    /// Estimated number of starting senders, including this one, according to hints; without enough hints,
+    /// all senders that are present.
     pub fn starters(&self) -> f64 {
         let heard = self.heard.len();
         if heard < ENOUGH.min(self.size.saturating_sub(1)) {
@@ -313,25 +330,27 @@
         1.0 + self.there.saturating_sub(1) as f64 * starting as f64 / heard.max(1) as f64
     }
 
-    /// How much wider than usual all spreads are, a power of two: by this sender's own failures and by those that others
-    /// tell of theirs. What others tell is not passed on, so that no failure is heard of for ever.
+    /// The exponent of the power of two by which jitter windows are widened: the largest of this sender's own
+    /// failures and those that peers report of theirs. Failures reported by peers are not passed on, so that
+    /// no failure circulates for ever.
     pub fn trouble(&self, now: Micros) -> f64 {
         let left = |(trouble, at): (f64, Micros)| jitter::decayed(trouble, now.saturating_sub(at));
         let others = self.heard.values().map(|heard| left((heard.trouble, heard.at)));
         others.fold(left(self.trouble), f64::max).min(jitter::MAX_TROUBLE)
     }
 
-    /// The spread over so many senders.
+    /// The jitter window over this many senders.
     fn width(&self, senders: f64, now: Micros) -> Micros {
         jitter::width(senders, self.capacity, self.trouble(now) + f64::from(self.lives), self.most)
     }
 
-    /// The spread of this start.
+    /// The jitter window of this start.
     pub fn spread(&self, now: Micros) -> Micros {
         self.width(self.starters(), now)
     }
 
-    /// When the list service may be called next; none while a call is out. It moves with what is heard.
+    /// When the list service may be called next; `None` while a call is in flight. The time changes with
+    /// hints.
     pub fn ask_at(&self, now: Micros) -> Option<Micros> {
         let place = |width: Micros| (width as f64 * self.place) as Micros;
         match self.next {
@@ -343,8 +362,9 @@
         }
     }
 
-    /// Whether the next call is to ask for the whole list: two others were told a version before this sender's, which it
-    /// has from an earlier process, so that the service would hold a watch from there for nothing.
+    /// Whether the next call must request the whole list: two peers received a version before this sender's,
+    /// which it has from an earlier process, so that the service would hold a watch from that version without
+    /// any use.
     pub fn has_list(&self) -> bool {
         let before = |heard: &&PeerState| heard.confirmed && heard.version < self.version;
         let confirmed = self.heard.values().filter(|heard| heard.confirmed).count();
@@ -352,19 +372,19 @@
         self.list.is_none() && before >= WITNESSES && before == confirmed
     }
 
-    /// A call goes out.
+    /// Notes that a call is sent.
     pub fn asked(&mut self, now: Micros) {
         self.counts.asked += 1;
         self.next = Next::Out(now);
     }
 
-    /// The list service answered; whether with anything new.
+    /// Handles an answer of the list service; `news` tells whether it had changes.
     pub fn answered(&mut self, now: Micros, news: bool) {
         let held = matches!(self.next, Next::Out(at) if now >= at + HELD);
         let first = self.list.is_none() && !held;
         self.next = match (news, first) {
             (false, _) => Next::Now,
-            // An agent's watch goes on if it is asked again at once.
+            // An agent's watch continues if the agent is called again at once.
             _ if self.config.source == Source::Agent => Next::Now,
             (true, true) => Next::At(now + self.spread(now)),
             (true, false) => Next::Place(now),
@@ -372,7 +392,7 @@
         self.failed = 0;
     }
 
-    /// It did not; all spreads become wider for a while, and others are told.
+    /// Handles a failed call. All jitter windows become wider for a while, and peers are notified.
     pub fn failed(&mut self, now: Micros, how: CallFailure) {
         match how {
             CallFailure::Rejected => self.counts.turned_away += 1,
@@ -381,12 +401,13 @@
         self.failed = self.failed.saturating_add(1);
         let (first, bounds) = match self.config.source {
             Source::Agent => (0, jitter::BACKOFF_AT_AGENT),
-            // What others tell is in it twice else: each that fails rests longer by itself.
+            // The peers' failures would otherwise count twice: each sender whose call fails backs off longer
+            // by itself.
             Source::Service => {
                 (jitter::width(self.there as f64, self.capacity, 0.0, self.most), jitter::BACKOFF)
             }
         };
-        // Who has had no answer yet comes again as soon as all others could have.
+        // A sender without an answer yet calls again as soon as all others could have called.
         let times =
             if self.list.is_none() && self.config.source == Source::Service { 1 } else { self.failed };
         self.next = Next::At(now + jitter::backoff(first, times, self.rng.f64(), bounds));
@@ -396,7 +417,8 @@
         self.hint_at = self.hint_at.min(now);
     }
 
-    /// The list service has moved: what was out is of no use, and all senders ask anew.
+    /// Handles a changed address of the list service: the call in flight is useless, and all senders call
+    /// again.
     pub fn address_changed(&mut self, now: Micros) {
         self.next = match self.config.source {
             Source::Agent => Next::Now,
@@ -404,13 +426,13 @@
         };
     }
 
-    /// The list that this sender goes by, as its folder or its configuration has it.
+    /// Sets the list that this sender uses, from its state folder or its configuration.
     pub fn load_cached(&mut self, version: u64, list: impl IntoIterator<Item = Named>) {
         self.version = version;
         self.names = list.into_iter().filter(|named| named.2).map(|named| (named.0, named.1)).collect();
     }
 
-    /// The whole list as the list service has now told it. It ends all that others said.
+    /// Handles the whole list, received from the list service. It discards all reports of peers.
     pub fn listed(&mut self, now: Micros, version: u64, list: Vec<Named>) {
         self.changed.extend(std::mem::take(&mut self.denied).into_keys());
         self.witnesses.clear();
@@ -418,23 +440,24 @@
         (self.list, self.list_at, self.long) = (Some(list), Some(now), false);
     }
 
-    /// The same of a list that is too long to be told to others, or to be held against what others tell.
+    /// Handles a list that is too long to be sent to peers, or to be compared with the lists of peers.
     pub fn listed_long(&mut self, now: Micros, version: u64) {
         self.listed(now, version, Vec::new());
         self.long = true;
     }
 
-    /// Whether two others told that an endpoint is gone, since this sender was last told the list itself.
+    /// Whether two peers reported an endpoint as gone since this sender last received the list itself.
     pub fn hides(&self, name: &str) -> bool {
         self.denied.get(name).is_some_and(|by| by.len() >= WITNESSES)
     }
 
-    /// Endpoints that have come to be hidden, or not any more, since the last call.
+    /// Takes the endpoints that became hidden, or are no longer hidden, since the last call.
     pub fn changed(&mut self) -> BTreeSet<String> {
         std::mem::take(&mut self.changed)
     }
 
-    /// Whether what is held has to be looked at, and cold destinations shared, now: in a start, as often as hints go out.
+    /// Whether held messages must be counted and cold destinations shared now: during a start, as often as
+    /// hints are sent.
     pub fn shares_due(&mut self, now: Micros) -> bool {
         let due = self.phase.0 != Phase::Steady && now >= self.share_at;
         if due {
@@ -443,9 +466,9 @@
         due
     }
 
-    /// Messages that this sender holds, by destination.
+    /// Sets the number of messages that this sender holds, by destination.
     pub fn set_held(&mut self, held: impl IntoIterator<Item = (u32, usize)>) {
-        // A destination that no hint has room for must not be taken for one that others hold nothing for.
+        // A destination that does not fit in a hint must not look like one for which the peers hold nothing.
         let told = |held: &(u32, usize)| held.1 > 0 && u16::try_from(held.0).is_ok();
         let mut held: Vec<(u32, usize)> = held.into_iter().filter(told).collect();
         held.sort_unstable_by_key(|held| (Reverse(held.1), held.0));
@@ -453,8 +476,9 @@
         self.held = short.map(|(to, count)| (to, count.min(u16::MAX.into()) as u16)).collect();
     }
 
-    /// This sender's part of the calls that a cold destination bears from all: half of it even, half by how much of what
-    /// all hold is held here. The even half bounds what a false hint takes away; all senders' parts come to about 1.
+    /// This sender's share of the calls that a cold destination can take from all senders: half of it even,
+    /// half by the share of all held messages that is held here. The even half bounds what a false hint can
+    /// take away. The shares of all senders add up to about 1.
     pub fn part(&self, destination: u32) -> f64 {
         let there = self.there.max(1) as f64;
         let own = self.held.iter().find(|held| held.0 == destination).map_or(0.0, |held| f64::from(held.1));
@@ -464,8 +488,8 @@
         0.5 / there + 0.5 * by_load
     }
 
-    /// This sender's parts of cold destinations, as far as they have changed by a tenth; none are told without hints of
-    /// others to go by.
+    /// This sender's shares of cold destinations that have changed by a tenth since last reported. Empty
+    /// without enough hints of peers.
     pub fn parts(&mut self, cold: impl IntoIterator<Item = u32>) -> Vec<(u32, f64)> {
         if self.heard.len() < ENOUGH.min(self.size.saturating_sub(1)) {
             return Vec::new();
@@ -479,17 +503,17 @@
         news
     }
 
-    /// A watch of this process is open, as far as can be known.
+    /// Whether a watch of this process is open, as far as can be known.
     fn watches(&self) -> bool {
         self.list.is_some() && (!self.watched || matches!(self.next, Next::Out(_)))
     }
 
-    /// Whether there is anything to hear from others.
+    /// Whether there is anything to learn from peers.
     fn listens(&self, now: Micros) -> bool {
         self.size > 1 && (now < self.began + STARTS_FOR || !self.watches())
     }
 
-    /// When it wants to be called next.
+    /// When [`Start::tick`] must be called next.
     pub fn due(&self) -> Micros {
         let hint = if self.size > 1 { self.hint_at } else { Micros::MAX };
         hint.min(self.mesh.due().unwrap_or(hint)).min(self.backlog.due().unwrap_or(hint))
@@ -515,7 +539,8 @@
         }
     }
 
-    /// Tells some others how it stands, and asks them; asks those that were told a later list for it.
+    /// Sends hints to some peers and requests theirs; requests the list of those that received a later
+    /// version.
     pub fn tick(&mut self, now: Micros, out: &mut Outgoing) {
         self.renew(now);
         if now >= self.hint_at {
@@ -556,7 +581,7 @@
         }
     }
 
-    /// Another sender's datagram has come. Whether it is for this part.
+    /// Handles a datagram of a peer. Returns whether it is for this part.
     pub fn receive(&mut self, now: Micros, from: Rank, bytes: &[u8], out: &mut Outgoing) -> bool {
         if !self.mesh.accepts(bytes) {
             return false;
@@ -577,8 +602,8 @@
         let trouble = f64::from(hint.trouble) / 4.0;
         let heard = PeerState {
             at: now,
-            // Ages are differences, so that no clock of another machine matters; and they do not change, so that
-            // slots stay as the others' starts go by.
+            // Ages are differences, so that no clock of another machine matters. The result is stored rather
+            // than recomputed, so that slots stay as the peers' starts go by.
             starting: now.saturating_sub(Micros::from(hint.age_s) * 1_000_000) + STARTS_FOR >= self.began,
             confirmed: hint.confirmed,
             version: hint.version,
@@ -607,7 +632,7 @@
         match postcard::from_bytes(message) {
             Ok(PeerMessage::RequestList) => {
                 self.spent.3 += 1;
-                // Only what this process was told itself is told to others.
+                // Only a list that this process received itself is sent to peers.
                 let Some(list) = self.list.clone().filter(|list| !self.long && list.len() <= MAX_ENTRIES)
                 else {
                     return;
@@ -616,7 +641,7 @@
                 if let Some(word) =
                     word.ok().filter(|word| word.len() <= MAX_MESSAGE_BYTES && self.spent.3 <= WORDS.1)
                 {
-                    // One that is not queued is asked for again.
+                    // A list that can't be queued is requested again by the peer.
                     let _ = self.mesh.send(now, from, &word);
                 }
             }
@@ -627,9 +652,9 @@
         }
     }
 
-    /// Another sender's word on the list: it takes away what is not there any more, is to be left, or has come to be
-    /// another destination's, once a second sender says so. It adds nothing: where an endpoint is dialled differs from
-    /// sender to sender, and only the list service tells.
+    /// Handles the list of a peer. An endpoint that is missing, not usable, or assigned to another
+    /// destination in it becomes hidden once a second peer says so. Nothing is added: the address of an
+    /// endpoint differs from sender to sender, and only the list service provides it.
     fn word(&mut self, from: Rank, version: u64, list: &[Named]) {
         if self.watches() || version <= self.version {
             return;
@@ -650,7 +675,7 @@
         self.counts.saved += u64::from(before.is_none() && self.witnesses.len() == WITNESSES);
     }
 
-    /// Looks how far the start has come.
+    /// Updates the phase of the start.
     pub fn step(&mut self, now: Micros) {
         let known = self.size == 1 || self.heard.len() >= ENOUGH.min(self.size - 1);
         let phase = if self.list.is_none() {
@@ -664,52 +689,53 @@
         } else {
             Phase::Steady
         };
-        // A start is over once: a watch that is renewed later is no start.
+        // A start completes once: a watch that is renewed later does not begin another start.
         if phase != self.phase.0 && self.phase.0 != Phase::Steady {
             self.phase = (phase, now);
         }
     }
 
-    /// How far the start has come, and since when.
+    /// The phase of the start, and since when it is in it.
     pub fn phase(&self) -> (Phase, Micros) {
         self.phase
     }
 
-    /// What it waits for, in words.
+    /// Text on what the start waits for, for operators.
     pub fn waits_for(&self, now: Micros) -> String {
         let slot = |at: Option<Micros>| at.map(|at| at.saturating_sub(now) / 1000);
         match (self.phase.0, slot(self.ask_at(now))) {
             (Phase::List, Some(ms)) if self.failed > 0 => {
                 format!("the next call to the list service, in {ms} ms")
             }
-            (Phase::List, Some(ms)) => format!("its slot at the list service, in {ms} ms"),
-            (Phase::List, None) => "the list service's answer".to_owned(),
-            (Phase::Journal, _) => format!("the turns of {} old messages", self.backlog.left()),
-            (Phase::Peers, _) => format!("hints of {ENOUGH} senders, {} heard", self.heard.len()),
-            (Phase::Warming, Some(ms)) => format!("the turn to open its watch on the list, in {ms} ms"),
+            (Phase::List, Some(ms)) => format!("its slot for calling the list service, in {ms} ms"),
+            (Phase::List, None) => "an answer of the list service".to_owned(),
+            (Phase::Journal, _) => format!("{} old messages that are not released yet", self.backlog.left()),
+            (Phase::Peers, _) => format!("hints of {ENOUGH} senders, {} received", self.heard.len()),
+            (Phase::Warming, Some(ms)) => format!("the call that opens its watch on the list, in {ms} ms"),
             (Phase::Warming, None) => {
-                "calls of some sender to the list service fail, or it is young".to_owned()
+                "the end of failed calls to the list service, or of the minimum start time".to_owned()
             }
             (Phase::Steady, _) => "nothing".to_owned(),
         }
     }
 
-    /// The list's version, and when the list service last told it to this process.
+    /// The list's version, and when this process last received it from the list service.
     pub fn list(&self) -> (u64, Option<Micros>) {
         (self.version, self.list_at)
     }
 
-    /// Processes before this one, counted up to a bound, that ended while they started.
+    /// Number of consecutive processes before this one that ended during their start, up to a bound.
     pub fn failed_starts(&self) -> u32 {
         self.lives
     }
 
-    /// Endpoints that are hidden.
+    /// Number of hidden endpoints.
     pub fn hidden(&self) -> usize {
         self.denied.values().filter(|by| by.len() >= WITNESSES).count()
     }
 
-    /// The least that others believe the list service to bear; for operators, nothing goes by it.
+    /// The lowest capacity of the list service that peers estimate. It is shown to operators and not used
+    /// otherwise.
     pub fn lowest_peer_capacity(&self) -> Option<f64> {
         self.heard.values().map(|heard| heard.capacity).min_by(f64::total_cmp)
     }
--- a/src/start/pace.rs
+++ b/src/start/pace.rs
@@ -1,24 +1,24 @@
-//! At which pace messages that an earlier process took on go into the module: those with the least time first, and all
-//! of them soon enough to end in time. New messages wait for none of these.
+//! Paces the messages that an earlier process accepted into the decision module: those with the least time
+//! left go first, and all of them soon enough to end in time. New messages do not wait for them.
 
 use std::collections::VecDeque;
 
 use crate::interface::Micros;
 
-/// The last message goes in after so long at the latest.
+/// Time within which all messages are released.
 pub const SPAN: Micros = 5_000_000;
-/// None waits for longer than this part of the time that it has left.
+/// No message waits for longer than its remaining time divided by this.
 const PART: Micros = 8;
 
-/// Messages that wait for their turn.
+/// Messages that are not released yet.
 #[derive(Debug, Default)]
 pub struct Backlog {
-    /// When each goes in, and its number, in order.
+    /// The release time and the number of each message, in order of time.
     waiting: VecDeque<(Micros, u32)>,
 }
 
 impl Backlog {
-    /// Spreads messages, by their numbers, with the time at which each must have ended.
+    /// Schedules messages, given as their numbers and the times by which they must have ended.
     pub fn new(messages: impl IntoIterator<Item = (u32, Micros)>, now: Micros) -> Self {
         let mut messages: Vec<(Micros, u32)> = messages.into_iter().map(|(n, end)| (end, n)).collect();
         messages.sort_unstable();
@@ -27,21 +27,21 @@
             let even = SPAN * at as Micros / count;
             (now + even.min(end.saturating_sub(now) / PART), number)
         };
-        // Both bounds rise with the time that is left, so that the order stays.
+        // Both bounds grow with the remaining time, so the order is preserved.
         Self { waiting: messages.into_iter().enumerate().map(turn).collect() }
     }
 
-    /// When the next one goes in.
+    /// When the next message is released.
     pub fn due(&self) -> Option<Micros> {
         self.waiting.front().map(|next| next.0)
     }
 
-    /// How many wait.
+    /// Number of messages not released yet.
     pub fn left(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Those whose turn it is by then.
+    /// Removes and returns the messages whose release time has come.
     pub fn take(&mut self, until: Micros) -> Vec<u32> {
         let count = self.waiting.iter().take_while(|(at, _)| *at <= until).count();
         self.waiting.drain(..count).map(|(_, number)| number).collect()
--- a/src/start/pace/tests.rs
+++ b/src/start/pace/tests.rs
@@ -5,7 +5,7 @@
     let mut rng = fastrand::Rng::with_seed(3);
     for count in [0, 1, 2, 700] {
         let now = 50_000_000;
-        // Among them some whose time is up.
+        // Some have already expired.
         let ends: Vec<Micros> = (0..count).map(|_| now - 1_000_000 + rng.u64(0..30_000_000)).collect();
         let mut backlog = Backlog::new((0..).zip(ends.iter().copied()), now);
         let (mut last, mut taken) = (0, 0);
@@ -14,8 +14,8 @@
             assert!(count < 100 || turn.len() < 100, "{} at once", turn.len());
             taken += turn.len();
             for end in turn.into_iter().map(|number| ends[number as usize]) {
-                assert!(end <= now || (at - now) <= (end - now) / PART + 5_000, "it has waited too long");
-                assert!(end >= last, "one with less time comes after");
+                assert!(end <= now || (at - now) <= (end - now) / PART + 5_000, "a message waited too long");
+                assert!(end >= last, "a message with less time left was released later");
                 last = end;
             }
         }
--- a/tests/list_memory.rs
+++ b/tests/list_memory.rs
@@ -1,5 +1,5 @@
-//! Memory of the list's core at the size that a sender is made for, as the system has it. One test alone in its process:
-//! others' memory would count.
+//! Memory of the list's core at its design size, as reported by the system. This file has one test only,
+//! since the memory of others in the same process would count.
 #![cfg(target_os = "linux")]
 
 #[path = "common/list_text.rs"]
@@ -13,16 +13,17 @@
 use myrtleyard::endpoints::reader::{self, List};
 use myrtleyard::endpoints::table::{REBUILD_SHARE, Table};
 
-/// Bytes that one table may add to the process.
+/// Maximum memory that one table adds to the process, bytes.
 const ONE: u64 = 23_000_000;
 
-/// Bytes that the process may have more at any time: a worn table, and another one being made of a stream.
+/// Maximum memory that the process adds at any time, bytes: a table that needs a rebuild, and another one
+/// under construction from a stream.
 const MAX_BYTES: u64 = 48_000_000;
 
-/// Snapshots taken in a row, each while the former one is held.
+/// Number of snapshots received in a row, each while the previous one is held.
 const ROUNDS: usize = 3;
 
-/// A figure of this process's memory, in bytes.
+/// A figure of this process's memory from the system, in bytes.
 fn memory(figure: &str) -> u64 {
     let text = fs::read_to_string("/proc/self/status").unwrap();
     let line = text.lines().find_map(|line| line.strip_prefix(figure)?.strip_prefix(':')).unwrap();
@@ -45,7 +46,7 @@
     assert!(table.needs_rebuild());
 }
 
-/// Guards the memory of a sender, and that what a list took goes back to the system with it.
+/// Memory that a list took must return to the system with it, or a sender would grow with each snapshot.
 #[test]
 fn two_lists_of_the_design_size_fit() {
     let before = memory("VmRSS");
@@ -58,6 +59,6 @@
         assert_eq!((table.len(), table.destinations()), (558_000, 310_000));
         let (one, most) = (memory("VmRSS") - before, memory("VmHWM") - before);
         assert!(one <= ONE + ONE / 20, "{one} bytes are held after round {round}");
-        assert!(most <= MAX_BYTES, "{most} bytes at most in round {round}");
+        assert!(most <= MAX_BYTES, "a peak of {most} bytes in round {round}");
     }
 }
--- a/tests/start_tier.rs
+++ b/tests/start_tier.rs
@@ -1,5 +1,5 @@
-//! Starts of whole tiers in virtual time, with the core that ships: hundreds of senders begin together at a list service
-//! that bears so many calls a second, over links that lose datagrams.
+//! Starts of whole tiers in virtual time, with the production core: hundreds of senders start together and
+//! call a list service of limited capacity, over links that lose datagrams.
 
 use myrtleyard::interface::Micros;
 use myrtleyard::start::{Begin, CallFailure, Config, Named, Phase, Start};
@@ -8,21 +8,21 @@
 const SECOND: Micros = 1_000_000;
 const BEGAN: Micros = 1_000 * SECOND;
 const GRACE: Micros = 2 * SECOND;
-/// A watch is held so long; who is silent is asked again after as long.
+/// The service holds a watch for this long; a silent one is called again after the same time.
 const HOLD: Micros = 20 * SECOND;
-/// What a sender did before: it asked at once, and after 50 ms again.
+/// Without the section, a sender calls at once, and again after 50 ms.
 const AGAIN: Micros = 50_000;
 
-/// The list service: a bucket of calls, of a list that has changed since the senders last ran.
+/// The list service: a token bucket of calls, and a list that has changed since the senders last ran.
 struct Service {
     capacity: f64,
     room: f64,
     version: u64,
     list: Vec<Named>,
-    /// It is silent, or turns all away, until then.
+    /// Until these times it does not answer, or rejects all calls.
     silent_until: Micros,
     refuses_until: Micros,
-    /// Calls, and those turned away, by second since the beginning.
+    /// Calls and rejected calls in each second since the beginning.
     calls: Vec<(u32, u32)>,
 }
 
@@ -48,7 +48,7 @@
 struct Sender {
     core: Option<Start>,
     from: u64,
-    /// The end of the call that is out: when, and how.
+    /// The end of the call in flight: its time and result.
     out: Option<(Micros, Result<bool, CallFailure>)>,
     rests: Micros,
     listed: Option<Micros>,
@@ -63,16 +63,16 @@
     senders: Vec<Sender>,
     under_way: Vec<(Micros, u16, u16, Vec<u8>)>,
     loss: f64,
-    /// Datagrams between the halves are lost until then.
+    /// Until then, datagrams between the two halves are lost.
     split_until: Micros,
-    /// The part is off: each sender for itself, as without the section.
+    /// The part is off: each sender calls by itself, as without the section.
     off: bool,
-    /// What views count of those that are there, in parts of them.
+    /// The number of senders present according to membership views, as a share of the real number.
     view: f64,
 }
 
 fn list(changed: bool) -> Vec<Named> {
-    // The third endpoint has been replaced while nobody was there.
+    // The endpoint s-3 was replaced while no sender ran.
     (0..30).map(|n| (format!("s-{}", if changed && n == 3 { 99 } else { n }), n / 3, true)).collect()
 }
 
@@ -125,7 +125,8 @@
         (sender.core, sender.out) = (None, None);
     }
 
-    /// What the socket side of a sender does: it asks when its core says so, and tells the core what came of it.
+    /// Stands in for the I/O side of a sender: it calls the service when the core requests it, and reports
+    /// the result to the core.
     fn ask(&mut self, rank: usize) {
         let (now, service) = (self.now, &mut self.service);
         let sender = &mut self.senders[rank];
@@ -203,14 +204,14 @@
         }
     }
 
-    /// Calls in the worst second, in the first ten, and turned away.
+    /// Calls in the worst second, calls in the first ten seconds, and rejected calls.
     fn calls(&self) -> (u32, u32, u32) {
         let worst = self.service.calls.iter().map(|second| second.0).max().unwrap_or(0);
         let ten = self.service.calls.iter().take(10).map(|second| second.0).sum();
         (worst, ten, self.service.calls.iter().map(|second| second.1).sum())
     }
 
-    /// When the last sender that is there was told the list, since the beginning.
+    /// When the last running sender received the list, since the beginning.
     fn all_listed(&self) -> Option<Micros> {
         let there = self.senders.iter().filter(|sender| sender.core.is_some());
         there.map(|sender| sender.listed.map(|at| at - BEGAN)).max_by_key(|at| at.unwrap_or(Micros::MAX))?
@@ -220,13 +221,11 @@
 const SERVICE: &str = r#"{"source": "service", "bears_per_s": 20}"#;
 const LEARNED: &str = r#"{"source": "service"}"#;
 
-/// A table of the tier's growth; the bounds that are asserted are those that the page states.
+/// Prints a table over tier sizes; the asserted bounds are those that the documentation states.
 #[test]
 fn a_start_of_the_whole_tier_calls_the_list_service_at_the_rate_that_it_bears() {
-    println!(
-        "senders, seed: calls in the worst second, in ten seconds, turned away, all have the list after"
-    );
-    // More seeds, and 1,000 senders, in a build that is made for it: START_SEEDS=50 cargo test --release.
+    println!("senders, seed: calls in the worst second, in ten seconds, rejected, all have the list after");
+    // For more seeds, and for 1,000 senders, use a release build: START_SEEDS=50 cargo test --release.
     let more = std::env::var("START_SEEDS").ok().and_then(|seeds| seeds.parse().ok());
     let sizes =
         more.map_or(vec![(150, 2), (300, 1)], |seeds| vec![(150, seeds), (300, seeds), (1000, seeds)]);
@@ -243,13 +242,17 @@
             println!("{count} off, {seed}: {:?}, {:?}", off.calls(), off.all_listed());
             println!("{count} on, {seed}: {:?}, {:?}", on.calls(), on.all_listed());
             assert!(worst * 10 <= before && worst <= 16, "{worst} calls in a second, {before} without");
-            assert!(f64::from(ten) <= 1.3 * count as f64, "{ten} calls of {count} senders in ten seconds");
+            assert!(
+                f64::from(ten) <= 1.3 * count as f64,
+                "{ten} calls of {count} senders in the first ten seconds"
+            );
             assert_eq!(away, 0);
         }
     }
 }
 
-/// Until its own turn each goes by what it has, less what two others were told to be gone.
+/// Until its own slot, each sender uses the list that it has, without the endpoints that two peers report as
+/// gone.
 #[test]
 fn what_was_replaced_is_let_be_long_before_the_own_turn_comes() {
     let mut tier = Tier::new(300, 20.0, SERVICE, 3);
@@ -263,8 +266,8 @@
         tier.senders.iter().filter(gone).count(),
         tier.senders.iter().filter(|sender| sender.listed.is_some()).count(),
     );
-    assert!(asked < 80 && know >= 270, "{know} know, {asked} of them were told by the service");
-    // Nothing else is hidden from anybody, and what the service itself tells ends all hiding.
+    assert!(asked < 80 && know >= 270, "{know} know, {asked} of them from the service");
+    // No other endpoint is hidden anywhere, and a list from the service itself ends all hiding.
     assert!(tier.senders.iter().all(|sender| sender.core.as_ref().unwrap().hidden() <= 1));
     tier.run(BEGAN + 30 * SECOND);
     assert!(tier.senders.iter().all(|sender| sender.core.as_ref().unwrap().hidden() == 0));
@@ -287,8 +290,9 @@
     assert!(steady(&tier.senders[299]), "{:?}", tier.senders[299].core);
 }
 
-/// Silence and refusals at the beginning, a service that bears far less than is believed, half of the starters killed,
-/// others that join meanwhile, a split, a view that is off by half: the rate holds, and all come to have the list.
+/// The service is silent or rejects calls at the beginning, has less capacity than configured, half of the
+/// starting senders are killed, others join during the start, the tier is split, or the membership view is
+/// off by half: the call rate holds, and all senders get the list.
 #[test]
 fn troubles_under_way_widen_the_spread_for_all_and_delay_nobody_for_ever() {
     type Trouble = fn(&mut Tier);
@@ -321,14 +325,18 @@
         }
         tier.run(BEGAN + 90 * SECOND);
         let (worst, ten, away) = tier.calls();
-        println!("{name}: {worst} in the worst second, {ten} in ten, {away} away, {:?}", tier.all_listed());
+        println!(
+            "{name}: {worst} in the worst second, {ten} in ten, {away} rejected, {:?}",
+            tier.all_listed()
+        );
         assert!(worst <= most, "{name}: {worst} calls in a second");
-        assert!(tier.all_listed().is_some(), "{name}: somebody has no list after two minutes");
+        assert!(tier.all_listed().is_some(), "{name}: a sender has no list after 90 s");
     }
 }
 
-/// What an agent has counts as told from the first moment: whatever is believed, the first call goes out within half of
-/// the time in which sends must have ceased, and a failed one soon again.
+/// What an agent has counts as received from the first moment. Whatever capacity is assumed, the first call
+/// must be sent within half of the time in which sends must have ended, and a failed one must be repeated
+/// soon.
 #[test]
 fn at_an_agent_no_call_waits_for_longer_than_half_of_the_grace() {
     for (section, lives) in [("{}", 0), (r#"{"bears_per_s": 1}"#, 9)] {
@@ -345,7 +353,7 @@
     }
 }
 
-/// This sender says that all is gone and something else is there, of a version far ahead.
+/// Makes a sender report that all endpoints are gone and another one exists, in a version far ahead.
 fn lie(tier: &mut Tier, rank: usize) {
     let core = tier.senders[rank].core.as_mut().unwrap();
     core.asked(BEGAN);
@@ -353,7 +361,8 @@
     tier.senders[rank].out = Some((Micros::MAX, Ok(false)));
 }
 
-/// One false voice hides nothing; two that agree hide until the list service speaks, and add nothing ever.
+/// One false peer hides nothing. Two that agree hide endpoints until the list service answers, and never add
+/// any.
 #[test]
 fn a_false_word_hides_at_most_and_only_until_the_service_tells_itself() {
     let mut tier = Tier::new(2, 20.0, SERVICE, 9);
@@ -362,7 +371,7 @@
     tier.senders[1].out = Some((Micros::MAX, Ok(false)));
     tier.run(BEGAN + 5 * SECOND);
     let core = tier.senders[1].core.as_ref().unwrap();
-    assert!(core.hidden() == 0 && core.counts.hints_heard > 3, "one voice has hidden something");
+    assert!(core.hidden() == 0 && core.counts.hints_heard > 3, "one false peer has hidden an endpoint");
     let mut tier = Tier::new(3, 20.0, SERVICE, 9);
     tier.all_start();
     (0..2).for_each(|liar| lie(&mut tier, liar));
@@ -372,7 +381,7 @@
     assert!(core.hides("s-1") && !core.hides("evil"));
     core.listed(BEGAN + 6 * SECOND, 43, list(true));
     assert_eq!((core.hidden(), core.hides("s-1"), core.changed().contains("s-1")), (0, false, true));
-    // A word of what is spoilt, or says too much, is counted and no more.
+    // Corrupt or oversized messages are counted and have no other effect.
     let mut out = vec![];
     for length in 0..256 {
         let bytes: Vec<u8> = [0xd1, 0x21].into_iter().chain((0..length).map(|_| tier.rng.u8(..))).collect();
@@ -381,7 +390,7 @@
     assert!(core.counts.dropped >= 250 && core.hidden() == 0);
 }
 
-/// The service has lost its versions: from the kept one a watch would be held for nothing.
+/// The service has lost its versions: a watch from the cached version would be held without any use.
 #[test]
 fn a_version_that_went_back_is_found_from_what_others_were_told() {
     let mut tier = Tier::new(60, 20.0, SERVICE, 4);
@@ -393,11 +402,11 @@
     tier.all_start();
     tier.run(BEGAN + 15 * SECOND);
     let late = tier.senders.iter().filter(|sender| sender.listed.is_none()).count();
-    assert!(late <= 35, "{late} of 60 wait for a version that does not come");
+    assert!(late <= 35, "{late} of 60 wait for a version that never comes");
     assert!(tier.all_listed().is_none_or(|at| at <= HOLD + 5 * SECOND));
 }
 
-/// A process that ends again and again while it starts asks ever later, within a bound.
+/// A process that ends repeatedly during its start calls ever later, within a bound.
 #[test]
 fn lives_that_end_early_slow_the_asking_down_within_a_bound() {
     let slot = |lives| {
