--- a/src/net/parts/start.rs
+++ b/src/net/parts/start.rs
@@ -282,7 +282,7 @@
             let at = self.core.borrow().ask_at(now).unwrap_or(now);
             if at <= now {
                 let mut core = self.core.borrow_mut();
-                let whole = core.has_list();
+                let whole = core.needs_whole_list();
                 core.asked(now);
                 return whole;
             }
--- a/src/start/mod.rs
+++ b/src/start/mod.rs
@@ -365,7 +365,7 @@
     /// Whether the next call must request the whole list: two peers received a version before this sender's,
     /// which it has from an earlier process, so that the service would hold a watch from that version without
     /// any use.
-    pub fn has_list(&self) -> bool {
+    pub fn needs_whole_list(&self) -> bool {
         let before = |heard: &&PeerState| heard.confirmed && heard.version < self.version;
         let confirmed = self.heard.values().filter(|heard| heard.confirmed).count();
         let before = self.heard.values().filter(before).count();
--- a/tests/start_tier.rs
+++ b/tests/start_tier.rs
@@ -148,7 +148,7 @@
             false => sender.out.is_none() && core.ask_at(now).is_some_and(|at| at <= now),
         };
         if due {
-            let from = if core.has_list() { 0 } else { sender.from };
+            let from = if core.needs_whole_list() { 0 } else { sender.from };
             core.asked(now);
             sender.out = Some(match service.call(now) {
                 Err(CallFailure::NoAnswer) => (now + 3 * SECOND, Err(CallFailure::NoAnswer)),
