--- a/src/endpoints/reader.rs
+++ b/src/endpoints/reader.rs
@@ -27,14 +27,14 @@
 pub const NAME_BYTES: usize = 255;
 
 /// Maximum length of an entry, and of an ignored member, bytes: no more than this is held of the text,
-/// whatever it contains. The limit applies with a tolerance of [`PIECE`] bytes.
-pub const STRETCH: u64 = 1 << 20;
+/// whatever it contains. The limit applies with a tolerance of [`READ_BUFFER_LEN`] bytes.
+pub const MAX_ENTRY_LEN: u64 = 1 << 20;
 
 /// Maximum number of characters in the description of a JSON error.
-const TOLD: usize = 200;
+const MAX_ERROR_CHARS: usize = 200;
 
 /// Bytes read from the stream at once.
-const PIECE: usize = 64 << 10;
+const READ_BUFFER_LEN: usize = 64 << 10;
 
 /// A complete and valid list.
 #[derive(Debug)]
@@ -55,36 +55,41 @@
 ///
 /// # Errors
 /// Fails if the text is not a list, is truncated, or exceeds `bounds`, [`CHANGES`], [`NAME_BYTES`] or
-/// [`STRETCH`]; nothing of it may be used then.
+/// [`MAX_ENTRY_LEN`]; nothing of it may be used then.
 pub fn read(source: impl Read, bounds: &Bounds) -> Result<List, ListError> {
     let progress = Progress::default();
-    let counted = CountingReader { source, progress: &progress, most: bounds.bytes, most_unmarked: STRETCH };
+    let counted =
+        CountingReader { source, progress: &progress, most: bounds.bytes, most_unmarked: MAX_ENTRY_LEN };
     let mut gathered = ListVisitor::new(bounds.endpoints, &progress);
-    let pieces = BufReader::with_capacity(PIECE, counted);
+    let pieces = BufReader::with_capacity(READ_BUFFER_LEN, counted);
     let mut json = serde_json::Deserializer::from_reader(pieces);
     let outcome = gathered.deserialize(&mut json).and_then(|()| json.end());
     match outcome {
         Ok(()) => gathered.finish(),
-        Err(why) => Err(gathered.refused().unwrap_or_else(|| not_read(&why, &progress, bounds))),
+        Err(why) => Err(gathered.refused().unwrap_or_else(|| read_error(&why, &progress, bounds))),
     }
 }
 
 /// The reason why the JSON could not be read.
-fn not_read(why: &serde_json::Error, progress: &Progress, bounds: &Bounds) -> ListError {
+fn read_error(why: &serde_json::Error, progress: &Progress, bounds: &Bounds) -> ListError {
     if progress.read() > bounds.bytes {
         return ListError::Bytes(bounds.bytes);
     }
-    if progress.unmarked() > STRETCH {
-        return ListError::Malformed(format!("over {STRETCH} bytes came without an entry or a member"));
+    if progress.unmarked() > MAX_ENTRY_LEN {
+        return ListError::Malformed(format!("over {MAX_ENTRY_LEN} bytes came without an entry or a member"));
     }
     let broke_off = why.classify() == Category::Eof || why.io_error_kind() == Some(ErrorKind::UnexpectedEof);
-    if broke_off { ListError::Truncated(progress.read()) } else { ListError::Malformed(told(why)) }
+    if broke_off {
+        ListError::Truncated(progress.read())
+    } else {
+        ListError::Malformed(describe_json_error(why))
+    }
 }
 
 /// A bounded description of a JSON error with its position. The error may quote any length of the text.
-fn told(why: &serde_json::Error) -> String {
+fn describe_json_error(why: &serde_json::Error) -> String {
     let all = why.to_string();
-    match all.char_indices().nth(TOLD) {
+    match all.char_indices().nth(MAX_ERROR_CHARS) {
         Some((end, _)) => format!("{}... at line {} column {}", &all[..end], why.line(), why.column()),
         None => all,
     }
--- a/src/endpoints/reader/tests.rs
+++ b/src/endpoints/reader/tests.rs
@@ -271,7 +271,7 @@
 
 #[test]
 fn large_members_and_entries_are_taken() {
-    let large = "x".repeat(STRETCH as usize - 2 * PIECE);
+    let large = "x".repeat(MAX_ENTRY_LEN as usize - 2 * READ_BUFFER_LEN);
     let entry = json!({"more": large, "name": "a", "group": 1, "status": "active"});
     let text =
         ordered(&[("more", json!(large)), ("endpoints", json!([entry, entry])), ("last", json!(large))]);
@@ -300,26 +300,27 @@
 fn input_without_end_ends() {
     let entry = r#"{"name":"a","group":1,"status":"active"},"#;
     let bounds = Bounds { endpoints: 100_000, bytes: 20 << 20 };
-    let stretch = ListError::Malformed(format!("over {STRETCH} bytes came without an entry or a member"));
+    let too_long =
+        ListError::Malformed(format!("over {MAX_ENTRY_LEN} bytes came without an entry or a member"));
     let all = [
         (r#"{"snapshot":true,"endpoints":["#, entry, ListError::Endpoints(100_000)),
         (r#"{"snapshot":false,"endpoints":["#, entry, ListError::Changes(CHANGES)),
         (r#"{"endpoints":["#, entry, ListError::Endpoints(100_000)),
         ("{", r#""more":[1,{}],"#, ListError::Bytes(bounds.bytes)),
-        (r#"{"more":["#, "1,", stretch.clone()),
-        (r#"{"more":"#, "[", stretch.clone()),
-        (r#"{"endpoints":[{"more":"#, "[", stretch.clone()),
-        (r#"{"endpoints":[{"name":""#, r#"\""#, stretch.clone()),
-        (r#"{""#, "m", stretch.clone()),
-        ("", "  ", stretch.clone()),
-        ("{}", "\n", stretch.clone()),
+        (r#"{"more":["#, "1,", too_long.clone()),
+        (r#"{"more":"#, "[", too_long.clone()),
+        (r#"{"endpoints":[{"more":"#, "[", too_long.clone()),
+        (r#"{"endpoints":[{"name":""#, r#"\""#, too_long.clone()),
+        (r#"{""#, "m", too_long.clone()),
+        ("", "  ", too_long.clone()),
+        ("{}", "\n", too_long.clone()),
     ];
     for (first, over_and_over, expected) in all {
         let mut endless = Endless(Cursor::new(first.into()), over_and_over.repeat(1000).into(), 0);
         let outcome = read(&mut endless, &bounds).unwrap_err();
         assert_eq!(outcome, expected, "{first}");
-        let most = if expected == stretch { STRETCH } else { bounds.bytes };
-        assert!(endless.2 <= most + 2 * PIECE as u64, "{first}: {}", endless.2);
+        let most = if expected == too_long { MAX_ENTRY_LEN } else { bounds.bytes };
+        assert!(endless.2 <= most + 2 * READ_BUFFER_LEN as u64, "{first}: {}", endless.2);
     }
 }
 
--- a/src/endpoints/reader/visitor.rs
+++ b/src/endpoints/reader/visitor.rs
@@ -16,7 +16,7 @@
 pub struct ListVisitor<'progress> {
     progress: &'progress Progress,
     /// Maximum number of endpoints.
-    most: usize,
+    max_endpoints: usize,
     index: Option<u64>,
     snapshot: Option<bool>,
     endpoints_seen: bool,
@@ -30,11 +30,11 @@
 }
 
 impl<'progress> ListVisitor<'progress> {
-    /// Creates a visitor for a list of at most `most` endpoints.
-    pub fn new(most: usize, progress: &'progress Progress) -> Self {
+    /// Creates a visitor for a list of at most `max_endpoints` endpoints.
+    pub fn new(max_endpoints: usize, progress: &'progress Progress) -> Self {
         Self {
             progress,
-            most,
+            max_endpoints,
             index: None,
             snapshot: None,
             endpoints_seen: false,
@@ -64,8 +64,8 @@
 
     fn add(&mut self, entry: Listing) -> Result<(), ListError> {
         self.count += 1;
-        if self.count > self.most {
-            return Err(ListError::Endpoints(self.most));
+        if self.count > self.max_endpoints {
+            return Err(ListError::Endpoints(self.max_endpoints));
         }
         let may_be_snapshot = self.snapshot != Some(false);
         if !may_be_snapshot && self.count > CHANGES {
@@ -78,7 +78,7 @@
             )));
         }
         if may_be_snapshot && self.count == ENTRIES + 1 {
-            self.builder = Some(built(std::mem::take(&mut self.entries))?);
+            self.builder = Some(builder_from(std::mem::take(&mut self.entries))?);
         }
         match &mut self.builder {
             Some(builder) => builder.push(&entry)?,
@@ -88,7 +88,7 @@
     }
 }
 
-fn built(entries: Vec<Listing>) -> Result<Builder, ListError> {
+fn builder_from(entries: Vec<Listing>) -> Result<Builder, ListError> {
     let mut builder = Builder::default();
     for entry in entries {
         builder.push(&entry)?;
@@ -126,8 +126,8 @@
         while let Some(member) = members.next_key()? {
             self.progress.mark();
             match member {
-                Member::Index => once(&mut self.index, members.next_value()?, "index")?,
-                Member::Snapshot => once(&mut self.snapshot, members.next_value()?, "snapshot")?,
+                Member::Index => set_once(&mut self.index, members.next_value()?, "index")?,
+                Member::Snapshot => set_once(&mut self.snapshot, members.next_value()?, "snapshot")?,
                 Member::Endpoints => members.next_value_seed(Entries(self))?,
                 Member::Other => drop(members.next_value::<IgnoredAny>()?),
             }
@@ -137,7 +137,7 @@
 }
 
 /// Stores the value of a member that may occur only once.
-fn once<T, E: Error>(kept: &mut Option<T>, value: T, member: &'static str) -> Result<(), E> {
+fn set_once<T, E: Error>(kept: &mut Option<T>, value: T, member: &'static str) -> Result<(), E> {
     match kept.replace(value) {
         Some(_) => Err(E::duplicate_field(member)),
         None => Ok(()),
--- a/src/endpoints/table/store.rs
+++ b/src/endpoints/table/store.rs
@@ -9,13 +9,13 @@
 use super::texts::Texts;
 
 /// Maximum number of rows: row numbers, and the numbers of shapes and words, fit in four bytes.
-const ROWS: usize = (u32::MAX / 4) as usize;
+const MAX_ROWS: usize = (u32::MAX / 4) as usize;
 
 /// A number that no shape has; it marks a deleted row.
-const STRUCK: u32 = u32::MAX;
+const DELETED_SHAPE: u32 = u32::MAX;
 
 /// Length of a row's time, and of its address (an IPv4 address and a port), bytes.
-const FIELD: usize = 6;
+const FIELD_LEN: usize = 6;
 
 /// An entry.
 #[derive(Debug, Clone, Copy)]
@@ -27,20 +27,20 @@
     /// Number of the shape.
     shape: u32,
     /// The address, or the position of its text, as the shape tells.
-    address: [u8; FIELD],
+    address: [u8; FIELD_LEN],
     /// The time in milliseconds, or the position of its eight bytes in the texts, as the shape tells.
-    since: [u8; FIELD],
+    since: [u8; FIELD_LEN],
 }
 
 impl Row {
     /// Marks the row as deleted.
     pub fn mark_deleted(&mut self) {
-        self.shape = STRUCK;
+        self.shape = DELETED_SHAPE;
     }
 
     /// Whether the row is marked as deleted.
     pub fn is_deleted(&self) -> bool {
-        self.shape == STRUCK
+        self.shape == DELETED_SHAPE
     }
 }
 
@@ -58,7 +58,7 @@
     /// Adds an entry and returns its row number. Returns `None`, and adds no row, if the store is full, for
     /// example with texts of over 4 GiB.
     pub fn push(&mut self, entry: &Listing) -> Option<u32> {
-        if self.rows.len() >= ROWS {
+        if self.rows.len() >= MAX_ROWS {
             return None;
         }
         let name = self.texts.put(entry.name.as_bytes())?;
@@ -93,9 +93,12 @@
         let mut entry = self.shapes.entry(shape);
         entry.name = self.texts.string(row.name);
         entry.group = row.group;
-        entry.address =
-            if shape.address_is_text { self.texts.string(place(row.address)) } else { unpacked(row.address) };
-        entry.since_ms = if shape.since_is_text { self.long_since(row) } else { number(row.since) };
+        entry.address = if shape.address_is_text {
+            self.texts.string(place(row.address))
+        } else {
+            unpack_address(row.address)
+        };
+        entry.since_ms = if shape.since_is_text { self.long_since(row) } else { unpack_since(row.since) };
         entry
     }
 
@@ -118,8 +121,8 @@
     }
 
     fn row(&mut self, name: u32, entry: &Listing) -> Option<Row> {
-        let address = packed(&entry.address);
-        let since = short(entry.since_ms);
+        let address = pack_address(&entry.address);
+        let since = pack_since(entry.since_ms);
         let shape = self.shapes.number(entry, address.is_none(), since.is_none());
         let address = match address {
             Some(address) => address,
@@ -139,7 +142,7 @@
 }
 
 /// The bytes of an IPv4 address and port, if formatting them gives exactly this text again.
-fn packed(text: &str) -> Option<[u8; FIELD]> {
+fn pack_address(text: &str) -> Option<[u8; FIELD_LEN]> {
     let address: SocketAddrV4 = text.parse().ok()?;
     let (_, port) = text.rsplit_once(':')?;
     // A port with leading zeros is the only text that parses and is not formatted the same.
@@ -150,26 +153,26 @@
     Some([a, b, c, d, high, low])
 }
 
-fn unpacked([a, b, c, d, high, low]: [u8; FIELD]) -> String {
+fn unpack_address([a, b, c, d, high, low]: [u8; FIELD_LEN]) -> String {
     SocketAddrV4::new([a, b, c, d].into(), u16::from_be_bytes([high, low])).to_string()
 }
 
-fn short(since_ms: u64) -> Option<[u8; FIELD]> {
+fn pack_since(since_ms: u64) -> Option<[u8; FIELD_LEN]> {
     match since_ms.to_be_bytes() {
         [0, 0, since @ ..] => Some(since),
         _ => None,
     }
 }
 
-fn number([a, b, c, d, e, f]: [u8; FIELD]) -> u64 {
+fn unpack_since([a, b, c, d, e, f]: [u8; FIELD_LEN]) -> u64 {
     u64::from_be_bytes([0, 0, a, b, c, d, e, f])
 }
 
-fn field(place: u32) -> [u8; FIELD] {
+fn field(place: u32) -> [u8; FIELD_LEN] {
     let [a, b, c, d] = place.to_be_bytes();
     [0, 0, a, b, c, d]
 }
 
-fn place([_, _, a, b, c, d]: [u8; FIELD]) -> u32 {
+fn place([_, _, a, b, c, d]: [u8; FIELD_LEN]) -> u32 {
     u32::from_be_bytes([a, b, c, d])
 }
--- a/src/start/hint.rs
+++ b/src/start/hint.rs
@@ -5,11 +5,11 @@
 
 /// Second byte, which no datagram of a channel has.
 const KIND: u8 = 0x21;
-const HEAD: usize = 23;
-const SUM: usize = 4;
+const HEADER_LEN: usize = 23;
+const CHECKSUM_LEN: usize = 4;
 /// Maximum number of destinations in a hint.
 pub const MAX_HELD: usize = 48;
-const ANSWER: u8 = 1;
+const REPLY_REQUESTED: u8 = 1;
 const CONFIRMED: u8 = 2;
 
 /// A hint about its sender's start.
@@ -38,7 +38,8 @@
     pub fn write(&self, tier: u32) -> Vec<u8> {
         let mut bytes = vec![START, KIND];
         bytes.extend(tier.to_le_bytes());
-        bytes.push(if self.answer { ANSWER } else { 0 } | if self.confirmed { CONFIRMED } else { 0 });
+        bytes
+            .push(if self.answer { REPLY_REQUESTED } else { 0 } | if self.confirmed { CONFIRMED } else { 0 });
         bytes.extend(self.age_s.to_le_bytes());
         bytes.extend(self.version.to_le_bytes());
         bytes.push(self.trouble);
@@ -60,13 +61,13 @@
 
     /// Decodes a datagram. `None` if it is invalid or from another tier.
     pub fn read(bytes: &[u8], tier: u32) -> Option<Self> {
-        let (body, sum) = bytes.split_at_checked(bytes.len().checked_sub(SUM)?)?;
-        let (head, held) = body.split_at_checked(HEAD)?;
+        let (body, sum) = bytes.split_at_checked(bytes.len().checked_sub(CHECKSUM_LEN)?)?;
+        let (head, held) = body.split_at_checked(HEADER_LEN)?;
         let (held, odd) = held.as_chunks::<4>();
         let sound = crc32fast::hash(body).to_le_bytes() == sum && body[2..6] == tier.to_le_bytes();
         let sound = sound && odd.is_empty() && held.len() == usize::from(head[22]) && held.len() <= MAX_HELD;
         sound.then_some(Self {
-            answer: body[6] & ANSWER != 0,
+            answer: body[6] & REPLY_REQUESTED != 0,
             confirmed: body[6] & CONFIRMED != 0,
             age_s: u16::from_le_bytes([body[7], body[8]]),
             version: u64::from_le_bytes(body[9..17].try_into().ok()?),
--- a/src/start/jitter.rs
+++ b/src/start/jitter.rs
@@ -7,13 +7,13 @@
 /// and for the effect of lost hints.
 pub const MARGIN: f64 = 0.75;
 /// Maximum jitter window over a whole tier.
-pub const MAX_SPREAD: Micros = 60_000_000;
+pub const MAX_WINDOW: Micros = 60_000_000;
 /// A shorter window is treated as none.
-const MIN_SPREAD: Micros = 50_000;
+const MIN_WINDOW: Micros = 50_000;
 /// Maximum number of failures that widen the window. Each doubles it.
 pub const MAX_TROUBLE: f64 = 4.0;
 /// Time without a failure in which a widening is halved.
-pub const TROUBLE_FADES: Micros = 10_000_000;
+pub const TROUBLE_HALF_LIFE: Micros = 10_000_000;
 /// Minimum and maximum mean backoff after a failed call, before randomization.
 pub const BACKOFF: (Micros, Micros) = (200_000, 60_000_000);
 /// The same where the source of the list is an agent on the same machine, which takes any number of calls.
@@ -27,24 +27,24 @@
 }
 
 /// The jitter window for the calls of this many senders to a service of this capacity, in calls per second.
-/// It is widened by two to the power of `trouble`, and limited by `most`.
-pub fn width(senders: f64, capacity: f64, trouble: f64, most: Micros) -> Micros {
+/// It is widened by two to the power of `trouble`, and limited by `max`.
+pub fn window(senders: f64, capacity: f64, trouble: f64, max: Micros) -> Micros {
     let seconds = senders / (capacity.max(0.1) * MARGIN) * trouble.clamp(0.0, 3.0 * MAX_TROUBLE).exp2();
-    let width = (seconds * 1e6) as Micros;
-    if width < MIN_SPREAD { 0 } else { width.min(most) }
+    let window = (seconds * 1e6) as Micros;
+    if window < MIN_WINDOW { 0 } else { window.min(max) }
 }
 
 /// What remains of a widening after the time `since`.
 pub fn decayed(trouble: f64, since: Micros) -> f64 {
-    (trouble - since as f64 / TROUBLE_FADES as f64).max(0.0)
+    (trouble - since as f64 / TROUBLE_HALF_LIFE as f64).max(0.0)
 }
 
 /// Backoff after this many consecutive failed calls: the mean is held within the bounds, and the result is
 /// between half and one and a half of it. The randomization keeps senders whose calls failed together from
 /// retrying together.
-pub fn backoff(first: Micros, failed: u32, luck: f64, bounds: (Micros, Micros)) -> Micros {
+pub fn backoff(first: Micros, failed: u32, random: f64, bounds: (Micros, Micros)) -> Micros {
     let mean = (first.clamp(bounds.0, bounds.1) << failed.saturating_sub(1).min(2)).min(bounds.1);
-    (mean as f64 * (0.5 + luck)) as Micros
+    (mean as f64 * (0.5 + random)) as Micros
 }
 
 #[cfg(test)]
--- a/src/start/jitter/tests.rs
+++ b/src/start/jitter/tests.rs
@@ -15,12 +15,12 @@
     for senders in [0.0, 1.0, 1e3, f64::INFINITY, f64::NAN] {
         for capacity in [0.0, -4.0, 20.0, f64::INFINITY, f64::NAN] {
             for trouble in [-1.0, 0.0, 1e9, f64::NAN] {
-                assert!(width(senders, capacity, trouble, MAX_SPREAD) <= MAX_SPREAD);
+                assert!(window(senders, capacity, trouble, MAX_WINDOW) <= MAX_WINDOW);
             }
         }
     }
-    assert_eq!(width(150.0, 20.0, 0.0, MAX_SPREAD), 10_000_000);
-    assert_eq!(width(150.0, 20.0, 1.0, MAX_SPREAD), 20_000_000);
+    assert_eq!(window(150.0, 20.0, 0.0, MAX_WINDOW), 10_000_000);
+    assert_eq!(window(150.0, 20.0, 1.0, MAX_WINDOW), 20_000_000);
     for failed in 0..100 {
         assert!(backoff(7, failed, 1.0, BACKOFF) <= BACKOFF.1 * 3 / 2);
         assert!(backoff(Micros::MAX >> 8, failed, 0.0, BACKOFF_AT_AGENT) >= BACKOFF_AT_AGENT.0 / 2);
--- a/src/start/mod.rs
+++ b/src/start/mod.rs
@@ -30,27 +30,27 @@
 const INITIAL_CAPACITY: f64 = 16.0;
 /// Minimum duration of a start. Processes that began at most this long before this one count as starting with
 /// it.
-const STARTS_FOR: Micros = 10_000_000;
+const MIN_START_TIME: Micros = 10_000_000;
 /// Interval at which hints are sent while there is anything to learn from peers.
-const HINTS_EVERY: Micros = 500_000;
+const HINT_INTERVAL: Micros = 500_000;
 /// Number of peers that a hint is sent to each time, and the first time, when nothing is known yet.
-const HINTS: (usize, usize) = (4, 8);
+const HINT_FANOUT: (usize, usize) = (4, 8);
 /// Maximum number of replies to peers' hints per second.
-const ANSWERS: u32 = 64;
+const MAX_HINT_REPLIES: u32 = 64;
 /// Maximum number of peers whose last hint is kept.
 const MAX_HEARD: usize = 64;
 /// Number of peers heard from which the share of starting senders is taken from hints. With fewer, all
 /// senders are assumed to be starting.
-const ENOUGH: usize = 3;
+const MIN_HEARD: usize = 3;
 /// Maximum number of lists requested from peers, and sent to peers, per second.
-const WORDS: (u32, u32) = (2, 32);
+const MAX_LISTS_PER_S: (u32, u32) = (2, 32);
 /// Number of peers that must agree before an endpoint is considered gone.
-const WITNESSES: usize = 2;
+const MIN_WITNESSES: usize = 2;
 /// Maximum number of entries in a list sent to a peer.
 const MAX_ENTRIES: usize = 4096;
 /// An answer that takes at least this long came from a held watch; after a shorter time, the service had
 /// changes at once.
-const HELD: Micros = 2_000_000;
+const MIN_HELD_TIME: Micros = 2_000_000;
 
 /// Source of the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
@@ -198,13 +198,13 @@
     own: Rank,
     size: usize,
     tier: u32,
-    most: Micros,
+    max_window: Micros,
     rng: fastrand::Rng,
     began: Micros,
     lives: u32,
     /// Number of senders present according to the membership view.
-    there: usize,
-    place: f64,
+    present: usize,
+    position: f64,
     capacity: f64,
     next: Next,
     watched: bool,
@@ -215,7 +215,7 @@
     hint_at: Micros,
     share_at: Micros,
     /// Start of the current second; hints answered, lists requested and lists requested by peers in it.
-    spent: (Micros, u32, u32, u32),
+    this_second: (Micros, u32, u32, u32),
     mesh: Mesh,
     /// Version of the list that this sender uses, and the list as this process last received it from the
     /// service.
@@ -223,12 +223,12 @@
     list: Option<Vec<Named>>,
     list_at: Option<Micros>,
     /// The list is too long to be sent to peers, and is not stored here.
-    long: bool,
+    list_too_long: bool,
     /// Names and destinations of the usable endpoints in the list that this sender uses.
     names: BTreeMap<String, u32>,
     /// The peers that reported an endpoint as gone since this sender's own last answer, by endpoint; and the
     /// list version of each peer that sent a list since then.
-    denied: BTreeMap<String, BTreeSet<Rank>>,
+    reported_gone: BTreeMap<String, BTreeSet<Rank>>,
     witnesses: BTreeMap<Rank, u64>,
     changed: BTreeSet<String>,
     /// Counters of this process.
@@ -249,9 +249,9 @@
         let tier = tier_of(&config.tier);
         // What an agent has counts as received from the first moment: half of the grace is left for the
         // answer.
-        let most = match config.source {
+        let max_window = match config.source {
             Source::Agent => grace / 2,
-            Source::Service => jitter::MAX_SPREAD,
+            Source::Service => jitter::MAX_WINDOW,
         };
         let told = config.bears_per_s.map(f64::from);
         let capacity = told
@@ -263,12 +263,12 @@
             own,
             size,
             tier,
-            most,
+            max_window,
             rng: fastrand::Rng::with_seed(seed),
             began: now,
             lives: lives.min(cached_list::MAX_FAILED_STARTS),
-            there: size,
-            place: jitter::place(own, tier),
+            present: size,
+            position: jitter::place(own, tier),
             capacity,
             next: Next::Slot,
             watched,
@@ -278,14 +278,14 @@
             heard: BTreeMap::new(),
             hint_at: now,
             share_at: now,
-            spent: (now, 0, 0, 0),
+            this_second: (now, 0, 0, 0),
             mesh: Mesh::new(START, own, size, tier, seed.rotate_left(17)),
             version,
             list: None,
             list_at: None,
-            long: false,
+            list_too_long: false,
             names: BTreeMap::new(),
-            denied: BTreeMap::new(),
+            reported_gone: BTreeMap::new(),
             witnesses: BTreeMap::new(),
             changed: BTreeSet::new(),
             counts: Counts::default(),
@@ -298,8 +298,8 @@
 
     /// Sets the number of senders present according to the membership view. It is only a hint, and is held
     /// between half and all of the configured senders.
-    pub fn set_peers(&mut self, there: usize) {
-        self.there = there.clamp(self.size.div_ceil(2), self.size);
+    pub fn set_peers(&mut self, present: usize) {
+        self.present = present.clamp(self.size.div_ceil(2), self.size);
     }
 
     /// The tier's checksum.
@@ -323,11 +323,11 @@
     /// all senders that are present.
     pub fn starters(&self) -> f64 {
         let heard = self.heard.len();
-        if heard < ENOUGH.min(self.size.saturating_sub(1)) {
-            return self.there as f64;
+        if heard < MIN_HEARD.min(self.size.saturating_sub(1)) {
+            return self.present as f64;
         }
         let starting = self.heard.values().filter(|heard| heard.starting).count();
-        1.0 + self.there.saturating_sub(1) as f64 * starting as f64 / heard.max(1) as f64
+        1.0 + self.present.saturating_sub(1) as f64 * starting as f64 / heard.max(1) as f64
     }
 
     /// The exponent of the power of two by which jitter windows are widened: the largest of this sender's own
@@ -340,23 +340,23 @@
     }
 
     /// The jitter window over this many senders.
-    fn width(&self, senders: f64, now: Micros) -> Micros {
-        jitter::width(senders, self.capacity, self.trouble(now) + f64::from(self.lives), self.most)
+    fn window(&self, senders: f64, now: Micros) -> Micros {
+        jitter::window(senders, self.capacity, self.trouble(now) + f64::from(self.lives), self.max_window)
     }
 
     /// The jitter window of this start.
     pub fn spread(&self, now: Micros) -> Micros {
-        self.width(self.starters(), now)
+        self.window(self.starters(), now)
     }
 
     /// When the list service may be called next; `None` while a call is in flight. The time changes with
     /// hints.
     pub fn ask_at(&self, now: Micros) -> Option<Micros> {
-        let place = |width: Micros| (width as f64 * self.place) as Micros;
+        let slot = |window: Micros| (window as f64 * self.position) as Micros;
         match self.next {
-            Next::Slot => Some(self.began + place(self.spread(now))),
+            Next::Slot => Some(self.began + slot(self.spread(now))),
             Next::Now => Some(0),
-            Next::Place(at) => Some(at + place(self.width(self.there as f64, now))),
+            Next::Place(at) => Some(at + slot(self.window(self.present as f64, now))),
             Next::At(at) => Some(at),
             Next::Out(_) => None,
         }
@@ -369,7 +369,7 @@
         let before = |heard: &&PeerState| heard.confirmed && heard.version < self.version;
         let confirmed = self.heard.values().filter(|heard| heard.confirmed).count();
         let before = self.heard.values().filter(before).count();
-        self.list.is_none() && before >= WITNESSES && before == confirmed
+        self.list.is_none() && before >= MIN_WITNESSES && before == confirmed
     }
 
     /// Notes that a call is sent.
@@ -380,7 +380,7 @@
 
     /// Handles an answer of the list service; `news` tells whether it had changes.
     pub fn answered(&mut self, now: Micros, news: bool) {
-        let held = matches!(self.next, Next::Out(at) if now >= at + HELD);
+        let held = matches!(self.next, Next::Out(at) if now >= at + MIN_HELD_TIME);
         let first = self.list.is_none() && !held;
         self.next = match (news, first) {
             (false, _) => Next::Now,
@@ -404,7 +404,7 @@
             // The peers' failures would otherwise count twice: each sender whose call fails backs off longer
             // by itself.
             Source::Service => {
-                (jitter::width(self.there as f64, self.capacity, 0.0, self.most), jitter::BACKOFF)
+                (jitter::window(self.present as f64, self.capacity, 0.0, self.max_window), jitter::BACKOFF)
             }
         };
         // A sender without an answer yet calls again as soon as all others could have called.
@@ -434,21 +434,21 @@
 
     /// Handles the whole list, received from the list service. It discards all reports of peers.
     pub fn listed(&mut self, now: Micros, version: u64, list: Vec<Named>) {
-        self.changed.extend(std::mem::take(&mut self.denied).into_keys());
+        self.changed.extend(std::mem::take(&mut self.reported_gone).into_keys());
         self.witnesses.clear();
         self.load_cached(version, list.iter().cloned());
-        (self.list, self.list_at, self.long) = (Some(list), Some(now), false);
+        (self.list, self.list_at, self.list_too_long) = (Some(list), Some(now), false);
     }
 
     /// Handles a list that is too long to be sent to peers, or to be compared with the lists of peers.
     pub fn listed_long(&mut self, now: Micros, version: u64) {
         self.listed(now, version, Vec::new());
-        self.long = true;
+        self.list_too_long = true;
     }
 
     /// Whether two peers reported an endpoint as gone since this sender last received the list itself.
     pub fn hides(&self, name: &str) -> bool {
-        self.denied.get(name).is_some_and(|by| by.len() >= WITNESSES)
+        self.reported_gone.get(name).is_some_and(|by| by.len() >= MIN_WITNESSES)
     }
 
     /// Takes the endpoints that became hidden, or are no longer hidden, since the last call.
@@ -461,7 +461,7 @@
     pub fn shares_due(&mut self, now: Micros) -> bool {
         let due = self.phase.0 != Phase::Steady && now >= self.share_at;
         if due {
-            self.share_at = now + HINTS_EVERY;
+            self.share_at = now + HINT_INTERVAL;
         }
         due
     }
@@ -480,18 +480,18 @@
     /// half by the share of all held messages that is held here. The even half bounds what a false hint can
     /// take away. The shares of all senders add up to about 1.
     pub fn part(&self, destination: u32) -> f64 {
-        let there = self.there.max(1) as f64;
+        let present = self.present.max(1) as f64;
         let own = self.held.iter().find(|held| held.0 == destination).map_or(0.0, |held| f64::from(held.1));
         let heard = self.heard.values().map(|heard| f64::from(*heard.held.get(&destination).unwrap_or(&0)));
-        let others = heard.sum::<f64>() * (there - 1.0) / self.heard.len().max(1) as f64;
-        let by_load = if own + others > 0.0 { own / (own + others) } else { 1.0 / there };
-        0.5 / there + 0.5 * by_load
+        let others = heard.sum::<f64>() * (present - 1.0) / self.heard.len().max(1) as f64;
+        let by_load = if own + others > 0.0 { own / (own + others) } else { 1.0 / present };
+        0.5 / present + 0.5 * by_load
     }
 
     /// This sender's shares of cold destinations that have changed by a tenth since last reported. Empty
     /// without enough hints of peers.
     pub fn parts(&mut self, cold: impl IntoIterator<Item = u32>) -> Vec<(u32, f64)> {
-        if self.heard.len() < ENOUGH.min(self.size.saturating_sub(1)) {
+        if self.heard.len() < MIN_HEARD.min(self.size.saturating_sub(1)) {
             return Vec::new();
         }
         let parts: Vec<(u32, f64)> = cold.into_iter().map(|to| (to, self.part(to))).collect();
@@ -509,8 +509,8 @@
     }
 
     /// Whether there is anything to learn from peers.
-    fn listens(&self, now: Micros) -> bool {
-        self.size > 1 && (now < self.began + STARTS_FOR || !self.watches())
+    fn needs_hints(&self, now: Micros) -> bool {
+        self.size > 1 && (now < self.began + MIN_START_TIME || !self.watches())
     }
 
     /// When [`Start::tick`] must be called next.
@@ -534,8 +534,8 @@
     }
 
     fn renew(&mut self, now: Micros) {
-        if now >= self.spent.0 + 1_000_000 {
-            self.spent = (now, 0, 0, 0);
+        if now >= self.this_second.0 + 1_000_000 {
+            self.this_second = (now, 0, 0, 0);
         }
     }
 
@@ -544,10 +544,10 @@
     pub fn tick(&mut self, now: Micros, out: &mut Outgoing) {
         self.renew(now);
         if now >= self.hint_at {
-            let troubled = now < self.trouble.1 + HINTS_EVERY && self.trouble.0 > 0.0;
-            self.hint_at = now + HINTS_EVERY;
-            if self.listens(now) || troubled {
-                let count = if self.heard.is_empty() { HINTS.1 } else { HINTS.0 };
+            let troubled = now < self.trouble.1 + HINT_INTERVAL && self.trouble.0 > 0.0;
+            self.hint_at = now + HINT_INTERVAL;
+            if self.needs_hints(now) || troubled {
+                let count = if self.heard.is_empty() { HINT_FANOUT.1 } else { HINT_FANOUT.0 };
                 let hint = self.hint(now, true);
                 for _ in 0..count {
                     let to = self.rng.usize(0..self.size) as Rank;
@@ -556,14 +556,14 @@
                         out.push((to, hint.clone()));
                     }
                 }
-                self.ask_for_words(now);
+                self.request_lists(now);
             }
         }
         self.mesh.flush(now, out);
         self.step(now);
     }
 
-    fn ask_for_words(&mut self, now: Micros) {
+    fn request_lists(&mut self, now: Micros) {
         if self.watches() {
             return;
         }
@@ -572,11 +572,11 @@
             (heard.confirmed && heard.version > self.version.max(known)).then_some(*rank)
         };
         let later: Vec<Rank> = self.heard.iter().filter_map(later).collect();
-        for rank in later.into_iter().take(WITNESSES) {
-            if self.spent.2 < WORDS.0
+        for rank in later.into_iter().take(MIN_WITNESSES) {
+            if self.this_second.2 < MAX_LISTS_PER_S.0
                 && let Ok(ask) = postcard::to_allocvec(&PeerMessage::RequestList)
             {
-                self.spent.2 += u32::from(self.mesh.send(now, rank, &ask).is_ok());
+                self.this_second.2 += u32::from(self.mesh.send(now, rank, &ask).is_ok());
             }
         }
     }
@@ -589,7 +589,7 @@
         self.renew(now);
         if !Hint::accepts(bytes) {
             let arrived = self.mesh.receive(now, from, bytes);
-            arrived.messages.iter().for_each(|message| self.said(now, from, message));
+            arrived.messages.iter().for_each(|message| self.handle_message(now, from, message));
             self.mesh.flush(now, out);
             return true;
         }
@@ -604,7 +604,7 @@
             at: now,
             // Ages are differences, so that no clock of another machine matters. The result is stored rather
             // than recomputed, so that slots stay as the peers' starts go by.
-            starting: now.saturating_sub(Micros::from(hint.age_s) * 1_000_000) + STARTS_FOR >= self.began,
+            starting: now.saturating_sub(Micros::from(hint.age_s) * 1_000_000) + MIN_START_TIME >= self.began,
             confirmed: hint.confirmed,
             version: hint.version,
             trouble,
@@ -619,8 +619,8 @@
             self.heard.remove(&oldest);
         }
         if hint.answer {
-            self.spent.1 += 1;
-            if self.spent.1 <= ANSWERS {
+            self.this_second.1 += 1;
+            if self.this_second.1 <= MAX_HINT_REPLIES {
                 self.counts.hints_sent += 1;
                 out.push((from, self.hint(now, false)));
             }
@@ -628,25 +628,26 @@
         true
     }
 
-    fn said(&mut self, now: Micros, from: Rank, message: &[u8]) {
+    fn handle_message(&mut self, now: Micros, from: Rank, message: &[u8]) {
         match postcard::from_bytes(message) {
             Ok(PeerMessage::RequestList) => {
-                self.spent.3 += 1;
+                self.this_second.3 += 1;
                 // Only a list that this process received itself is sent to peers.
-                let Some(list) = self.list.clone().filter(|list| !self.long && list.len() <= MAX_ENTRIES)
+                let Some(list) =
+                    self.list.clone().filter(|list| !self.list_too_long && list.len() <= MAX_ENTRIES)
                 else {
                     return;
                 };
-                let word = postcard::to_allocvec(&PeerMessage::List(self.version, list));
-                if let Some(word) =
-                    word.ok().filter(|word| word.len() <= MAX_MESSAGE_BYTES && self.spent.3 <= WORDS.1)
-                {
+                let reply = postcard::to_allocvec(&PeerMessage::List(self.version, list));
+                if let Some(reply) = reply.ok().filter(|reply| {
+                    reply.len() <= MAX_MESSAGE_BYTES && self.this_second.3 <= MAX_LISTS_PER_S.1
+                }) {
                     // A list that can't be queued is requested again by the peer.
-                    let _ = self.mesh.send(now, from, &word);
+                    let _ = self.mesh.send(now, from, &reply);
                 }
             }
             Ok(PeerMessage::List(version, list)) if list.len() <= MAX_ENTRIES => {
-                self.word(from, version, &list)
+                self.handle_list(from, version, &list)
             }
             _ => self.counts.absurd += 1,
         }
@@ -655,7 +656,7 @@
     /// Handles the list of a peer. An endpoint that is missing, not usable, or assigned to another
     /// destination in it becomes hidden once a second peer says so. Nothing is added: the address of an
     /// endpoint differs from sender to sender, and only the list service provides it.
-    fn word(&mut self, from: Rank, version: u64, list: &[Named]) {
+    fn handle_list(&mut self, from: Rank, version: u64, list: &[Named]) {
         if self.watches() || version <= self.version {
             return;
         }
@@ -665,26 +666,26 @@
             if usable.get(name.as_str()) == Some(group) {
                 continue;
             }
-            let by = self.denied.entry(name.clone()).or_default();
+            let by = self.reported_gone.entry(name.clone()).or_default();
             by.insert(from);
-            if by.len() == WITNESSES {
+            if by.len() == MIN_WITNESSES {
                 self.changed.insert(name.clone());
             }
         }
         let before = self.witnesses.insert(from, version);
-        self.counts.saved += u64::from(before.is_none() && self.witnesses.len() == WITNESSES);
+        self.counts.saved += u64::from(before.is_none() && self.witnesses.len() == MIN_WITNESSES);
     }
 
     /// Updates the phase of the start.
     pub fn step(&mut self, now: Micros) {
-        let known = self.size == 1 || self.heard.len() >= ENOUGH.min(self.size - 1);
+        let known = self.size == 1 || self.heard.len() >= MIN_HEARD.min(self.size - 1);
         let phase = if self.list.is_none() {
             Phase::List
         } else if self.backlog.left() > 0 {
             Phase::Journal
-        } else if !known && now < self.began + STARTS_FOR {
+        } else if !known && now < self.began + MIN_START_TIME {
             Phase::Peers
-        } else if !self.watches() || self.trouble(now) > 0.0 || now < self.began + STARTS_FOR {
+        } else if !self.watches() || self.trouble(now) > 0.0 || now < self.began + MIN_START_TIME {
             Phase::Warming
         } else {
             Phase::Steady
@@ -710,7 +711,7 @@
             (Phase::List, Some(ms)) => format!("its slot for calling the list service, in {ms} ms"),
             (Phase::List, None) => "an answer of the list service".to_owned(),
             (Phase::Journal, _) => format!("{} old messages that are not released yet", self.backlog.left()),
-            (Phase::Peers, _) => format!("hints of {ENOUGH} senders, {} received", self.heard.len()),
+            (Phase::Peers, _) => format!("hints of {MIN_HEARD} senders, {} received", self.heard.len()),
             (Phase::Warming, Some(ms)) => format!("the call that opens its watch on the list, in {ms} ms"),
             (Phase::Warming, None) => {
                 "the end of failed calls to the list service, or of the minimum start time".to_owned()
@@ -731,7 +732,7 @@
 
     /// Number of hidden endpoints.
     pub fn hidden(&self) -> usize {
-        self.denied.values().filter(|by| by.len() >= WITNESSES).count()
+        self.reported_gone.values().filter(|by| by.len() >= MIN_WITNESSES).count()
     }
 
     /// The lowest capacity of the list service that peers estimate. It is shown to operators and not used
--- a/src/start/pace.rs
+++ b/src/start/pace.rs
@@ -6,9 +6,9 @@
 use crate::interface::Micros;
 
 /// Time within which all messages are released.
-pub const SPAN: Micros = 5_000_000;
+pub const MAX_RELEASE_TIME: Micros = 5_000_000;
 /// No message waits for longer than its remaining time divided by this.
-const PART: Micros = 8;
+const MAX_WAIT_DIVISOR: Micros = 8;
 
 /// Messages that are not released yet.
 #[derive(Debug, Default)]
@@ -24,8 +24,8 @@
         messages.sort_unstable();
         let count = messages.len().max(1) as Micros;
         let turn = |(at, (end, number)): (usize, (Micros, u32))| {
-            let even = SPAN * at as Micros / count;
-            (now + even.min(end.saturating_sub(now) / PART), number)
+            let even = MAX_RELEASE_TIME * at as Micros / count;
+            (now + even.min(end.saturating_sub(now) / MAX_WAIT_DIVISOR), number)
         };
         // Both bounds grow with the remaining time, so the order is preserved.
         Self { waiting: messages.into_iter().enumerate().map(turn).collect() }
--- a/src/start/pace/tests.rs
+++ b/src/start/pace/tests.rs
@@ -9,12 +9,15 @@
         let ends: Vec<Micros> = (0..count).map(|_| now - 1_000_000 + rng.u64(0..30_000_000)).collect();
         let mut backlog = Backlog::new((0..).zip(ends.iter().copied()), now);
         let (mut last, mut taken) = (0, 0);
-        for at in (now..=now + SPAN).step_by(5_000) {
+        for at in (now..=now + MAX_RELEASE_TIME).step_by(5_000) {
             let turn = backlog.take(at);
             assert!(count < 100 || turn.len() < 100, "{} at once", turn.len());
             taken += turn.len();
             for end in turn.into_iter().map(|number| ends[number as usize]) {
-                assert!(end <= now || (at - now) <= (end - now) / PART + 5_000, "a message waited too long");
+                assert!(
+                    end <= now || (at - now) <= (end - now) / MAX_WAIT_DIVISOR + 5_000,
+                    "a message waited too long"
+                );
                 assert!(end >= last, "a message with less time left was released later");
                 last = end;
             }
