--- a/src/endpoints/reader/tests.rs
+++ b/src/endpoints/reader/tests.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_list_is_what_the_derived_reading_gives() {
+fn valid_list_equals_derived_deserialization() {
     let texts = [
         r#"{}"#,
         r#" { "index" : 5 } "#,
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn what_the_derived_reading_refuses_is_refused() {
+fn text_rejected_by_derived_deserialization_is_rejected() {
     let texts = [
         r#"[]"#,
         r#"null"#,
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_list_cut_at_any_byte_is_none() {
+fn list_truncated_at_any_byte_is_rejected() {
     let spread = serde_json::to_vec_pretty(&list(true, 3)).unwrap();
     let unknown =
         br#"{"more":[1,{"x":"\u00fc"}],"endpoints":[{"name":"a","group":12,"status":"left"}],"index":12}"#;
@@ -147,7 +147,7 @@
 
 /// A table that lacks the last entries must not be accepted as the list.
 #[test]
-fn a_long_list_cut_at_any_byte_of_its_end_is_none() {
+fn long_list_truncated_near_its_end_is_rejected() {
     let text = serde_json::to_vec(&list(true, ENTRIES + 3)).unwrap();
     for cut in text.len() - 1000..text.len() {
         assert_eq!(taken(&text[..cut]).unwrap_err(), ListError::Truncated(cut as u64));
@@ -156,14 +156,14 @@
 
 /// The stream can fail after the whole object has been read; the list must be rejected then.
 #[test]
-fn a_stream_that_fails_behind_the_list_gives_none() {
+fn stream_failing_after_list_is_rejected() {
     let text = serde_json::to_vec(&list(true, 3)).unwrap();
     let broken = read(Broken(&text, ErrorKind::UnexpectedEof), &Bounds::default());
     assert_eq!(broken.unwrap_err(), ListError::Truncated(text.len() as u64));
 }
 
 #[test]
-fn a_long_snapshot_comes_as_a_table() {
+fn snapshot_longer_than_entries_limit_is_read_as_table() {
     assert!(body(&serde_json::to_vec(&list(true, ENTRIES)).unwrap()).snapshot);
     for text in
         [serde_json::to_vec(&list(true, ENTRIES + 1)), serde_json::to_vec_pretty(&list(true, ENTRIES + 1))]
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn members_come_in_any_order() {
+fn members_in_any_order_give_same_list() {
     let count = ENTRIES + 500;
     let members = [("index", json!(7)), ("snapshot", json!(true)), ("endpoints", json!(entries(count)))];
     for order in [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]] {
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn names_that_come_twice() {
+fn repeated_names_use_last_entry_in_snapshot_and_stay_in_changes() {
     let named =
         |name: &str, group: u32, status: &str| json!({"name": name, "group": group, "status": status});
     let mut all = entries(ENTRIES);
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn bounds_hold_to_one() {
+fn list_one_over_a_bound_is_rejected() {
     let text = serde_json::to_vec(&list(true, 3000)).unwrap();
     let exact = Bounds { endpoints: 3000, bytes: text.len() as u64 };
     assert!(read(&text[..], &exact).is_ok());
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn changes_are_bounded() {
+fn list_of_changes_over_limit_is_rejected() {
     let entry = br#"{"name":"a","group":1,"status":"active"}"#.to_vec();
     let many = |count: usize| vec![&entry[..]; count].join(&b","[..]);
     let first = |count| [b"{\"snapshot\":false,\"endpoints\":[", &many(count)[..], b"]}"].concat();
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn names_are_bounded() {
+fn name_over_limit_is_rejected() {
     let named = |bytes: usize| {
         let entry = json!({"name": "n".repeat(bytes), "group": 1, "status": "active"});
         ordered(&[("endpoints", json!([entry]))])
@@ -262,7 +262,7 @@
 
 /// Error texts quote the list, and are logged: an unbounded quote would fill the log.
 #[test]
-fn what_is_told_of_a_list_is_short() {
+fn json_error_description_is_bounded() {
     let text = ordered(&[("index", json!("é".repeat(100_000)))]);
     let outcome = taken(&text);
     let Err(ListError::Malformed(why)) = outcome else { panic!("{outcome:?}") };
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn large_members_and_entries_are_taken() {
+fn large_members_and_entries_within_limit_are_accepted() {
     let large = "x".repeat(MAX_ENTRY_LEN as usize - 2 * READ_BUFFER_LEN);
     let entry = json!({"more": large, "name": "a", "group": 1, "status": "active"});
     let text =
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn input_without_end_ends() {
+fn endless_input_is_rejected_at_limits() {
     let entry = r#"{"name":"a","group":1,"status":"active"},"#;
     let bounds = Bounds { endpoints: 100_000, bytes: 20 << 20 };
     let too_long =
@@ -345,7 +345,7 @@
     #![proptest_config(ProptestConfig::with_cases(48))]
 
     #[test]
-    fn every_list_is_as_the_derived_reading_has_it(
+    fn any_list_equals_derived_deserialization(
         endpoints in vec(entry(), 0..40), index: u64, snapshot: bool, long: bool, pretty: bool,
     ) {
         let endpoints = if long { vec![endpoints; 400].concat() } else { endpoints };
--- a/src/endpoints/table/tests.rs
+++ b/src/endpoints/table/tests.rs
@@ -116,7 +116,7 @@
     #![proptest_config(ProptestConfig::with_cases(400))]
 
     #[test]
-    fn a_table_is_as_a_plain_model(snapshot in vec(listing(), 0..60), changes in vec(listing(), 0..60)) {
+    fn table_with_changes_equals_model(snapshot in vec(listing(), 0..60), changes in vec(listing(), 0..60)) {
         let groups: BTreeSet<u32> = snapshot.iter().chain(&changes).map(|entry| entry.group).collect();
         let mut model = modelled(&snapshot);
         let mut table = Table::new(snapshot);
@@ -132,7 +132,7 @@
     }
 
     #[test]
-    fn a_full_table_takes_no_new_name(
+    fn full_table_rejects_new_name(
         snapshot in vec(listing(), 0..30), changes in vec(listing(), 0..30), most in 0usize..20,
     ) {
         let groups: BTreeSet<u32> = snapshot.iter().chain(&changes).map(|entry| entry.group).collect();
@@ -156,13 +156,13 @@
 
 /// A table is built in a thread of its own and handed over from there.
 #[test]
-fn a_table_moves_between_threads() {
+fn table_built_in_another_thread_is_usable() {
     let table = std::thread::spawn(|| Table::new([entry("a", 1)])).join().unwrap();
     assert_eq!(table.of(1), [entry("a", 1)]);
 }
 
 #[test]
-fn an_empty_table_has_nothing() {
+fn empty_table_has_no_endpoints() {
     let table = Table::default();
     assert_holds(&table, &Model::new(), &[0, 1, u32::MAX].into());
     assert_eq!(table.get(""), None);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn the_last_of_a_name_counts_in_a_snapshot() {
+fn snapshot_with_repeated_name_uses_last_entry() {
     let twice = Table::new([entry("a", 1), entry("b", 1), entry("a", 2)]);
     assert_eq!(twice.get("a"), Some(entry("a", 2)));
     assert_eq!(twice.of(1), [entry("b", 1)]);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_name_moves_to_another_destination() {
+fn name_with_changed_destination_is_moved() {
     let mut table = Table::new([entry("a", 1), entry("b", 2)]);
     assert_eq!(table.change(entry("a", 2), 2), Ok(Some(entry("a", 1))));
     assert_eq!(table.of(2), [entry("a", 2), entry("b", 2)]);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_name_leaves_and_is_back_at_once() {
+fn name_that_left_can_be_added_again() {
     let mut table = Table::new([entry("a", 1)]);
     assert_eq!(table.change(left("a", 1), 1), Ok(Some(entry("a", 1))));
     assert_eq!(table.get("a"), None);
@@ -207,7 +207,7 @@
 
 /// Without the limit on changes, a table that is never rebuilt would grow without bound.
 #[test]
-fn changes_wear_a_table_and_a_new_one_is_fresh() {
+fn table_needs_rebuild_after_change_limit_and_not_when_rebuilt() {
     let mut table = Table::new([entry("a", 1)]);
     for number in 0..MIN_CHANGES_FOR_REBUILD {
         assert!(!table.needs_rebuild());
@@ -230,7 +230,7 @@
 
 /// An endpoint that changes all the time must not take memory with each change: its name is stored once.
 #[test]
-fn one_name_that_changes_over_and_over_takes_no_more() {
+fn repeated_changes_of_one_name_keep_memory_bounded() {
     let mut table = Table::new([entry("a", 1)]);
     table.change(entry("a", 2), 1).unwrap();
     let held = table.heap_bytes();
@@ -263,7 +263,7 @@
 
 /// The memory of a sender depends on this: it holds two such tables while a list is received.
 #[test]
-fn the_design_size_takes_what_it_may() {
+fn table_of_design_size_stays_within_memory_limit() {
     let endpoints = 558_000;
     let mut table = Table::new((0..endpoints).map(design_size));
     assert_eq!((table.len(), table.destinations()), (endpoints as usize, 310_000));
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn a_hundred_snapshots_in_a_row_take_what_one_does() {
+fn repeated_snapshots_keep_memory_bounded() {
     let (endpoints, mut table) = (5000, Table::default());
     let mut held = Vec::new();
     for round in 0..100 {
--- a/src/start/cached_list/tests.rs
+++ b/src/start/cached_list/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_list_of_another_tier_or_day_or_behind_the_configuration_is_not_begun_from() {
+fn cached_list_of_other_tier_or_too_old_or_behind_configuration_is_rejected() {
     let now = 2 * MAX_AGE;
     let kept = |tier, at, version| CachedList::<u8> { tier, at, version, capacity: 20.0, entries: vec![] };
     assert_eq!(kept(7, now, 41).fit(7, 41, now), Ok(()));
--- a/src/start/hint/tests.rs
+++ b/src/start/hint/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_spoilt_cut_or_foreign_hint_is_none() {
+fn corrupt_truncated_or_foreign_hint_is_rejected() {
     let held = (0..60).map(|to| (to, 500 - to as u16)).collect();
     let mut hint =
         Hint { answer: true, confirmed: false, age_s: 7, version: 41, trouble: 3, capacity: 160, held };
--- a/src/start/jitter/tests.rs
+++ b/src/start/jitter/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn places_are_even_for_a_whole_tier_and_for_a_run_of_it() {
+fn positions_are_even_for_whole_tier_and_consecutive_ranks() {
     for (first, count) in [(0, 300), (37, 150), (500, 500)] {
         let mut slots = [0; 10];
         (first..first + count).for_each(|rank| slots[(place(rank, 77) * 10.0) as usize] += 1);
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_spread_keeps_its_bounds_whatever_it_is_told() {
+fn window_and_backoff_stay_within_bounds_for_any_input() {
     for senders in [0.0, 1.0, 1e3, f64::INFINITY, f64::NAN] {
         for capacity in [0.0, -4.0, 20.0, f64::INFINITY, f64::NAN] {
             for trouble in [-1.0, 0.0, 1e9, f64::NAN] {
--- a/src/start/pace/tests.rs
+++ b/src/start/pace/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn all_go_in_within_the_span_the_least_time_first_and_with_most_of_their_time_left() {
+fn all_messages_are_released_in_time_ordered_by_remaining_time() {
     let mut rng = fastrand::Rng::with_seed(3);
     for count in [0, 1, 2, 700] {
         let now = 50_000_000;
--- a/tests/list_memory.rs
+++ b/tests/list_memory.rs
@@ -48,7 +48,7 @@
 
 /// Memory that a list took must return to the system with it, or a sender would grow with each snapshot.
 #[test]
-fn two_lists_of_the_design_size_fit() {
+fn two_lists_of_design_size_fit_in_memory_limit() {
     let before = memory("VmRSS");
     let mut table = taken();
     let one = memory("VmRSS") - before;
--- a/tests/start_tier.rs
+++ b/tests/start_tier.rs
@@ -223,7 +223,7 @@
 
 /// Prints a table over tier sizes; the asserted bounds are those that the documentation states.
 #[test]
-fn a_start_of_the_whole_tier_calls_the_list_service_at_the_rate_that_it_bears() {
+fn start_of_whole_tier_keeps_call_rate_within_service_capacity() {
     println!("senders, seed: calls in the worst second, in ten seconds, rejected, all have the list after");
     // For more seeds, and for 1,000 senders, use a release build: START_SEEDS=50 cargo test --release.
     let more = std::env::var("START_SEEDS").ok().and_then(|seeds| seeds.parse().ok());
@@ -254,7 +254,7 @@
 /// Until its own slot, each sender uses the list that it has, without the endpoints that two peers report as
 /// gone.
 #[test]
-fn what_was_replaced_is_let_be_long_before_the_own_turn_comes() {
+fn replaced_endpoint_is_hidden_by_peer_reports_before_own_slot() {
     let mut tier = Tier::new(300, 20.0, SERVICE, 3);
     tier.all_start();
     tier.run(BEGAN + 4 * SECOND);
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn a_sender_that_starts_alone_asks_at_once_and_is_steady_soon() {
+fn sender_starting_alone_calls_within_1_s_and_is_steady_within_25_s() {
     let mut tier = Tier::new(300, 20.0, SERVICE, 5);
     tier.all_start();
     tier.run(BEGAN + 60 * SECOND);
@@ -294,7 +294,7 @@
 /// starting senders are killed, others join during the start, the tier is split, or the membership view is
 /// off by half: the call rate holds, and all senders get the list.
 #[test]
-fn troubles_under_way_widen_the_spread_for_all_and_delay_nobody_for_ever() {
+fn faults_during_start_keep_call_rate_bounded_and_all_senders_get_list() {
     type Trouble = fn(&mut Tier);
     let troubles: [(&str, Trouble, u32); 8] = [
         ("silent", |tier| tier.service.silent_until = BEGAN + 8 * SECOND, 48),
@@ -338,7 +338,7 @@
 /// must be sent within half of the time in which sends must have ended, and a failed one must be repeated
 /// soon.
 #[test]
-fn at_an_agent_no_call_waits_for_longer_than_half_of_the_grace() {
+fn agent_call_is_sent_within_half_of_grace() {
     for (section, lives) in [("{}", 0), (r#"{"bears_per_s": 1}"#, 9)] {
         let mut tier = Tier::new(300, 1e9, section, 2);
         tier.senders.iter_mut().for_each(|sender| sender.lives = lives);
@@ -364,7 +364,7 @@
 /// One false peer hides nothing. Two that agree hide endpoints until the list service answers, and never add
 /// any.
 #[test]
-fn a_false_word_hides_at_most_and_only_until_the_service_tells_itself() {
+fn false_peer_lists_only_hide_endpoints_until_service_answers() {
     let mut tier = Tier::new(2, 20.0, SERVICE, 9);
     tier.all_start();
     lie(&mut tier, 0);
@@ -392,7 +392,7 @@
 
 /// The service has lost its versions: a watch from the cached version would be held without any use.
 #[test]
-fn a_version_that_went_back_is_found_from_what_others_were_told() {
+fn version_lost_by_service_is_detected_from_peer_hints() {
     let mut tier = Tier::new(60, 20.0, SERVICE, 4);
     tier.service.version = 3;
     tier.senders.iter_mut().for_each(|sender| sender.from = 50);
@@ -408,7 +408,7 @@
 
 /// A process that ends repeatedly during its start calls ever later, within a bound.
 #[test]
-fn lives_that_end_early_slow_the_asking_down_within_a_bound() {
+fn failed_starts_widen_jitter_window_up_to_maximum() {
     let slot = |lives| {
         let mut tier = Tier::new(300, 20.0, LEARNED, 1);
         tier.senders[200].lives = lives;
