--- a/ops/src/members.rs
+++ b/ops/src/members.rs
@@ -198,7 +198,7 @@
                     for (rank, (state, incarnation)) in
                         n.iter().filter(|(rank, now)| b.get(rank) != Some(now))
                     {
-                        println!("{address}: member {rank} is {state}, incarnation {incarnation}");
+                        println!("{address}: member {rank} is {state}, life {incarnation}");
                     }
                 }
                 (_, Ok(n)) => {
--- a/src/check.rs
+++ b/src/check.rs
@@ -601,12 +601,12 @@
 /// When a change of a key takes effect, and what it means for messages in hand.
 fn effect_of(path: &str) -> (Takes, &'static str) {
     let under_way = match path {
-        p if p.starts_with("settings.classes") => "messages in hand keep the class they were accepted with",
-        "settings.limits.try_limit" => "messages that already had that many attempts end at once",
-        "settings.limits.max_open" => "messages beyond the new limit are handed back, lowest worth first",
-        "settings.family_info.calls_out" => "calls in progress continue; no new call begins above the limit",
+        p if p.starts_with("settings.classes") => "those under way keep the class that they came with",
+        "settings.limits.try_limit" => "those that have had as many attempts are answered at once",
+        "settings.limits.max_open" => "those held beyond it are handed back, the least of worth first",
+        "settings.family_info.calls_out" => "calls that are out go on; no new one begins above it",
         "discovery" => "notices that are owed go to the new address",
-        p if p.starts_with("settings") => "the new value applies from the next event-loop iteration on",
+        p if p.starts_with("settings") => "they go on by the new figure from the next turn on",
         _ => "none",
     };
     match path == "discovery" || path.starts_with("settings.") {
--- a/src/start/mod.rs
+++ b/src/start/mod.rs
@@ -708,13 +708,13 @@
             (Phase::List, Some(ms)) if self.failed > 0 => {
                 format!("the next call to the list service, in {ms} ms")
             }
-            (Phase::List, Some(ms)) => format!("its slot for calling the list service, in {ms} ms"),
-            (Phase::List, None) => "an answer of the list service".to_owned(),
-            (Phase::Journal, _) => format!("{} old messages that are not released yet", self.backlog.left()),
-            (Phase::Peers, _) => format!("hints of {MIN_HEARD} senders, {} received", self.heard.len()),
-            (Phase::Warming, Some(ms)) => format!("the call that opens its watch on the list, in {ms} ms"),
+            (Phase::List, Some(ms)) => format!("its slot at the list service, in {ms} ms"),
+            (Phase::List, None) => "the list service's answer".to_owned(),
+            (Phase::Journal, _) => format!("the turns of {} old messages", self.backlog.left()),
+            (Phase::Peers, _) => format!("hints of {MIN_HEARD} senders, {} heard", self.heard.len()),
+            (Phase::Warming, Some(ms)) => format!("the turn to open its watch on the list, in {ms} ms"),
             (Phase::Warming, None) => {
-                "the end of failed calls to the list service, or of the minimum start time".to_owned()
+                "calls of some sender to the list service fail, or it is young".to_owned()
             }
             (Phase::Steady, _) => "nothing".to_owned(),
         }
